--- a/internal/control/homes/controller.go
+++ b/internal/control/homes/controller.go
@@ -198,7 +198,7 @@
 	known := b.Homes.Shards[shard]
 	written := parse(entry.Value)
 	reserve := c.reserve(b)
-	if known.Term != written.Term || !known.IsKeptBy(c.config.Self) || c.unsettled[shard] || !c.stands(shard, entry) {
+	if known.Term != written.Term || !known.IsFirstKeeper(c.config.Self) || c.unsettled[shard] || !c.stands(shard, entry) {
 		return true
 	}
 	if reserve < c.config.Timing.Reserve || time.UnixMilli(written.Limit).Sub(now) < reserve-c.config.Timing.Write {
@@ -306,12 +306,12 @@
 		members = orLast(members, written)
 	}
 	return outcome.Renewal{
-		Until:   now.Add(horizon).UnixMilli(),
-		Keep:    now.Add(-c.config.Timing.Window).UnixMilli(),
-		Zone:    b.Self.Zone,
-		Members: members,
-		Keepers: c.keepers(b, written),
-		Reserve: c.reserve(b).Milliseconds(),
+		Until:      now.Add(horizon).UnixMilli(),
+		DropBefore: now.Add(-c.config.Timing.Window).UnixMilli(),
+		Zone:       b.Self.Zone,
+		Members:    members,
+		Keepers:    c.keepers(b, written),
+		Reserve:    c.reserve(b).Milliseconds(),
 	}
 }
 
--- a/internal/control/homes/keeper.go
+++ b/internal/control/homes/keeper.go
@@ -20,7 +20,7 @@
 // zone leaves a keeper who knows how far the shard was extended. The second keeper stays while it is up; the zones'
 // second keepers are spread over all nodes.
 func (c *Controller) keepers(b *board.Board, written outcome.Shard) []outcome.Node {
-	if written.IsKeptBy(c.config.Self) && len(written.Keepers) > 1 && mayKeep(b, written.Keepers[1]) {
+	if written.IsFirstKeeper(c.config.Self) && len(written.Keepers) > 1 && mayKeep(b, written.Keepers[1]) {
 		return written.Keepers
 	}
 	var second outcome.Node
@@ -54,7 +54,7 @@
 // have moved it. It reports false where no keeper can be asked and the end may still move.
 func (c *Controller) base(ctx context.Context, b *board.Board, shard string, written outcome.Shard) (outcome.Shard, bool) {
 	base := newest(b.Homes.Shards[shard], written)
-	if len(base.Keepers) == 0 || base.IsKeptBy(c.config.Self) {
+	if len(base.Keepers) == 0 || base.IsFirstKeeper(c.config.Self) {
 		return base, true
 	}
 	for _, keeper := range base.Keepers {
@@ -70,34 +70,34 @@
 
 // fence takes back a keeper's promise and returns the latest end that it promised.
 func (c *Controller) fence(ctx context.Context, b *board.Board, shard string, term uint64, keeper outcome.Node) (int64, bool) {
-	q := peer.PromiseQuestion{Shard: shard, Term: term, Fence: true, Incarnation: keeper.Incarnation}
+	q := peer.PromiseQuery{Shard: shard, Term: term, Fence: true, Incarnation: keeper.Incarnation}
 	a, ok := c.ask(ctx, b, keeper, q)
 	return a.Until, ok
 }
 
-func (c *Controller) ask(ctx context.Context, b *board.Board, keeper outcome.Node, q peer.PromiseQuestion) (peer.PromiseAnswer, bool) {
+func (c *Controller) ask(ctx context.Context, b *board.Board, keeper outcome.Node, q peer.PromiseQuery) (peer.PromiseResult, bool) {
 	if keeper == c.config.Self {
 		return c.Promise(q), true
 	}
 	m, ok := b.Members.ByNode[keeper.Name]
 	if !ok || m.Incarnation != keeper.Incarnation {
-		return peer.PromiseAnswer{}, false
+		return peer.PromiseResult{}, false
 	}
 	a, err := c.config.Peers.Promise(ctx, m.PeerAddress, q, promiseTimeout)
 	return a, err == nil && a.Known
 }
 
 // Promise answers as a keeper of a shard.
-func (c *Controller) Promise(q peer.PromiseQuestion) peer.PromiseAnswer {
+func (c *Controller) Promise(q peer.PromiseQuery) peer.PromiseResult {
 	if q.Incarnation != c.config.Self.Incarnation {
-		return peer.PromiseAnswer{}
+		return peer.PromiseResult{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if q.Fence {
-		return peer.PromiseAnswer{Known: true, Until: c.promises.Fence(q.Shard, q.Term)}
+		return peer.PromiseResult{Known: true, Until: c.promises.Fence(q.Shard, q.Term)}
 	}
-	return peer.PromiseAnswer{Known: true, Granted: c.promises.Grant(q.Shard, q.Term, q.Until)}
+	return peer.PromiseResult{Known: true, Granted: c.promises.Grant(q.Shard, q.Term, q.Until)}
 }
 
 // extend moves the end of a shard of which this node is the first keeper, by the promise of both, where no more than
@@ -106,7 +106,7 @@
 	b := c.config.Board.Snapshot()
 	known := b.Homes.Shards[shard]
 	now := time.Now()
-	if !known.IsKeptBy(c.config.Self) || len(known.Keepers) < 2 || c.unsettled[shard] {
+	if !known.IsFirstKeeper(c.config.Self) || len(known.Keepers) < 2 || c.unsettled[shard] {
 		return false
 	}
 	if time.UnixMilli(known.Last().Until).Sub(now) > left {
@@ -127,7 +127,7 @@
 // promised asks this node itself first, so that whoever asks it later learns of the end.
 func (c *Controller) promised(ctx context.Context, b *board.Board, shard string, known outcome.Shard, until int64) bool {
 	for _, keeper := range known.Keepers {
-		q := peer.PromiseQuestion{Shard: shard, Term: known.Term, Until: until, Incarnation: keeper.Incarnation}
+		q := peer.PromiseQuery{Shard: shard, Term: known.Term, Until: until, Incarnation: keeper.Incarnation}
 		if a, ok := c.ask(ctx, b, keeper, q); !ok || !a.Granted {
 			return false
 		}
--- a/internal/control/members/members.go
+++ b/internal/control/members/members.go
@@ -99,7 +99,7 @@
 		Store:  c.config.Store,
 		Prefix: Prefix,
 		Wait:   watchWait,
-		Settle: func() time.Duration { return roster.Settle(len(c.config.Board.Snapshot().Members.ByNode)) },
+		Settle: func() time.Duration { return roster.CoalesceDelay(len(c.config.Board.Snapshot().Members.ByNode)) },
 		Listed: func(ctx context.Context, s store.Snapshot) {
 			send(ctx, change{whole: true, listed: c.entries(s.Items)})
 		},
@@ -213,7 +213,7 @@
 	members := board.Members{ByNode: map[string]membership.Member{}, ByService: map[string][]membership.Member{}}
 	for _, m := range list {
 		members.ByNode[m.Node] = m
-		if m.TakesWork() {
+		if m.AcceptsRequests() {
 			members.ByService[m.Service] = append(members.ByService[m.Service], m)
 		}
 	}
@@ -372,6 +372,6 @@
 		Service:     b.Backend.Service,
 		Slots:       b.Backend.Slots,
 		State:       state,
-		Lost:        b.Backend.IsLost(),
+		BackendLost: b.Backend.IsLost(),
 	}, b.Backend.Service != ""
 }
--- a/internal/control/zone/beat_test.go
+++ b/internal/control/zone/beat_test.go
@@ -99,7 +99,7 @@
 	b.ReportMetric(bytes, "B/beat")
 	for _, members := range []int{12, 24, 48, 72} {
 		others := float64(members - 1)
-		led := others / membership.BeatPeriod(zone.DefaultTiming.Beat, members).Seconds()
+		led := others / membership.HeartbeatPeriod(zone.DefaultTiming.Beat, members).Seconds()
 		each := others / zone.DefaultTiming.Beat.Seconds()
 		b.ReportMetric(led, fmt.Sprintf("beats/s-led-%d", members))
 		b.ReportMetric(led*bytes, fmt.Sprintf("B/s-leader-%d", members))
--- a/internal/control/zone/client.go
+++ b/internal/control/zone/client.go
@@ -160,7 +160,7 @@
 				Sequence: c.Patch.Base.Sequence,
 				Prefix:   uint32(c.Patch.Prefix),
 				Suffix:   uint32(c.Patch.Suffix),
-				Sum:      c.Patch.Sum,
+				Sum:      c.Patch.Checksum,
 			}
 		}
 		messages = append(messages, message)
@@ -175,13 +175,13 @@
 		if base := m.GetBase(); base != nil {
 			c.Patched = true
 			c.Patch = membership.Patch{
-				Key:     m.GetKey(),
-				Base:    membership.Version{Epoch: base.GetEpoch(), Sequence: base.GetSequence()},
-				Version: c.Record.Version,
-				Prefix:  int(base.GetPrefix()),
-				Suffix:  int(base.GetSuffix()),
-				Middle:  m.GetValue(),
-				Sum:     base.GetSum(),
+				Key:      m.GetKey(),
+				Base:     membership.Version{Epoch: base.GetEpoch(), Sequence: base.GetSequence()},
+				Version:  c.Record.Version,
+				Prefix:   int(base.GetPrefix()),
+				Suffix:   int(base.GetSuffix()),
+				Middle:   m.GetValue(),
+				Checksum: base.GetSum(),
 			}
 		}
 		changes = append(changes, c)
--- a/internal/control/zone/controller.go
+++ b/internal/control/zone/controller.go
@@ -62,11 +62,11 @@
 }
 
 // renewals returns the kinds of records that are renewed all the time.
-func renewals(sections map[string]Section) []membership.Renewal {
-	var found []membership.Renewal
+func renewals(sections map[string]Section) []membership.RenewalRule {
+	var found []membership.RenewalRule
 	for prefix, section := range sections {
 		if section.Structure != nil {
-			found = append(found, membership.Renewal{Prefix: prefix, Structure: section.Structure})
+			found = append(found, membership.RenewalRule{Prefix: prefix, Structure: section.Structure})
 		}
 	}
 	return found
@@ -162,10 +162,10 @@
 		lead:        newLeadership(),
 	}
 	c.election = membership.NewElection(membership.ElectionConfig{
-		Node:        config.Board.Snapshot().Self.Node,
-		SilentAfter: config.Timing.SilentAfter,
-		AskAgain:    askAgain,
-		Candidates:  candidates,
+		Node:          config.Board.Snapshot().Self.Node,
+		FollowTimeout: config.Timing.SilentAfter,
+		RetryInterval: askAgain,
+		Candidates:    candidates,
 	})
 	maps.Copy(c.sections, config.Sections)
 	c.sections[membership.MemberPrefix] = Section{Publish: c.publishMembers}
@@ -190,7 +190,7 @@
 // pause waits for the next heartbeat, or for a change that is to spread at once.
 func (c *Controller) pause(ctx context.Context) {
 	b := c.config.Board.Snapshot()
-	timer := time.NewTimer(membership.BeatPeriod(c.config.Timing.Beat, b.Members.InZone(b.Self.Zone)))
+	timer := time.NewTimer(membership.HeartbeatPeriod(c.config.Timing.Beat, b.Members.InZone(b.Self.Zone)))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -206,13 +206,13 @@
 		c.refreshSelf(b)
 		plan = c.plan(b)
 	})
-	for _, t := range plan.Ask {
+	for _, t := range plan.HeartbeatTargets {
 		c.tasks.start("beat "+t.Address, func() { c.beat(ctx, t) })
 	}
-	if plan.Read {
+	if plan.ReadPlatform {
 		c.tasks.start("read leader", func() { c.readLeader(ctx) })
 	}
-	if plan.Role != membership.Leading && len(plan.Ask) == 0 {
+	if plan.Role != membership.Leading && len(plan.HeartbeatTargets) == 0 {
 		c.askSeeds(ctx)
 	}
 	c.leadZone(ctx, plan.Role)
@@ -223,7 +223,7 @@
 	now := time.Now()
 	plan := c.election.Plan(now, c.peersInZone(b))
 	if b.Self.Draining && plan.Role != membership.Leading {
-		plan.Read = false
+		plan.ReadPlatform = false
 	}
 	if plan.Role != c.role {
 		c.changeRole(b, plan.Role)
@@ -290,7 +290,7 @@
 	if own == c.own && held.Version.Compare(mine) == 0 && !signOfLife {
 		return
 	}
-	marked := held.Version.Epoch == c.incarnation && membership.IsMark(held.Version)
+	marked := held.Version.Epoch == c.incarnation && membership.IsDownMark(held.Version)
 	if marked && c.role == membership.Following && followed.Node == "" {
 		return // The leader can't reach the node, and would only mark it again.
 	}
@@ -299,7 +299,7 @@
 	}
 	c.own = own
 	c.ownRenewed = now
-	c.sequence = membership.OwnSequence(c.sequence)
+	c.sequence = membership.NextOwnSequence(c.sequence)
 	c.offer(b, own.Record(membership.Version{Epoch: c.incarnation, Sequence: c.sequence}))
 }
 
@@ -319,7 +319,7 @@
 		Slots:         b.Backend.Slots,
 		Connections:   b.Backend.Connections,
 		State:         state,
-		Lost:          b.Backend.IsLost(),
+		BackendLost:   b.Backend.IsLost(),
 		Successor:     b.Self.Successor,
 		AnswersFor:    b.Self.AnswersFor,
 	}
@@ -340,7 +340,7 @@
 		return false
 	}
 	m, err := membership.ParseMember(r)
-	return err != nil || m.IsForgotten(now)
+	return err != nil || m.IsExpired(now)
 }
 
 // forget drops the records of members that have been down for long. It runs in the control goroutine.
@@ -350,7 +350,7 @@
 	}
 	c.forgot = now
 	for node, m := range c.members {
-		if m.IsForgotten(now) {
+		if m.IsExpired(now) {
 			c.records.Drop(membership.MemberPrefix + node)
 			c.detector.Forget(node)
 			delete(c.members, node)
--- a/internal/control/zone/document.go
+++ b/internal/control/zone/document.go
@@ -193,6 +193,6 @@
 
 func (c *Controller) heldDocuments(ctx context.Context) []membership.Record {
 	var held []membership.Record
-	c.config.Board.Do(ctx, func(*board.Board) { held = c.records.Prefix(DocumentPrefix) })
+	c.config.Board.Do(ctx, func(*board.Board) { held = c.records.WithPrefix(DocumentPrefix) })
 	return held
 }
--- a/internal/control/zone/elect.go
+++ b/internal/control/zone/elect.go
@@ -48,7 +48,7 @@
 		c.takeLead(ctx, self, entry) // An earlier process of this node, or a lease that this one lost track of.
 	default:
 		c.config.Board.Do(ctx, func(*board.Board) {
-			c.election.PlatformNames(membership.Target{Node: named.Node, Address: named.PeerAddress})
+			c.election.RecordPlatformLeader(membership.Target{Node: named.Node, Address: named.PeerAddress})
 		})
 	}
 }
@@ -75,7 +75,7 @@
 		return // Another was first, or the answer was lost; then the lease lapses or the next read finds this node.
 	}
 	c.config.Board.Do(ctx, func(b *board.Board) {
-		c.election.Granted(membership.Lease{Term: value.Term, Until: asked.Add(c.config.Timing.LeaseTTL)})
+		c.election.RecordLeaseGranted(membership.Lease{Term: value.Term, Until: asked.Add(c.config.Timing.LeaseTTL)})
 		c.lead.begin(lease, asked, encoded, stored.Revision)
 		c.presumePredecessor(b)
 		c.offer(b, decodeLeader(written)...)
@@ -104,8 +104,8 @@
 	c.detector.Reset()
 	held, found := c.records.Get(entryKey(b.Self))
 	predecessor := parseLeader(held.Value).Node
-	if found && predecessor != b.Self.Node && c.election.IsSilent(predecessor) {
-		c.detector.Presume(predecessor, time.Now())
+	if found && predecessor != b.Self.Node && c.election.IsUnresponsive(predecessor) {
+		c.detector.PresumeDown(predecessor, time.Now())
 	}
 }
 
@@ -121,9 +121,9 @@
 		case lease.ID != c.lead.lease.ID:
 		case err == nil:
 			c.lead.renewed = asked
-			c.election.Renewed(asked.Add(c.config.Timing.LeaseTTL))
+			c.election.RecordLeaseRenewed(asked.Add(c.config.Timing.LeaseTTL))
 		case errors.Is(err, platform.ErrNotFound):
-			c.election.Lost()
+			c.election.RecordLeaseLost()
 		}
 	})
 }
@@ -137,7 +137,7 @@
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		c.counts.PlatformCalls++
 		if !reachable {
-			c.election.PlatformAway()
+			c.election.RecordPlatformUnreachable()
 		}
 		if b.Platform.Reachable == reachable && !b.Platform.Since.IsZero() {
 			return
--- a/internal/control/zone/follow.go
+++ b/internal/control/zone/follow.go
@@ -64,10 +64,10 @@
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		now := time.Now()
 		if err != nil {
-			c.election.Failed(now, t)
+			c.election.RecordFailure(now, t)
 			return
 		}
-		c.election.Answered(now, t, answer.Answer)
+		c.election.RecordAnswer(now, t, answer.Answer)
 		c.publishLeader(b, now)
 	})
 }
@@ -182,8 +182,8 @@
 	var wanted []string
 	var offered []membership.Record
 	c.config.Board.Do(ctx, func(*board.Board) {
-		wanted = c.records.Wanted(versions)
-		offered = c.records.Newer(theirs, versions)
+		wanted = c.records.MissingKeys(versions)
+		offered = c.records.NewerThan(theirs, versions)
 	})
 	for len(wanted)+len(offered) > 0 {
 		part, rest := split(offered)
@@ -194,7 +194,7 @@
 		offered = rest
 		c.config.Board.Do(ctx, func(b *board.Board) {
 			c.merge(b, newer...)
-			wanted = c.records.Wanted(pick(versions, wanted))
+			wanted = c.records.MissingKeys(pick(versions, wanted))
 		})
 	}
 }
--- a/internal/control/zone/leader.go
+++ b/internal/control/zone/leader.go
@@ -109,7 +109,7 @@
 			}
 			if c.detector.IsDown(m.Node, now) {
 				c.markMember(b, m)
-			} else if c.detector.IsSilent(m.Node, now) {
+			} else if c.detector.IsSuspected(m.Node, now) {
 				doubtful = append(doubtful, membership.Target{Node: m.Node, Address: m.PeerAddress})
 			}
 		}
@@ -144,7 +144,7 @@
 func (c *Controller) markMember(b *board.Board, m membership.Member) {
 	held, _ := c.records.Get(membership.MemberPrefix + m.Node)
 	c.config.Log.Emit(events.MemberDown, events.Fields{"member": m.Node, "zone": m.Zone})
-	c.offer(b, m.MarkedDown(held.Version, time.Now()))
+	c.offer(b, m.DownRecord(held.Version, time.Now()))
 }
 
 // probe sends a heartbeat to a silent member, which may be alive and follow somebody else. One that does not answer
@@ -158,9 +158,9 @@
 		now := time.Now()
 		switch {
 		case err == nil:
-			c.detector.Heard(t.Node, now)
-		case c.detector.IsSilent(t.Node, now):
-			c.detector.Presume(t.Node, now)
+			c.detector.RecordHeartbeat(t.Node, now)
+		case c.detector.IsSuspected(t.Node, now):
+			c.detector.PresumeDown(t.Node, now)
 		}
 	})
 }
@@ -213,7 +213,7 @@
 	for _, m := range b.Members.ByNode {
 		zones[m.Zone] = true
 	}
-	return membership.MeetPeriod(c.config.Timing.ZoneBeat, len(zones)-1)
+	return membership.InterZoneHeartbeatPeriod(c.config.Timing.ZoneBeat, len(zones)-1)
 }
 
 // zoneTarget returns where to reach the zone: where it was reached last, the leader that its record names, or after
@@ -276,7 +276,7 @@
 	var swap platform.Swap
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		changes = c.zoneChanges
-		if changes == c.lead.published || !c.election.Holds(time.Now()) {
+		if changes == c.lead.published || !c.election.HoldsLease(time.Now()) {
 			return
 		}
 		value = zoneValue{Term: c.election.Term(), Records: c.zoneRecords(b.Self.Zone)}
@@ -313,7 +313,7 @@
 		c.merge(b, stored.Records...)
 		c.lead.zoneRevision = entry.Revision
 		if stored.Term > term {
-			c.election.Lost()
+			c.election.RecordLeaseLost()
 		}
 	})
 }
--- a/internal/control/zone/publish.go
+++ b/internal/control/zone/publish.go
@@ -52,7 +52,7 @@
 			c.reportUp(members, m)
 		}
 		if m.State != membership.Down {
-			c.detector.Heard(m.Node, time.Now()) // The member itself made the record.
+			c.detector.RecordHeartbeat(m.Node, time.Now()) // The member itself made the record.
 		}
 		replace(members, m)
 	}
@@ -82,7 +82,7 @@
 		return
 	}
 	members.ByNode[m.Node] = m
-	if m.TakesWork() {
+	if m.AcceptsRequests() {
 		members.ByService[m.Service] = insert(members.ByService[m.Service], m)
 	}
 }
--- a/internal/control/zone/server.go
+++ b/internal/control/zone/server.go
@@ -31,10 +31,10 @@
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		now := time.Now()
 		c.counts.BeatsReceived++
-		c.detector.Heard(m.GetNode(), now)
+		c.detector.RecordHeartbeat(m.GetNode(), now)
 		c.merge(b, recordsFrom(m.GetChanged())...)
 		if m.GetLeads() && m.GetZone() == b.Self.Zone {
-			c.election.Suggest(now, membership.Target{Node: m.GetNode(), Address: m.GetAddress()}, m.GetLeased())
+			c.election.SuggestLeader(now, membership.Target{Node: m.GetNode(), Address: m.GetAddress()}, m.GetLeased())
 		}
 		c.answerLeader(reply, now)
 		c.answerChanges(reply, m, b.Self.Zone)
@@ -58,21 +58,21 @@
 func (c *Controller) answerChanges(reply *zonepb.BeatReply, m *zonepb.BeatRequest, own string) {
 	reply.Log = c.log
 	reply.Digest = c.records.Digest()
-	reply.Next = c.records.Last()
+	reply.Next = c.records.LastChange()
 	follows := followsOf(m, own)
 	if m.GetLog() != c.log {
-		reply.Newer = recordMessages(c.records.Renewed(follows))
+		reply.Newer = recordMessages(c.records.RenewedRecords(follows))
 		return
 	}
 	newer, next := c.records.Since(m.GetSeen(), maxRecordBytes, follows)
 	reply.Newer = changeMessages(newer)
 	reply.Next = next
-	reply.More = next < c.records.Last()
+	reply.More = next < c.records.LastChange()
 }
 
 // followsOf returns which renewals the sender of the heartbeat gets here: those that the own zone makes, where it
 // belongs to that zone or leads another one.
-func followsOf(m *zonepb.BeatRequest, own string) membership.Follows {
+func followsOf(m *zonepb.BeatRequest, own string) membership.ZoneFilter {
 	concerned := m.GetZone() == own || m.GetLeads()
 	return func(zone string) bool { return concerned && zone == own }
 }
--- a/internal/control/zone/stats.go
+++ b/internal/control/zone/stats.go
@@ -56,7 +56,7 @@
 		Followed:  followed.Node,
 		Relayed:   followed.Node != "" && !leads,
 		Term:      c.election.Term(),
-		LeaseLeft: max(0, c.election.LeaseLeft(now).Milliseconds()),
+		LeaseLeft: max(0, c.election.LeaseRemaining(now).Milliseconds()),
 		Records:   c.records.Len(),
 		Digest:    c.records.Digest(),
 		Silence:   map[string]int64{},
@@ -66,7 +66,7 @@
 		Counts:    c.counts,
 	}
 	if c.role != membership.Following {
-		for node, age := range c.detector.Ages(now) {
+		for node, age := range c.detector.Silences(now) {
 			s.Silence[node] = age.Milliseconds()
 		}
 	}
--- a/internal/control/zone/watch.go
+++ b/internal/control/zone/watch.go
@@ -238,7 +238,7 @@
 	switch {
 	case !found || named == own:
 	case named.Term > own.Term:
-		c.config.Board.Do(ctx, func(*board.Board) { c.election.Lost() })
+		c.config.Board.Do(ctx, func(*board.Board) { c.election.RecordLeaseLost() })
 	default:
 		_, err := c.config.Platform.CompareAndSwap(ctx, swap)
 		c.answered(ctx, err) // A refusal means that the platform lagged or that the lease is over.
--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -40,16 +40,16 @@
 	Caller    string
 	RootStart time.Time
 	Deadline  time.Time
-	// FullAt is the limit, where the request took the last slot of it when it began, else 0. The gate sets it.
-	FullAt int
+	// SaturatedLimit is the limit, where the request took the last slot of it when it began, else 0. The gate sets it.
+	SaturatedLimit int
 
-	// number orders tickets of equal RootStart.
-	number  uint64
-	expires time.Time
-	// late says that the ticket expires because of its deadline.
-	late bool
-	// place is the ticket's index in the heap of expiry times.
-	place int
+	// sequence orders tickets of equal RootStart.
+	sequence uint64
+	expires  time.Time
+	// deadlineFirst says that the ticket expires because of its deadline.
+	deadlineFirst bool
+	// expiryIndex is the ticket's index in the heap of expiry times.
+	expiryIndex int
 }
 
 // Action is what becomes of an offered ticket.
@@ -58,7 +58,7 @@
 // The actions.
 const (
 	Run Action = iota
-	Wait
+	Enqueue
 	Shed
 )
 
@@ -69,8 +69,8 @@
 const (
 	// Overload means that the ticket would wait too long, or that more urgent work took its place.
 	Overload Cause = iota
-	// WaitedTooLong means that the ticket's time in the queue is over.
-	WaitedTooLong
+	// QueueTimeout means that the ticket's time in the queue is over.
+	QueueTimeout
 	// DeadlineTooNear means that the request can't end before its deadline.
 	DeadlineTooNear
 )
@@ -92,8 +92,8 @@
 	Displaced []Refusal
 }
 
-// Next is what may happen after a slot is freed or time passes.
-type Next struct {
+// Dequeued is what may happen after a slot is freed or time passes.
+type Dequeued struct {
 	Run     []*Ticket
 	Expired []Refusal
 }
@@ -101,24 +101,24 @@
 // Sample is what one finished request tells about its backend server.
 type Sample struct {
 	Kind string
-	// Took is the time in the backend server, without its own calls down the chain.
-	Took time.Duration
-	// Held is the whole time for which the request held its slot.
-	Held time.Duration
+	// ServiceTime is the time in the backend server, without its own calls down the chain.
+	ServiceTime time.Duration
+	// HoldTime is the whole time for which the request held its slot.
+	HoldTime time.Duration
 	// Overloaded says that the backend server itself shed the request.
 	Overloaded bool
-	// Cut says that the request ended before an answer, so that Took is only a lower bound.
-	Cut bool
+	// Incomplete says that the request ended before an answer, so that Took is only a lower bound.
+	Incomplete bool
 	// Failed says that the answer was a failure, whose latency means nothing.
 	Failed bool
-	// FullAt is that of the request's ticket.
-	FullAt int
+	// SaturatedLimit is that of the request's ticket.
+	SaturatedLimit int
 
 	// inFlight counts the requests in flight when this one finished.
 	inFlight int
 }
 
-// isWhole reports whether the request had a whole good answer.
-func (s *Sample) isWhole() bool {
-	return !s.Overloaded && !s.Cut && !s.Failed
+// isSuccess reports whether the request had a whole good answer.
+func (s *Sample) isSuccess() bool {
+	return !s.Overloaded && !s.Incomplete && !s.Failed
 }
--- a/internal/decide/admission/demand.go
+++ b/internal/decide/admission/demand.go
@@ -5,10 +5,10 @@
 const (
 	// demandWindow is the time over which offers and starts are counted.
 	demandWindow = 500 * time.Millisecond
-	// shedMemory is how long a shed ticket tells that its rank is being shed.
-	shedMemory = 250 * time.Millisecond
-	// presence is how long a rank counts as present after an offer.
-	presence = time.Second
+	// shedTimeout is how long a shed ticket tells that its rank is being shed.
+	shedTimeout = 250 * time.Millisecond
+	// presenceTimeout is how long a rank counts as present after an offer.
+	presenceTimeout = time.Second
 )
 
 // rankCounts counts what became of the tickets of one rank.
@@ -19,7 +19,7 @@
 
 // demand tells how much of each rank was lately offered, started and shed.
 type demand struct {
-	present   [Ranks]rankCounts
+	current   [Ranks]rankCounts
 	previous  [Ranks]rankCounts
 	windowEnd time.Time
 
@@ -29,14 +29,14 @@
 }
 
 func (d *demand) offered(now time.Time, rank int) {
-	d.turn(now)
-	d.present[rank].offered++
+	d.rotate(now)
+	d.current[rank].offered++
 	d.lastOffer[rank] = now
 }
 
 func (d *demand) started(now time.Time, rank int) {
-	d.turn(now)
-	d.present[rank].started++
+	d.rotate(now)
+	d.current[rank].started++
 	d.lastStart[rank] = now
 }
 
@@ -44,30 +44,30 @@
 	d.lastShed[rank] = now
 }
 
-// turn begins a new window where the present one is over.
-func (d *demand) turn(now time.Time) {
+// rotate begins a new window where the present one is over.
+func (d *demand) rotate(now time.Time) {
 	if now.Before(d.windowEnd) {
 		return
 	}
-	d.previous = d.present
+	d.previous = d.current
 	if now.Sub(d.windowEnd) > demandWindow {
 		d.previous = [Ranks]rankCounts{}
 	}
-	d.present = [Ranks]rankCounts{}
+	d.current = [Ranks]rankCounts{}
 	d.windowEnd = now.Add(demandWindow)
 }
 
-// pressure returns how many tickets of the rank are offered for each that is started, at least 1.
-func (d *demand) pressure(rank int) float64 {
-	offered := d.present[rank].offered + d.previous[rank].offered
-	started := d.present[rank].started + d.previous[rank].started
+// offeredRatio returns how many tickets of the rank are offered for each that is started, at least 1.
+func (d *demand) offeredRatio(rank int) float64 {
+	offered := d.current[rank].offered + d.previous[rank].offered
+	started := d.current[rank].started + d.previous[rank].started
 	return max(float64(offered)/float64(max(started, 1)), 1)
 }
 
 // moreUrgentPresent reports whether work of a more urgent rank was offered lately.
 func (d *demand) moreUrgentPresent(now time.Time, rank int) bool {
 	for r := range rank {
-		if within(now, d.lastOffer[r], presence) {
+		if isRecent(now, d.lastOffer[r], presenceTimeout) {
 			return true
 		}
 	}
@@ -78,10 +78,10 @@
 // shed too. Where the most urgent rank that loses tickets still runs some, it is the rank after that. 0 means none.
 func (d *demand) sheddingRank(now time.Time) int {
 	for r := range Ranks {
-		if !within(now, d.lastShed[r], shedMemory) {
+		if !isRecent(now, d.lastShed[r], shedTimeout) {
 			continue
 		}
-		if r > 0 && !within(now, d.lastStart[r], shedMemory) {
+		if r > 0 && !isRecent(now, d.lastStart[r], shedTimeout) {
 			return r
 		}
 		return (r + 1) % Ranks
@@ -89,6 +89,6 @@
 	return 0
 }
 
-func within(now, event time.Time, memory time.Duration) bool {
-	return !event.IsZero() && now.Sub(event) < memory
+func isRecent(now, event time.Time, timeout time.Duration) bool {
+	return !event.IsZero() && now.Sub(event) < timeout
 }
--- a/internal/decide/admission/fair.go
+++ b/internal/decide/admission/fair.go
@@ -23,11 +23,11 @@
 	name   string
 	queue  queue
 	weight float64
-	// turn is the virtual time of the flow's next turn.
-	turn float64
-	// turnIndex and loadIndex are the flow's places in the two heaps; both are meaningless while it is empty.
-	turnIndex int
-	loadIndex int
+	// startTag is the virtual time of the flow's next turn.
+	startTag float64
+	// startTagIndex and loadIndex are the flow's places in the two heaps; both are meaningless while it is empty.
+	startTagIndex int
+	loadIndex     int
 }
 
 func (f *flow) load() float64 {
@@ -38,32 +38,32 @@
 // flow's virtual time on by the inverse of its weight, and the flow that is furthest behind goes next. A flow that
 // was idle starts at the present virtual time, so that it can't save up turns.
 type fairQueue struct {
-	key    func(*Ticket) string
-	weight func(*Ticket) float64
-	inner  func() queue
+	key      func(*Ticket) string
+	weight   func(*Ticket) float64
+	newQueue func() queue
 
 	flows map[string]*flow
-	// turns orders the flows with tickets by their next turn, loads by how long their queue is for their weight.
-	turns indexedHeap[*flow]
-	loads indexedHeap[*flow]
-	// virtual is the virtual time of the last turn.
-	virtual float64
-	count   int
-	// keepIdle is how many flows without tickets there may be before the next sweep.
-	keepIdle int
+	// byStartTag orders the flows with tickets by their next turn, loads by how long their queue is for their weight.
+	byStartTag indexedHeap[*flow]
+	byLoad     indexedHeap[*flow]
+	// virtualTime is the virtual time of the last turn.
+	virtualTime float64
+	count       int
+	// sweepThreshold is how many flows without tickets there may be before the next sweep.
+	sweepThreshold int
 }
 
-func newFairQueue(key func(*Ticket) string, weight func(*Ticket) float64, inner func() queue) *fairQueue {
+func newFairQueue(key func(*Ticket) string, weight func(*Ticket) float64, newQueue func() queue) *fairQueue {
 	return &fairQueue{
-		key:    key,
-		weight: weight,
-		inner:  inner,
-		flows:  map[string]*flow{},
-		turns: indexedHeap[*flow]{
-			less:  func(a, b *flow) bool { return a.turn < b.turn || a.turn == b.turn && a.name < b.name },
-			index: func(f *flow) *int { return &f.turnIndex },
+		key:      key,
+		weight:   weight,
+		newQueue: newQueue,
+		flows:    map[string]*flow{},
+		byStartTag: indexedHeap[*flow]{
+			less:  func(a, b *flow) bool { return a.startTag < b.startTag || a.startTag == b.startTag && a.name < b.name },
+			index: func(f *flow) *int { return &f.startTagIndex },
 		},
-		loads: indexedHeap[*flow]{
+		byLoad: indexedHeap[*flow]{
 			less:  func(a, b *flow) bool { return a.load() > b.load() || a.load() == b.load() && a.name < b.name },
 			index: func(f *flow) *int { return &f.loadIndex },
 		},
@@ -81,82 +81,82 @@
 	f.queue.push(t)
 	q.count++
 	if f.queue.length() > 1 {
-		q.loads.fix(f)
+		q.byLoad.fix(f)
 		return
 	}
-	f.turn = max(f.turn, q.virtual)
-	q.turns.add(f)
-	q.loads.add(f)
+	f.startTag = max(f.startTag, q.virtualTime)
+	q.byStartTag.add(f)
+	q.byLoad.add(f)
 }
 
 func (q *fairQueue) next() *Ticket {
-	f := q.turns.top()
+	f := q.byStartTag.top()
 	t := f.queue.next()
-	q.virtual = f.turn
-	f.turn += 1 / f.weight
-	q.taken(f)
+	q.virtualTime = f.startTag
+	f.startTag += 1 / f.weight
+	q.afterRemoval(f)
 	return t
 }
 
 func (q *fairQueue) shed() *Ticket {
-	f := q.loads.top()
+	f := q.byLoad.top()
 	t := f.queue.shed()
-	q.taken(f)
+	q.afterRemoval(f)
 	return t
 }
 
 func (q *fairQueue) remove(t *Ticket) {
 	f := q.flows[q.key(t)]
 	f.queue.remove(t)
-	q.taken(f)
+	q.afterRemoval(f)
 }
 
-// taken puts the heaps in order after a ticket left the flow.
-func (q *fairQueue) taken(f *flow) {
+// afterRemoval puts the heaps in order after a ticket left the flow.
+func (q *fairQueue) afterRemoval(f *flow) {
 	q.count--
 	if f.queue.length() == 0 {
-		q.turns.remove(f)
-		q.loads.remove(f)
+		q.byStartTag.remove(f)
+		q.byLoad.remove(f)
 		return
 	}
-	q.turns.fix(f)
-	q.loads.fix(f)
+	q.byStartTag.fix(f)
+	q.byLoad.fix(f)
 }
 
 func (q *fairQueue) flow(t *Ticket) *flow {
 	name := q.key(t)
 	f, ok := q.flows[name]
 	if !ok {
-		f = &flow{name: name, queue: q.inner()}
+		f = &flow{name: name, queue: q.newQueue()}
 		q.flows[name] = f
 	}
 	return f
 }
 
-// leastIdleFlows is how many flows without tickets are always kept.
-const leastIdleFlows = 256
+// minIdleFlows is how many flows without tickets are always kept.
+const minIdleFlows = 256
 
 // sweep forgets flows without tickets. While others wait, a flow that had its turn lately is kept until the others
 // have caught up, else it could come first again and again.
 func (q *fairQueue) sweep() {
 	if q.count == 0 {
 		clear(q.flows)
-		q.virtual = 0
+		q.virtualTime = 0
 		return
 	}
-	if q.idle() <= max(q.keepIdle, leastIdleFlows) {
+	if q.idleFlows() <= max(q.sweepThreshold, minIdleFlows) {
 		return
 	}
 	for name, f := range q.flows {
-		if f.queue.length() == 0 && f.turn <= q.virtual {
+		if f.queue.length() == 0 && f.startTag <= q.virtualTime {
 			delete(q.flows, name)
 		}
 	}
-	q.keepIdle = 2 * q.idle()
+	q.sweepThreshold = 2 * q.idleFlows()
 }
 
-func (q *fairQueue) idle() int {
-	return len(q.flows) - q.turns.Len()
+func (q *fairQueue) idleFlows() int {
+	return len(q.flows) - q.byStartTag.Len()
 }
 
 // ageQueue holds tickets in the order of their roots' start.
@@ -197,7 +197,7 @@
 	if c := a.RootStart.Compare(b.RootStart); c != 0 {
 		return c
 	}
-	return cmp.Compare(a.number, b.number)
+	return cmp.Compare(a.sequence, b.sequence)
 }
 
 // newRankQueue returns the queue of one rank: fair between kinds, then between callers, then by age.
--- a/internal/decide/admission/fullness_test.go
+++ b/internal/decide/admission/fullness_test.go
@@ -12,43 +12,43 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
 )
 
-// saturated is a gate before a backend server that always has more requests than slots.
-type saturated struct {
-	gate   *admission.Gate
-	random *rand.Rand
-	now    time.Time
-	ends   ends
-	ended  int
+// saturatedServer is a gate before a backend server that always has more requests than slots.
+type saturatedServer struct {
+	gate        *admission.Gate
+	random      *rand.Rand
+	now         time.Time
+	completions completionHeap
+	ended       int
 	// slowAbove slots in flight the backend server takes slowBy times as long.
-	slowAbove int
-	slowBy    float64
-	// pace is how many times as long as usual all requests take.
-	pace float64
+	slowAbove  int
+	slowFactor float64
+	// timeFactor is how many times as long as usual all requests take.
+	timeFactor float64
 }
 
-// end is when a request ends.
-type end struct {
+// completion is when a request ends.
+type completion struct {
 	at     time.Time
 	sample admission.Sample
 }
 
-type ends []end
+type completionHeap []completion
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(end)) }
-func (e *ends) Pop() any {
+func (e completionHeap) Len() int           { return len(e) }
+func (e completionHeap) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e completionHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *completionHeap) Push(x any)        { *e = append(*e, x.(completion)) }
+func (e *completionHeap) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-func newSaturated(slots int) *saturated {
+func newSaturatedServer(slots int) *saturatedServer {
 	config := testConfig()
 	config.Limit.Fixed = true
-	config.MaxWait, config.UrgentWait = time.Hour, time.Hour
-	s := &saturated{gate: admission.NewGate(config), random: rand.New(rand.NewPCG(1, 2)), now: epoch, slowAbove: slots, slowBy: 1, pace: 1}
+	config.MaxDelayLeastUrgent, config.MaxDelayMostUrgent = time.Hour, time.Hour
+	s := &saturatedServer{gate: admission.NewGate(config), random: rand.New(rand.NewPCG(1, 2)), now: epoch, slowAbove: slots, slowFactor: 1, timeFactor: 1}
 	s.gate.Announce(slots, 10*slots)
 	return s
 }
@@ -56,12 +56,12 @@
 const (
 	quickWork = 30 * time.Millisecond
 	longWork  = 60 * time.Millisecond
-	// workSpread is the standard deviation of the logarithm of the work of one request.
-	workSpread = 0.5
+	// workSigma is the standard deviation of the logarithm of the work of one request.
+	workSigma = 0.5
 )
 
 // run lets time pass and returns how many requests ended in a second.
-func (s *saturated) run(d time.Duration) float64 {
+func (s *saturatedServer) run(d time.Duration) float64 {
 	s.ended = 0
 	for end := s.now.Add(d); s.now.Before(end); {
 		for s.gate.Queued() < 4 {
@@ -72,7 +72,7 @@
 	return float64(s.ended) / d.Seconds()
 }
 
-func (s *saturated) offer() {
+func (s *saturatedServer) offer() {
 	kind := "quick"
 	if s.random.IntN(4) == 0 {
 		kind = "long"
@@ -83,21 +83,21 @@
 	}
 }
 
-func (s *saturated) begin(t *admission.Ticket) {
+func (s *saturatedServer) begin(t *admission.Ticket) {
 	work := quickWork
 	if t.Kind == "long" {
 		work = longWork
 	}
-	took := float64(work) * s.pace * math.Exp(workSpread*s.random.NormFloat64())
+	took := float64(work) * s.timeFactor * math.Exp(workSigma*s.random.NormFloat64())
 	if s.gate.InFlight() > s.slowAbove {
-		took *= s.slowBy
+		took *= s.slowFactor
 	}
-	sample := admission.Sample{Kind: t.Kind, Took: time.Duration(took), Held: time.Duration(took), FullAt: t.FullAt}
-	heap.Push(&s.ends, end{at: s.now.Add(time.Duration(took)), sample: sample})
+	sample := admission.Sample{Kind: t.Kind, ServiceTime: time.Duration(took), HoldTime: time.Duration(took), SaturatedLimit: t.SaturatedLimit}
+	heap.Push(&s.completions, completion{at: s.now.Add(time.Duration(took)), sample: sample})
 }
 
-func (s *saturated) finish() {
-	next := heap.Pop(&s.ends).(end)
+func (s *saturatedServer) finish() {
+	next := heap.Pop(&s.completions).(completion)
 	s.now = next.at
 	s.ended++
 	for _, t := range s.gate.Finish(s.now, next.sample).Run {
@@ -106,10 +106,10 @@
 }
 
 // rate is how many requests end in a second with so many slots in use.
-func (s *saturated) rate(slots int) float64 {
-	mean := (3*quickWork + longWork).Seconds() / 4 * s.pace * math.Exp(workSpread*workSpread/2)
+func (s *saturatedServer) rate(slots int) float64 {
+	mean := (3*quickWork + longWork).Seconds() / 4 * s.timeFactor * math.Exp(workSigma*workSigma/2)
 	if slots > s.slowAbove {
-		mean *= s.slowBy
+		mean *= s.slowFactor
 	}
 	return float64(slots) / mean
 }
@@ -131,8 +131,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			const settling, measured = 10 * time.Second, 40 * time.Second
-			s := newSaturated(test.slots)
-			s.slowAbove, s.slowBy = test.slowAbove, test.slowBy
+			s := newSaturatedServer(test.slots)
+			s.slowAbove, s.slowFactor = test.slowAbove, test.slowBy
 			s.run(settling)
 			got := s.run(measured)
 			best := max(s.rate(test.slots), s.rate(test.slowAbove))
@@ -145,11 +145,11 @@
 // What slows all requests down, however many are in flight, takes no slots away.
 func TestSlowBackendServerKeepsItsSlots(t *testing.T) {
 	is := is.New(t)
-	s := newSaturated(50)
+	s := newSaturatedServer(50)
 	for range 10 {
-		s.pace = 5
+		s.timeFactor = 5
 		s.run(3 * time.Second)
-		s.pace = 1
+		s.timeFactor = 1
 		s.run(3 * time.Second)
 	}
 	got := s.run(20 * time.Second)
--- a/internal/decide/admission/gate.go
+++ b/internal/decide/admission/gate.go
@@ -7,12 +7,12 @@
 	Limit LimitConfig
 	// QueuePerSlot bounds the queue, in entries for each slot of the limit.
 	QueuePerSlot float64
-	// MaxWait is how long a ticket of the least urgent rank may be expected to stand in the queue when it is offered.
-	MaxWait time.Duration
-	// UrgentWait is the same for rank 0; the ranks between have waits between.
-	UrgentWait time.Duration
-	// ReserveWait is how long a slot may take to get free before one is kept for more urgent work.
-	ReserveWait time.Duration
+	// MaxDelayLeastUrgent is how long a ticket of the least urgent rank may be expected to stand in the queue when it is offered.
+	MaxDelayLeastUrgent time.Duration
+	// MaxDelayMostUrgent is the same for rank 0; the ranks between have waits between.
+	MaxDelayMostUrgent time.Duration
+	// ReserveInterval is how long a slot may take to get free before one is kept for more urgent work.
+	ReserveInterval time.Duration
 	// MaxRetryAfter bounds the time after which a refused request may come back.
 	MaxRetryAfter time.Duration
 }
@@ -25,7 +25,7 @@
 	inFlight int
 	ranks    [Ranks]*fairQueue
 	expiry   indexedHeap[*Ticket]
-	number   uint64
+	sequence uint64
 	totals   Totals
 	sheds    [Ranks]RankSheds
 	// pausedUntil holds starts back after the backend server shed a request.
@@ -51,7 +51,7 @@
 		limit:  NewLimit(config.Limit),
 		expiry: indexedHeap[*Ticket]{
 			less:  func(a, b *Ticket) bool { return a.expires.Before(b.expires) },
-			index: func(t *Ticket) *int { return &t.place },
+			index: func(t *Ticket) *int { return &t.expiryIndex },
 		},
 	}
 	for r := range g.ranks {
@@ -64,20 +64,20 @@
 func (g *Gate) Offer(now time.Time, t *Ticket) Verdict {
 	g.demand.offered(now, t.Rank)
 	g.totals.Offered[t.Rank]++
-	if g.tooLate(now, t) {
+	if g.missesDeadline(now, t) {
 		return Verdict{Action: Shed, Refusal: g.refuse(now, t, DeadlineTooNear, ShedDeadline)}
 	}
 	if g.mayStart(now, t.Rank) && g.queuedUpTo(t.Rank) == 0 {
 		g.start(now, t)
 		return Verdict{Action: Run}
 	}
-	g.limit.Want()
+	g.limit.NoteBlocked()
 	g.enqueue(now, t)
-	return g.makeRoom(now, t)
+	return g.shedExcess(now, t)
 }
 
 // Finish frees the slot of a request that ended and learns from its sample.
-func (g *Gate) Finish(now time.Time, s Sample) Next {
+func (g *Gate) Finish(now time.Time, s Sample) Dequeued {
 	s.inFlight = g.inFlight
 	g.inFlight--
 	g.limit.Observe(now, s)
@@ -92,8 +92,8 @@
 		g.pausedUntil = time.Time{}
 		return
 	}
-	next := g.limit.HoldTime() / time.Duration(g.limit.Value())
-	g.pausedUntil = now.Add(min(max(next, minPause), maxPause))
+	interval := g.limit.HoldTime() / time.Duration(g.limit.Value())
+	g.pausedUntil = now.Add(min(max(interval, minPause), maxPause))
 }
 
 const (
@@ -102,14 +102,14 @@
 )
 
 // Cancel frees a slot whose request did not run.
-func (g *Gate) Cancel(now time.Time) Next {
+func (g *Gate) Cancel(now time.Time) Dequeued {
 	g.inFlight--
 	return g.Advance(now)
 }
 
 // Advance drops tickets that waited too long and starts those for which there are slots.
-func (g *Gate) Advance(now time.Time) Next {
-	next := Next{Expired: g.expire(now)}
+func (g *Gate) Advance(now time.Time) Dequeued {
+	next := Dequeued{Expired: g.expire(now)}
 	for r := range g.ranks {
 		for g.ranks[r].length() > 0 && g.mayStart(now, r) {
 			t := g.ranks[r].next()
@@ -187,13 +187,13 @@
 // much as the rank's load exceeds what is run of it.
 func (g *Gate) RetryAfter(rank int) time.Duration {
 	drain := g.limit.HoldTime() * time.Duration(g.queuedUpTo(rank)+1) / time.Duration(g.limit.Value())
-	spread := time.Duration(float64(drain) * g.demand.pressure(rank))
-	return min(max(spread, minRetryAfter), g.config.MaxRetryAfter)
+	delay := time.Duration(float64(drain) * g.demand.offeredRatio(rank))
+	return min(max(delay, minRetryAfter), g.config.MaxRetryAfter)
 }
 
 func (g *Gate) start(now time.Time, t *Ticket) {
 	g.inFlight++
-	t.FullAt = g.limit.Begin(now, g.inFlight)
+	t.SaturatedLimit = g.limit.Begin(now, g.inFlight)
 	g.demand.started(now, t.Rank)
 	g.totals.Started[t.Rank]++
 }
@@ -205,12 +205,12 @@
 		g.totals.Shed[t.Rank]++
 		g.demand.shed(now, t.Rank)
 	}
-	g.sheds[t.Rank].note(now, t, reason)
+	g.sheds[t.Rank].record(now, t, reason)
 	return Refusal{Ticket: t, Cause: cause, RetryAfter: g.RetryAfter(t.Rank)}
 }
 
-func (g *Gate) tooLate(now time.Time, t *Ticket) bool {
-	return !now.Add(g.limit.LeastTime(now, t.Kind)).Before(t.Deadline)
+func (g *Gate) missesDeadline(now time.Time, t *Ticket) bool {
+	return !now.Add(g.limit.MinHoldTime(now, t.Kind)).Before(t.Deadline)
 }
 
 // mayStart reports whether there is a slot for the rank.
@@ -219,41 +219,41 @@
 	if free <= 0 || now.Before(g.pausedUntil) {
 		return false
 	}
-	return free > 1 || !g.reserves(now, rank)
+	return free > 1 || !g.reservesLastSlot(now, rank)
 }
 
-// reserves reports whether the last free slot is kept for work that is more urgent than the rank: where such work is
+// reservesLastSlot reports whether the last free slot is kept for work that is more urgent than the rank: where such work is
 // about and would else have to wait long for a slot to get free.
-func (g *Gate) reserves(now time.Time, rank int) bool {
+func (g *Gate) reservesLastSlot(now time.Time, rank int) bool {
 	limit := g.limit.Value()
-	if limit < 2 || g.limit.HoldTime()/time.Duration(limit) < g.config.ReserveWait {
+	if limit < 2 || g.limit.HoldTime()/time.Duration(limit) < g.config.ReserveInterval {
 		return false
 	}
 	return g.demand.moreUrgentPresent(now, rank)
 }
 
 func (g *Gate) enqueue(now time.Time, t *Ticket) {
-	g.number++
-	t.number = g.number
-	t.expires = now.Add(g.waitBound(t.Rank) * expiryPercent / 100)
-	latest := t.Deadline.Add(-g.limit.LeastTime(now, t.Kind))
-	t.late = latest.Before(t.expires)
-	if t.late {
+	g.sequence++
+	t.sequence = g.sequence
+	t.expires = now.Add(g.maxQueueingDelay(t.Rank) * expiryPercent / 100)
+	latest := t.Deadline.Add(-g.limit.MinHoldTime(now, t.Kind))
+	t.deadlineFirst = latest.Before(t.expires)
+	if t.deadlineFirst {
 		t.expires = latest
 	}
 	g.expiry.add(t)
 	g.ranks[t.Rank].push(t)
 }
 
-// makeRoom sheds what would wait too long now that the ticket waits too.
-func (g *Gate) makeRoom(now time.Time, t *Ticket) Verdict {
-	verdict := Verdict{Action: Wait}
+// shedExcess sheds what would wait too long now that the ticket waits too.
+func (g *Gate) shedExcess(now time.Time, t *Ticket) Verdict {
+	verdict := Verdict{Action: Enqueue}
 	ahead := g.queuedUpTo(t.Rank)
 	for r := t.Rank; r < Ranks; r++ {
 		if r > t.Rank {
 			ahead += g.ranks[r].length()
 		}
-		for places := g.places(r); ahead > places && g.ranks[r].length() > 0; ahead-- {
+		for places := g.maxQueued(r); ahead > places && g.ranks[r].length() > 0; ahead-- {
 			victim := g.ranks[r].shed()
 			g.expiry.remove(victim)
 			refusal := g.refuse(now, victim, Overload, overloadReason(victim, t))
@@ -267,13 +267,13 @@
 	return verdict
 }
 
-// places returns how many tickets of the rank and of more urgent ones may wait: those that the slots take in within
+// maxQueued returns how many tickets of the rank and of more urgent ones may wait: those that the slots take in within
 // the rank's wait, within the bound of the queue.
-func (g *Gate) places(rank int) int {
+func (g *Gate) maxQueued(rank int) int {
 	limit := float64(g.limit.Value())
 	perSlot := g.config.QueuePerSlot
-	if held := g.limit.HoldTime(); held > 0 {
-		perSlot = min(perSlot, float64(g.waitBound(rank))/float64(held))
+	if holdTime := g.limit.HoldTime(); holdTime > 0 {
+		perSlot = min(perSlot, float64(g.maxQueueingDelay(rank))/float64(holdTime))
 	}
 	return max(int(limit*perSlot), 1)
 }
@@ -282,10 +282,10 @@
 // turn is due may wait longer than was expected.
 const expiryPercent = 150
 
-// waitBound returns how long a ticket of the rank may be expected to wait.
-func (g *Gate) waitBound(rank int) time.Duration {
-	step := (g.config.UrgentWait - g.config.MaxWait) / (Ranks - 1)
-	return g.config.UrgentWait - step*time.Duration(rank)
+// maxQueueingDelay returns how long a ticket of the rank may be expected to wait.
+func (g *Gate) maxQueueingDelay(rank int) time.Duration {
+	step := (g.config.MaxDelayMostUrgent - g.config.MaxDelayLeastUrgent) / (Ranks - 1)
+	return g.config.MaxDelayMostUrgent - step*time.Duration(rank)
 }
 
 func (g *Gate) queuedUpTo(rank int) int {
@@ -308,8 +308,8 @@
 }
 
 func (g *Gate) expiryCause(t *Ticket) Cause {
-	if t.late {
+	if t.deadlineFirst {
 		return DeadlineTooNear
 	}
-	return WaitedTooLong
+	return QueueTimeout
 }
--- a/internal/decide/admission/gate_test.go
+++ b/internal/decide/admission/gate_test.go
@@ -28,11 +28,11 @@
 func testConfig() admission.GateConfig {
 	return admission.GateConfig{
 		Limit: admission.LimitConfig{
-			Initial: 8, Min: 1, Max: 1000, Tolerance: 2, LatencySlack: 5 * time.Millisecond, Backoff: 0.7, TrialBackoff: 0.8, Growth: 0.1,
-			Window: 100 * time.Millisecond, MaxWindow: time.Second, KindMemory: time.Minute, RetrialTime: 5 * time.Second, MaxRetrialTime: 30 * time.Second,
+			Initial: 8, Min: 1, Max: 1000, Tolerance: 2, LatencySlack: 5 * time.Millisecond, DecreaseFactor: 0.7, TrialDecreaseFactor: 0.8, GrowthRatio: 0.1,
+			Window: 100 * time.Millisecond, MaxWindow: time.Second, KindRetention: time.Minute, TrialDelay: 5 * time.Second, MaxTrialDelay: 30 * time.Second,
 		},
-		QueuePerSlot: 4, MaxWait: 100 * time.Millisecond, UrgentWait: 300 * time.Millisecond,
-		ReserveWait: 20 * time.Millisecond, MaxRetryAfter: 3 * time.Second,
+		QueuePerSlot: 4, MaxDelayLeastUrgent: 100 * time.Millisecond, MaxDelayMostUrgent: 300 * time.Millisecond,
+		ReserveInterval: 20 * time.Millisecond, MaxRetryAfter: 3 * time.Second,
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 }
 
-func (m *model) apply(next admission.Next) {
+func (m *model) apply(next admission.Dequeued) {
 	for _, e := range next.Expired {
 		m.answered(e.Ticket)
 		m.refused(e)
@@ -137,7 +137,7 @@
 				}
 				took := time.Duration(rapid.IntRange(1, 200).Draw(r, "took")) * time.Millisecond
 				m.finish(rapid.IntRange(0, len(m.running)-1).Draw(r, "which"), admission.Sample{
-					Took: took, Held: took, Overloaded: rapid.IntRange(0, 9).Draw(r, "overloaded") == 0,
+					ServiceTime: took, HoldTime: took, Overloaded: rapid.IntRange(0, 9).Draw(r, "overloaded") == 0,
 				})
 			},
 			"cancel": func(r *rapid.T) {
@@ -195,7 +195,7 @@
 			for range 20 {
 				gate.Offer(now, newTicket(now, 0, "sheets", "crew"))
 				now = now.Add(50 * time.Millisecond)
-				gate.Finish(now, admission.Sample{Kind: "sheets", Took: 50 * time.Millisecond, Held: 50 * time.Millisecond})
+				gate.Finish(now, admission.Sample{Kind: "sheets", ServiceTime: 50 * time.Millisecond, HoldTime: 50 * time.Millisecond})
 			}
 			now = now.Add(test.pause)
 			ticket := newTicket(now, 0, "sheets", "crew")
@@ -255,17 +255,17 @@
 	is.True(s.gate.RetryAfter(7) > 4*s.gate.RetryAfter(0)) // ten times too much is offered
 	is.Equal(s.gate.SheddingRank(s.now), 8)
 	s.finishAll()
-	is.Equal(s.gate.SheddingRank(s.now), 0)                  // nothing outlives its evidence
-	is.True(s.gate.RetryAfter(7) <= 300*time.Millisecond)    // also where it was far more
-	is.True(s.longestRefusal <= 300*time.Millisecond)        // urgent waits are the longest
-	is.Equal(s.good["sheets a"], s.sent["sheets a"])         // urgent work lost nothing
-	is.True(s.longestWait["sheets a"] < 60*time.Millisecond) // and waited for one slot at most
+	is.Equal(s.gate.SheddingRank(s.now), 0)                           // nothing outlives its evidence
+	is.True(s.gate.RetryAfter(7) <= 300*time.Millisecond)             // also where it was far more
+	is.True(s.longestRefusal <= 300*time.Millisecond)                 // urgent waits are the longest
+	is.Equal(s.good["sheets a"], s.sent["sheets a"])                  // urgent work lost nothing
+	is.True(s.longestQueueingDelay["sheets a"] < 60*time.Millisecond) // and waited for one slot at most
 }
 
 // fullGate returns a gate with 10 slots in use and tickets of all ranks that wait.
 func fullGate(waiting int) *admission.Gate {
 	config := testConfig()
-	config.MaxWait, config.UrgentWait, config.QueuePerSlot = time.Hour, time.Hour, float64(waiting)/10
+	config.MaxDelayLeastUrgent, config.MaxDelayMostUrgent, config.QueuePerSlot = time.Hour, time.Hour, float64(waiting)/10
 	config.Limit.Initial = 10
 	gate := admission.NewGate(config)
 	gate.Announce(10, 10)
@@ -282,7 +282,7 @@
 	for _, waiting := range []int{12, 300, 2100} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
 			gate, now := fullGate(waiting), epoch
-			sample := admission.Sample{Kind: "kind 0", Took: 50 * time.Millisecond, Held: 50 * time.Millisecond}
+			sample := admission.Sample{Kind: "kind 0", ServiceTime: 50 * time.Millisecond, HoldTime: 50 * time.Millisecond}
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Microsecond)
--- a/internal/decide/admission/limit.go
+++ b/internal/decide/admission/limit.go
@@ -18,22 +18,22 @@
 	Tolerance float64
 	// LatencySlack is added to each baseline, so that noise of quick requests counts little.
 	LatencySlack time.Duration
-	// Backoff is the factor by which the limit shrinks at most in one window in which the backend server shed.
-	Backoff float64
-	// TrialBackoff is the factor by which the limit shrinks in a trial whether it is too high.
-	TrialBackoff float64
-	// Growth is the part of the limit added after the first clean window; each further clean window adds one more part.
-	Growth float64
+	// DecreaseFactor is the factor by which the limit shrinks at most in one window in which the backend server shed.
+	DecreaseFactor float64
+	// TrialDecreaseFactor is the factor by which the limit shrinks in a trial whether it is too high.
+	TrialDecreaseFactor float64
+	// GrowthRatio is the part of the limit added after the first clean window; each further clean window adds one more part.
+	GrowthRatio float64
 	// Window is the least time for which samples are gathered before the limit moves.
 	Window time.Duration
 	// MaxWindow is the most time.
 	MaxWindow time.Duration
-	// KindMemory is how long the baseline of a kind that is no longer seen is kept.
-	KindMemory time.Duration
-	// RetrialTime is how long latency is high before a trial of a lower limit. Each trial in succession that showed the
+	// KindRetention is how long the baseline of a kind that is no longer seen is kept.
+	KindRetention time.Duration
+	// TrialDelay is how long latency is high before a trial of a lower limit. Each trial in succession that showed the
 	// limit right doubles it, up to MaxRetrialTime.
-	RetrialTime    time.Duration
-	MaxRetrialTime time.Duration
+	TrialDelay    time.Duration
+	MaxTrialDelay time.Duration
 }
 
 // Limit is an adaptive bound of requests in flight. It starts low, grows ever faster while it is used and all goes
@@ -46,10 +46,10 @@
 // only where no fewer requests end. A limit above the announced slots is reached only on trial as well.
 type Limit struct {
 	config  LimitConfig
-	latency *latencies
-	// fullness decides where the limit is fixed.
-	fullness *fullness
-	value    float64
+	latency *latencyTracker
+	// slotOptimizer decides where the limit is fixed.
+	slotOptimizer *slotOptimizer
+	value         float64
 	// ceiling is the highest value; it follows the announced slots and what trials above them showed.
 	ceiling     float64
 	announced   int
@@ -57,21 +57,21 @@
 
 	window window
 	trial  trial
-	// clean counts the windows without trouble since the last one with it.
-	clean int
-	// proven is how many requests in flight the backend server was seen to run well.
-	proven float64
+	// cleanWindows counts the windows without trouble since the last one with it.
+	cleanWindows int
+	// provenInFlight is how many requests in flight the backend server was seen to run well.
+	provenInFlight float64
 	// slowSince is when latency became high; zero while it isn't. The next trial of a lower limit begins retrialTime
 	// after it.
-	slowSince   time.Time
-	retrialTime time.Duration
-	// shedValue is where the backend server last shed; until shedUntil the limit does not grow back to it.
-	shedValue float64
-	shedUntil time.Time
-	// above and below hold back trials of a limit above the ceiling, and of a higher one below it.
-	above hold
-	below hold
-	held  time.Duration
+	slowSince  time.Time
+	trialDelay time.Duration
+	// shedInFlight is where the backend server last shed; until shedUntil the limit does not grow back to it.
+	shedInFlight      float64
+	shedInFlightUntil time.Time
+	// aboveCeiling and below hold back trials of a limit above the ceiling, and of a higher one below it.
+	aboveCeiling raiseDelay
+	belowCeiling raiseDelay
+	holdTime     time.Duration
 	// change is the last one of the value, reason why it moved last, and cold that nothing has gone wrong yet.
 	change LimitChange
 	reason LimitReason
@@ -86,50 +86,50 @@
 	ended int
 	shed  int
 	peak  int
-	// wanted counts requests that would have run at once had the limit been higher.
-	wanted    int
-	heldTotal time.Duration
+	// blocked counts requests that would have run at once had the limit been higher.
+	blocked       int
+	totalHoldTime time.Duration
 }
 
-// seen is what a window showed.
-type seen struct {
+// windowSummary is what a window showed.
+type windowSummary struct {
 	window
 	// used says that most of the limit was in flight, or that requests had to wait.
 	used bool
 	// saturated says that about every second request had to wait, so that throughput shows what the limit allows.
 	saturated bool
-	// excess is the mean of the latencies over their baselines; 0 where there was none.
-	excess float64
-	// rate is how many requests ended in a second.
-	rate float64
+	// latencyRatio is the mean of the latencies over their baselines; 0 where there was none.
+	latencyRatio float64
+	// throughput is how many requests ended in a second.
+	throughput float64
 }
 
 const (
-	// usedShare of the limit must be in flight for the limit to count as used.
-	usedShare = 0.8
-	// healthyExcess is the most that latency is over its baselines where all goes well.
-	healthyExcess = 1.25
+	// usedRatio of the limit must be in flight for the limit to count as used.
+	usedRatio = 0.8
+	// healthyLatencyRatio is the most that latency is over its baselines where all goes well.
+	healthyLatencyRatio = 1.25
 	// provenMargin is how far the limit may be above what was seen to run well before high latency shrinks it at once.
 	provenMargin = 1.25
-	// coldClean is how many clean windows a new limit counts as past, so that it doubles from the start.
-	coldClean = 9
-	// shedValueMemory is how long the limit stays below a value at which the backend server shed.
-	shedValueMemory = time.Second
+	// initialCleanWindows is how many clean windows a new limit counts as past, so that it doubles from the start.
+	initialCleanWindows = 9
+	// shedInFlightTimeout is how long the limit stays below a value at which the backend server shed.
+	shedInFlightTimeout = time.Second
 )
 
 // NewLimit returns a limit at its initial value.
 func NewLimit(config LimitConfig) *Limit {
 	l := &Limit{
-		config:      config,
-		latency:     newLatencies(config.KindMemory, config.LatencySlack),
-		fullness:    newFullness(),
-		value:       float64(config.Initial),
-		ceiling:     float64(config.Max),
-		clean:       coldClean,
-		retrialTime: config.RetrialTime,
-		above:       hold{wait: firstRaiseWait},
-		below:       hold{wait: firstRaiseWait},
-		cold:        true,
+		config:        config,
+		latency:       newLatencyTracker(config.KindRetention, config.LatencySlack),
+		slotOptimizer: newSlotOptimizer(),
+		value:         float64(config.Initial),
+		ceiling:       float64(config.Max),
+		cleanWindows:  initialCleanWindows,
+		trialDelay:    config.TrialDelay,
+		aboveCeiling:  raiseDelay{delay: minRaiseDelay},
+		belowCeiling:  raiseDelay{delay: minRaiseDelay},
+		cold:          true,
 	}
 	l.change = LimitChange{From: l.Value(), To: l.Value(), Reason: LimitInitial}
 	return l
@@ -138,19 +138,19 @@
 // Value returns the limit in force, at least 1.
 func (l *Limit) Value() int {
 	if l.isFixed() {
-		return int(math.Min(float64(l.fullness.value()), l.highest()))
+		return int(math.Min(float64(l.slotOptimizer.value()), l.hardLimit()))
 	}
 	return max(int(l.value), 1)
 }
 
 // HoldTime returns the recent mean time for which a request holds its slot; 0 before the first.
 func (l *Limit) HoldTime() time.Duration {
-	return l.held
+	return l.holdTime
 }
 
-// LeastTime returns the least time that a request of the kind lately held its slot; 0 where that isn't known.
-func (l *Limit) LeastTime(now time.Time, kind string) time.Duration {
-	return l.latency.least(now, kind)
+// MinHoldTime returns the least time that a request of the kind lately held its slot; 0 where that isn't known.
+func (l *Limit) MinHoldTime(now time.Time, kind string) time.Duration {
+	return l.latency.minHoldTime(now, kind)
 }
 
 // Announce sets the slots and connections that the backend server claims. The slots are a hint for the ceiling, the
@@ -159,10 +159,10 @@
 	l.connections = connections
 	if slots != l.announced && slots > 0 {
 		l.announced = slots
-		l.fullness.announce(slots)
+		l.slotOptimizer.announce(slots)
 		l.ceiling = float64(slots)
 		l.trial = trial{}
-		l.above = hold{wait: firstRaiseWait}
+		l.aboveCeiling = raiseDelay{delay: minRaiseDelay}
 	}
 	l.reason = LimitAnnounced
 	l.clamp()
@@ -172,7 +172,7 @@
 func (l *Limit) Begin(now time.Time, inFlight int) int {
 	value := l.Value()
 	if l.isFixed() {
-		l.fullness.begin(now, inFlight)
+		l.slotOptimizer.begin(now, inFlight)
 	}
 	if inFlight < value {
 		return 0
@@ -180,17 +180,17 @@
 	return value
 }
 
-// Want notes that a request would have run at once had the limit been higher.
-func (l *Limit) Want() {
-	l.window.wanted++
+// NoteBlocked notes that a request would have run at once had the limit been higher.
+func (l *Limit) NoteBlocked() {
+	l.window.blocked++
 }
 
 // Observe learns from one sample.
 func (l *Limit) Observe(now time.Time, s Sample) {
-	defer l.noteChange(now)
+	defer l.recordChange(now)
 	w := &l.window
-	if now.Sub(w.start) > 2*l.longestWindow() {
-		*w = window{start: now, value: l.value, wanted: w.wanted}
+	if now.Sub(w.start) > 2*l.maxWindow() {
+		*w = window{start: now, value: l.value, blocked: w.blocked}
 	}
 	w.peak = max(w.peak, s.inFlight)
 	switch {
@@ -199,13 +199,13 @@
 		l.backOff(now, s)
 	default:
 		w.ended++
-		w.heldTotal += s.Held
+		w.totalHoldTime += s.HoldTime
 	}
 	if !s.Overloaded && !s.Failed {
 		l.latency.observe(now, s)
 	}
-	if l.isFixed() && s.isWhole() {
-		l.fullness.end(now, s.Kind, s.FullAt, s.Took)
+	if l.isFixed() && s.isSuccess() {
+		l.slotOptimizer.end(now, s.Kind, s.SaturatedLimit, s.ServiceTime)
 	}
 	if l.windowOver(now) {
 		l.closeWindow(now)
@@ -217,19 +217,19 @@
 	length := now.Sub(l.window.start)
 	least, requests := l.config.Window, l.Value()
 	if l.trial.raised {
-		least *= raiseWindows
+		least *= raiseWindowFactor
 	}
-	if l.trial.compares() {
-		requests = max(trialRequestsPerSlot*requests, leastTrialRequests)
+	if l.trial.measuresThroughput() {
+		requests = max(trialRequestsPerSlot*requests, minTrialRequests)
 	}
 	if length < least {
 		return false
 	}
-	return l.window.ended+l.window.shed >= requests || length >= l.longestWindow()
+	return l.window.ended+l.window.shed >= requests || length >= l.maxWindow()
 }
 
-func (l *Limit) longestWindow() time.Duration {
-	if l.trial.compares() {
+func (l *Limit) maxWindow() time.Duration {
+	if l.trial.measuresThroughput() {
 		return 2 * l.config.MaxWindow
 	}
 	return l.config.MaxWindow
@@ -238,29 +238,29 @@
 func (l *Limit) closeWindow(now time.Time) {
 	w := l.window
 	if w.ended > 0 {
-		l.held = w.heldTotal / time.Duration(w.ended)
+		l.holdTime = w.totalHoldTime / time.Duration(w.ended)
 	}
-	s := seen{
-		window:    w,
-		used:      w.wanted > 0 || float64(w.peak) >= l.value*usedShare,
-		saturated: 2*w.wanted >= w.ended,
-		excess:    l.latency.closeWindow(now),
-		rate:      float64(w.ended) / now.Sub(w.start).Seconds(),
+	s := windowSummary{
+		window:       w,
+		used:         w.blocked > 0 || float64(w.peak) >= l.value*usedRatio,
+		saturated:    2*w.blocked >= w.ended,
+		latencyRatio: l.latency.closeWindow(now),
+		throughput:   float64(w.ended) / now.Sub(w.start).Seconds(),
 	}
-	l.learn(now, s)
-	l.move(now, s)
+	l.updateProven(now, s)
+	l.adjust(now, s)
 	l.clamp()
 	l.window = window{start: now, value: l.value}
 }
 
-// learn notes how many requests in flight went well, and since when latency is high.
-func (l *Limit) learn(now time.Time, s seen) {
-	if s.excess > 0 && s.excess <= healthyExcess {
-		l.proven = math.Max(l.proven, math.Min(float64(s.peak), l.value))
+// updateProven notes how many requests in flight went well, and since when latency is high.
+func (l *Limit) updateProven(now time.Time, s windowSummary) {
+	if s.latencyRatio > 0 && s.latencyRatio <= healthyLatencyRatio {
+		l.provenInFlight = math.Max(l.provenInFlight, math.Min(float64(s.peak), l.value))
 	}
-	if !l.slow(s) {
+	if !l.isSlow(s) {
 		l.slowSince = time.Time{}
-		l.retrialTime = l.config.RetrialTime
+		l.trialDelay = l.config.TrialDelay
 		return
 	}
 	if l.slowSince.IsZero() {
@@ -268,68 +268,68 @@
 	}
 }
 
-func (l *Limit) move(now time.Time, s seen) {
+func (l *Limit) adjust(now time.Time, s windowSummary) {
 	switch {
 	case s.shed > 0:
-		l.clean = 0
-	case l.well(s) && l.value < l.ceiling:
+		l.cleanWindows = 0
+	case l.mayGrow(s) && l.value < l.ceiling:
 		l.trial = trial{}
 		l.grow(now)
-	case l.trial.phase != noTrial:
-		l.continueTrial(now, s)
-	case l.slow(s) && l.value > l.proven*provenMargin:
-		l.clean = 0
+	case l.trial.state != noTrial:
+		l.advanceTrial(now, s)
+	case l.isSlow(s) && l.value > l.provenInFlight*provenMargin:
+		l.cleanWindows = 0
 		l.cold = false
-		l.reason = LimitLate
-		l.value = math.Max(l.proven*provenMargin, l.value*l.config.Backoff)
-	case l.slow(s) && now.Sub(l.slowSince) >= l.retrialTime:
-		l.clean = 0
+		l.reason = LimitHighLatency
+		l.value = math.Max(l.provenInFlight*provenMargin, l.value*l.config.DecreaseFactor)
+	case l.isSlow(s) && now.Sub(l.slowSince) >= l.trialDelay:
+		l.cleanWindows = 0
 		l.cold = false
-		l.trial = trial{phase: measuring}
+		l.trial = trial{state: measuringBefore}
 	case s.used:
 		l.planRaise(now, s)
 	}
 }
 
-// well reports whether the limit is used and the latency low enough for the limit to grow without a trial.
-func (l *Limit) well(s seen) bool {
-	return s.used && s.excess < (1+l.config.Tolerance)/2
+// mayGrow reports whether the limit is used and the latency low enough for the limit to grow without a trial.
+func (l *Limit) mayGrow(s windowSummary) bool {
+	return s.used && s.latencyRatio < (1+l.config.Tolerance)/2
 }
 
-// slow reports whether the limit is used and the latency too high.
-func (l *Limit) slow(s seen) bool {
-	return s.used && s.excess > l.config.Tolerance
+// isSlow reports whether the limit is used and the latency too high.
+func (l *Limit) isSlow(s windowSummary) bool {
+	return s.used && s.latencyRatio > l.config.Tolerance
 }
 
 // backOff goes below the requests with which the backend server shed one, at once but not far in one window, because
 // a single answer may have other causes.
 func (l *Limit) backOff(now time.Time, s Sample) {
-	if l.trial.raised && l.trial.phase > measuring {
-		l.endRaise(now, l.trial)
+	if l.trial.raised && l.trial.state > measuringBefore {
+		l.revertRaise(now, l.trial)
 	}
 	l.trial = trial{}
-	l.clean = 0
+	l.cleanWindows = 0
 	l.cold = false
 	l.reason = LimitOverloaded
-	l.shedValue, l.shedUntil = float64(s.inFlight), now.Add(shedValueMemory)
-	l.value = math.Max(math.Min(l.value, l.shedValue-1), l.window.value*l.config.Backoff)
-	l.proven = math.Min(l.proven, l.value)
+	l.shedInFlight, l.shedInFlightUntil = float64(s.inFlight), now.Add(shedInFlightTimeout)
+	l.value = math.Max(math.Min(l.value, l.shedInFlight-1), l.window.value*l.config.DecreaseFactor)
+	l.provenInFlight = math.Min(l.provenInFlight, l.value)
 	l.clamp()
 }
 
 func (l *Limit) grow(now time.Time) {
-	l.clean++
+	l.cleanWindows++
 	l.reason = l.growthReason()
 	before := l.value
-	part := math.Min(l.config.Growth*float64(l.clean), 1)
-	l.value += math.Max(l.value*part, 1)
-	if now.Before(l.shedUntil) {
-		l.value = math.Min(l.value, math.Max(l.shedValue-1, before))
+	ratio := math.Min(l.config.GrowthRatio*float64(l.cleanWindows), 1)
+	l.value += math.Max(l.value*ratio, 1)
+	if now.Before(l.shedInFlightUntil) {
+		l.value = math.Min(l.value, math.Max(l.shedInFlight-1, before))
 	}
 }
 
 func (l *Limit) clamp() {
-	l.value = math.Min(l.value, math.Min(l.ceiling, l.highest()))
+	l.value = math.Min(l.value, math.Min(l.ceiling, l.hardLimit()))
 	l.value = math.Max(l.value, float64(l.config.Min))
 }
 
@@ -338,8 +338,8 @@
 	return l.config.Fixed && l.announced > 0
 }
 
-// highest returns the bound that holds whatever the backend server is seen to do.
-func (l *Limit) highest() float64 {
+// hardLimit returns the bound that holds whatever the backend server is seen to do.
+func (l *Limit) hardLimit() float64 {
 	if l.connections > 0 {
 		return float64(min(l.connections, l.config.Max))
 	}
--- a/internal/decide/admission/simulation_test.go
+++ b/internal/decide/admission/simulation_test.go
@@ -22,9 +22,9 @@
 	slots   int
 	queue   int
 
-	// turns is how many further turns a request gets that the backend server shed, and used how many it had.
-	turns int
-	used  map[*admission.Ticket]int
+	// requeues is how many further turns a request gets that the backend server shed, and used how many it had.
+	requeues int
+	requeued map[*admission.Ticket]int
 
 	streams []*stream
 	events  events
@@ -33,16 +33,16 @@
 	started map[*admission.Ticket]time.Time
 	offered map[*admission.Ticket]time.Time
 
-	sent, good     map[string]int
-	ended, refused int
-	arrived        int
-	peak           int
-	longestRefusal time.Duration
-	longestWait    map[string]time.Duration
+	sent, good           map[string]int
+	ended, refused       int
+	arrived              int
+	peak                 int
+	longestRefusal       time.Duration
+	longestQueueingDelay map[string]time.Duration
 }
 
 type stream struct {
-	every    time.Duration
+	interval time.Duration
 	template admission.Ticket
 	next     time.Time
 }
@@ -70,7 +70,7 @@
 	s := &simulation{
 		gate: admission.NewGate(testConfig()), random: rand.New(rand.NewPCG(1, 2)), now: epoch, service: service, slots: slots, queue: 1000,
 		started: map[*admission.Ticket]time.Time{}, offered: map[*admission.Ticket]time.Time{},
-		used: map[*admission.Ticket]int{}, sent: map[string]int{}, good: map[string]int{}, longestWait: map[string]time.Duration{},
+		requeued: map[*admission.Ticket]int{}, sent: map[string]int{}, good: map[string]int{}, longestQueueingDelay: map[string]time.Duration{},
 	}
 	s.gate.Announce(announced, 300)
 	return s
@@ -81,7 +81,7 @@
 }
 
 func (s *simulation) stream(rate float64, template *admission.Ticket) {
-	s.streams = append(s.streams, &stream{every: time.Duration(float64(time.Second) / rate), template: *template, next: s.now})
+	s.streams = append(s.streams, &stream{interval: time.Duration(float64(time.Second) / rate), template: *template, next: s.now})
 }
 
 // run lets time pass in steps of a millisecond.
@@ -89,10 +89,10 @@
 	s.peak, s.ended, s.refused, s.arrived = 0, 0, 0, 0
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(time.Millisecond) {
 		for len(s.events) > 0 && !s.events[0].at.After(s.now) {
-			s.happen(heap.Pop(&s.events).(event))
+			s.handle(heap.Pop(&s.events).(event))
 		}
 		for _, stream := range s.streams {
-			for ; !stream.next.After(s.now); stream.next = stream.next.Add(time.Duration(s.random.ExpFloat64() * float64(stream.every))) {
+			for ; !stream.next.After(s.now); stream.next = stream.next.Add(time.Duration(s.random.ExpFloat64() * float64(stream.interval))) {
 				s.offer(stream.template)
 			}
 		}
@@ -111,26 +111,26 @@
 	t.RootStart, t.Deadline = s.now, s.now.Add(time.Second)
 	s.sent[label(&t)]++
 	s.arrived++
-	s.enter(&t)
+	s.arrive(&t)
 }
 
-func (s *simulation) happen(e event) {
+func (s *simulation) handle(e event) {
 	if e.offer {
-		s.enter(e.ticket)
+		s.arrive(e.ticket)
 		return
 	}
 	s.finish(e.ticket)
 }
 
-// enter lets a ticket come to the gate.
-func (s *simulation) enter(t *admission.Ticket) {
+// arrive lets a ticket come to the gate.
+func (s *simulation) arrive(t *admission.Ticket) {
 	s.offered[t] = s.now
 	if s.gate.Offer(s.now, t).Action == admission.Run {
 		s.send(t)
 	}
 }
 
-func (s *simulation) apply(next admission.Next) {
+func (s *simulation) apply(next admission.Dequeued) {
 	for _, t := range next.Run {
 		s.send(t)
 	}
@@ -141,7 +141,7 @@
 
 // send hands a request to the backend server.
 func (s *simulation) send(t *admission.Ticket) {
-	s.longestWait[label(t)] = max(s.longestWait[label(t)], s.now.Sub(s.offered[t]))
+	s.longestQueueingDelay[label(t)] = max(s.longestQueueingDelay[label(t)], s.now.Sub(s.offered[t]))
 	s.started[t] = s.now
 	switch {
 	case s.busy < s.slots:
@@ -151,20 +151,20 @@
 	default:
 		s.refused++
 		s.apply(s.gate.Finish(s.now, admission.Sample{Kind: t.Kind, Overloaded: true}))
-		s.turnAgain(t)
+		s.requeue(t)
 	}
 }
 
-// turnAgain lets a request that the backend server shed come to the gate again.
-func (s *simulation) turnAgain(t *admission.Ticket) {
-	wait, again := retry.TurnAgain(retry.Turn{
-		Shed: true, Safe: true, AttemptsLeft: s.turns - s.used[t], TimeLeft: t.Deadline.Sub(s.now), HoldTime: s.gate.HoldTime(),
+// requeue lets a request that the backend server shed come to the gate again.
+func (s *simulation) requeue(t *admission.Ticket) {
+	wait, again := retry.DecideRequeue(retry.RequeueCandidate{
+		Shed: true, SafeToRepeat: true, AttemptsLeft: s.requeues - s.requeued[t], TimeLeft: t.Deadline.Sub(s.now), HoldTime: s.gate.HoldTime(),
 	})
 	if !again {
 		return
 	}
 	next := *t
-	s.used[&next] = s.used[t] + 1
+	s.requeued[&next] = s.requeued[t] + 1
 	heap.Push(&s.events, event{at: s.now.Add(wait), ticket: &next, offer: true})
 }
 
@@ -185,7 +185,7 @@
 		s.good[label(t)]++
 		s.ended++
 	}
-	s.apply(s.gate.Finish(s.now, admission.Sample{Kind: t.Kind, Took: took, Held: took}))
+	s.apply(s.gate.Finish(s.now, admission.Sample{Kind: t.Kind, ServiceTime: took, HoldTime: took}))
 }
 
 // The limit finds what the backend server can do, whatever it announces, and keeps the queue in front of the gate.
@@ -298,7 +298,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSimulation(3*slots, slots, service)
-			s.queue, s.turns = 0, test.turns
+			s.queue, s.requeues = 0, test.turns
 			possible := slots / service.Seconds()
 			urgent := newTicket(s.now, 0, "sheets", "a")
 			s.stream(possible/4, urgent)
--- a/internal/decide/admission/stats.go
+++ b/internal/decide/admission/stats.go
@@ -10,30 +10,30 @@
 
 // The reasons of a limit.
 const (
-	LimitInitial        LimitReason = "initial"
-	LimitAnnounced      LimitReason = "announced"
-	LimitColdRamp       LimitReason = "cold_ramp"
-	LimitGrew           LimitReason = "grew"
-	LimitOverloaded     LimitReason = "overload_answers"
-	LimitLate           LimitReason = "late_answers"
-	LimitLowerTrial     LimitReason = "lower_on_trial"
-	LimitLowerTakenBack LimitReason = "lower_taken_back"
-	LimitRaiseTrial     LimitReason = "higher_on_trial"
-	LimitRaiseTakenBack LimitReason = "higher_taken_back"
+	LimitInitial       LimitReason = "initial"
+	LimitAnnounced     LimitReason = "announced"
+	LimitColdRamp      LimitReason = "cold_ramp"
+	LimitGrew          LimitReason = "grew"
+	LimitOverloaded    LimitReason = "overload_answers"
+	LimitHighLatency   LimitReason = "late_answers"
+	LimitLowerTrial    LimitReason = "lower_on_trial"
+	LimitLowerReverted LimitReason = "lower_taken_back"
+	LimitRaiseTrial    LimitReason = "higher_on_trial"
+	LimitRaiseReverted LimitReason = "higher_taken_back"
 )
 
 // LimitReasons is the catalogue of the reasons of a limit.
 var LimitReasons = map[LimitReason]string{
-	LimitInitial:        "The limit is where it starts; nothing has moved it yet.",
-	LimitAnnounced:      "The backend server announced fewer slots or connections than the limit.",
-	LimitColdRamp:       "The limit was used and latency was low; it grows fast, since nothing has gone wrong since the start.",
-	LimitGrew:           "The limit was used and latency was low.",
-	LimitOverloaded:     "The backend server itself shed a request with so many in flight.",
-	LimitLate:           "Answers came late with more in flight than the backend server was seen to run well.",
-	LimitLowerTrial:     "Latency stayed high; a lower limit is tried, and kept where throughput does not fall.",
-	LimitLowerTakenBack: "The lower limit on trial cost throughput or did not help latency.",
-	LimitRaiseTrial:     "Requests had to wait; a higher limit is tried, and kept where throughput rises.",
-	LimitRaiseTakenBack: "The higher limit on trial brought no throughput or more latency.",
+	LimitInitial:       "The limit is where it starts; nothing has moved it yet.",
+	LimitAnnounced:     "The backend server announced fewer slots or connections than the limit.",
+	LimitColdRamp:      "The limit was used and latency was low; it grows fast, since nothing has gone wrong since the start.",
+	LimitGrew:          "The limit was used and latency was low.",
+	LimitOverloaded:    "The backend server itself shed a request with so many in flight.",
+	LimitHighLatency:   "Answers came late with more in flight than the backend server was seen to run well.",
+	LimitLowerTrial:    "Latency stayed high; a lower limit is tried, and kept where throughput does not fall.",
+	LimitLowerReverted: "The lower limit on trial cost throughput or did not help latency.",
+	LimitRaiseTrial:    "Requests had to wait; a higher limit is tried, and kept where throughput rises.",
+	LimitRaiseReverted: "The higher limit on trial brought no throughput or more latency.",
 }
 
 // LimitChange is the last change of a limit.
@@ -45,8 +45,8 @@
 	At time.Time `json:"at"`
 }
 
-// noteChange keeps what the limit has become since the last look, with the reason for which it moved last.
-func (l *Limit) noteChange(now time.Time) {
+// recordChange keeps what the limit has become since the last look, with the reason for which it moved last.
+func (l *Limit) recordChange(now time.Time) {
 	value := l.Value()
 	if value == l.change.To {
 		return
@@ -90,7 +90,7 @@
 }
 
 func expiryReason(t *Ticket) ShedReason {
-	if t.late {
+	if t.deadlineFirst {
 		return ShedDeadline
 	}
 	return ShedQueueTimeout
@@ -110,8 +110,8 @@
 	At     time.Time  `json:"at"`
 }
 
-// note counts one refusal.
-func (s *RankSheds) note(now time.Time, t *Ticket, reason ShedReason) {
+// record counts one refusal.
+func (s *RankSheds) record(now time.Time, t *Ticket, reason ShedReason) {
 	if s.ByReason == nil {
 		s.ByReason = map[ShedReason]uint64{}
 	}
@@ -119,8 +119,8 @@
 	s.Last = LastShed{Reason: reason, Kind: t.Kind, At: now}
 }
 
-// copied returns the refusals apart from those that are still counted.
-func (s *RankSheds) copied() RankSheds {
+// clone returns the refusals apart from those that are still counted.
+func (s *RankSheds) clone() RankSheds {
 	return RankSheds{ByReason: maps.Clone(s.ByReason), Last: s.Last}
 }
 
@@ -138,15 +138,15 @@
 
 // Stats returns what the gate decides by.
 func (g *Gate) Stats(now time.Time) Stats {
-	g.limit.noteChange(now)
+	g.limit.recordChange(now)
 	s := Stats{
 		Limit:   g.limit.Value(),
 		Ceiling: int(g.limit.ceiling),
-		Proven:  int(g.limit.proven),
+		Proven:  int(g.limit.provenInFlight),
 		Change:  g.limit.change,
 	}
 	for r := range g.sheds {
-		s.Sheds[r] = g.sheds[r].copied()
+		s.Sheds[r] = g.sheds[r].clone()
 	}
 	return s
 }
--- a/internal/decide/admission/stats_test.go
+++ b/internal/decide/admission/stats_test.go
@@ -41,7 +41,7 @@
 	for wanted := 0; wanted <= gate.InFlight(); {
 		t := newTicket(now, 0, "sheets", "crew")
 		switch gate.Offer(now, t).Action {
-		case admission.Wait:
+		case admission.Enqueue:
 			gate.Withdraw(t)
 			wanted++
 		case admission.Shed:
@@ -54,8 +54,8 @@
 }
 
 func TestLimitSaysWhyItStands(t *testing.T) {
-	good := admission.Sample{Took: 10 * time.Millisecond, Held: 10 * time.Millisecond}
-	late := admission.Sample{Took: 200 * time.Millisecond, Held: 200 * time.Millisecond}
+	good := admission.Sample{ServiceTime: 10 * time.Millisecond, HoldTime: 10 * time.Millisecond}
+	late := admission.Sample{ServiceTime: 200 * time.Millisecond, HoldTime: 200 * time.Millisecond}
 	overloaded := admission.Sample{Overloaded: true}
 	tests := map[string]struct {
 		phases []phase
@@ -68,11 +68,11 @@
 		"used and quick from the start": {phases: []phase{{4, good}}, want: admission.LimitColdRamp, higher: true},
 		"the backend server sheds":      {phases: []phase{{4, good}, {1, overloaded}}, want: admission.LimitOverloaded},
 		"quick again after a shed":      {phases: []phase{{4, good}, {1, overloaded}, {12, good}}, want: admission.LimitGrew, higher: true},
-		"late with more than ran well":  {phases: []phase{{4, good}, {4, late}}, want: admission.LimitLate},
+		"late with more than ran well":  {phases: []phase{{4, good}, {4, late}}, want: admission.LimitHighLatency},
 		"more than announced":           {slots: 8, phases: []phase{{60, good}}, want: admission.LimitRaiseTrial, higher: true},
-		"late with more than announced": {slots: 8, phases: []phase{{60, good}, {20, late}}, want: admission.LimitRaiseTakenBack},
+		"late with more than announced": {slots: 8, phases: []phase{{60, good}, {20, late}}, want: admission.LimitRaiseReverted},
 		"late for long":                 {slots: 8, phases: []phase{{4, good}, {90, late}}, want: admission.LimitLowerTrial},
-		"a lower limit was no help":     {slots: 8, phases: []phase{{4, good}, {90, late}}, want: admission.LimitLowerTakenBack, higher: true},
+		"a lower limit was no help":     {slots: 8, phases: []phase{{4, good}, {90, late}}, want: admission.LimitLowerReverted, higher: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/decide/announcement/announcement.go
+++ b/internal/decide/announcement/announcement.go
@@ -8,8 +8,8 @@
 // The package does no I/O and reads no clock.
 package announcement
 
-// Order is the place of one announcement among all of those from one address.
-type Order struct {
+// Position is the place of one announcement among all of those from one address.
+type Position struct {
 	// Instance names the start of the backend server.
 	Instance string
 	// Started is when the backend server started, in milliseconds of Unix time by its own clock; 0 where it didn't say.
@@ -18,8 +18,8 @@
 	Sequence uint64
 }
 
-// IsLate reports whether next was made before held.
-func IsLate(held, next Order) bool {
+// IsStale reports whether next was made before held.
+func IsStale(held, next Position) bool {
 	if held.Started != next.Started {
 		return held.Started > next.Started && next.Started != 0
 	}
--- a/internal/decide/announcement/announcement_test.go
+++ b/internal/decide/announcement/announcement_test.go
@@ -9,22 +9,22 @@
 )
 
 func TestIsLate(t *testing.T) {
-	held := announcement.Order{Instance: "i_2", Started: 2000, Sequence: 7}
+	held := announcement.Position{Instance: "i_2", Started: 2000, Sequence: 7}
 	for name, test := range map[string]struct {
-		next announcement.Order
+		next announcement.Position
 		want bool
 	}{
-		"next of the same start":       {announcement.Order{Instance: "i_2", Started: 2000, Sequence: 8}, false},
-		"the same once more":           {announcement.Order{Instance: "i_2", Started: 2000, Sequence: 7}, true},
-		"delayed":                      {announcement.Order{Instance: "i_2", Started: 2000, Sequence: 3}, true},
-		"later start, counting anew":   {announcement.Order{Instance: "i_3", Started: 3000, Sequence: 1}, false},
-		"later start under one name":   {announcement.Order{Instance: "i_2", Started: 3000, Sequence: 1}, false},
-		"earlier start, delayed":       {announcement.Order{Instance: "i_1", Started: 1000, Sequence: 90}, true},
-		"without order":                {announcement.Order{Instance: "i_2"}, false},
-		"without start, with sequence": {announcement.Order{Instance: "i_3", Sequence: 1}, false},
+		"next of the same start":       {announcement.Position{Instance: "i_2", Started: 2000, Sequence: 8}, false},
+		"the same once more":           {announcement.Position{Instance: "i_2", Started: 2000, Sequence: 7}, true},
+		"delayed":                      {announcement.Position{Instance: "i_2", Started: 2000, Sequence: 3}, true},
+		"later start, counting anew":   {announcement.Position{Instance: "i_3", Started: 3000, Sequence: 1}, false},
+		"later start under one name":   {announcement.Position{Instance: "i_2", Started: 3000, Sequence: 1}, false},
+		"earlier start, delayed":       {announcement.Position{Instance: "i_1", Started: 1000, Sequence: 90}, true},
+		"without order":                {announcement.Position{Instance: "i_2"}, false},
+		"without start, with sequence": {announcement.Position{Instance: "i_3", Sequence: 1}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(announcement.IsLate(held, test.next), test.want)
+			is.New(t).Equal(announcement.IsStale(held, test.next), test.want)
 		})
 	}
 }
--- a/internal/decide/fence/fence.go
+++ b/internal/decide/fence/fence.go
@@ -25,17 +25,17 @@
 	Ran
 )
 
-// memory is how long an attempt is remembered after its last change. It is longer than any message is on its way.
-const memory = 30 * time.Second
+// retention is how long an attempt is remembered after its last change. It is longer than any message is on its way.
+const retention = 30 * time.Second
 
 // Table remembers attempts.
 type Table struct {
 	states map[string]State
 	// ended holds the attempts that no longer run, the oldest first.
-	ended []ending
+	ended []endedAttempt
 }
 
-type ending struct {
+type endedAttempt struct {
 	id string
 	at time.Time
 }
@@ -47,7 +47,7 @@
 
 // Begin notes that an attempt begins, and reports false where it must not run, because it was fenced or came before.
 func (t *Table) Begin(now time.Time, id string) bool {
-	t.forget(now)
+	t.dropExpired(now)
 	if _, known := t.states[id]; known {
 		return false
 	}
@@ -61,12 +61,12 @@
 	if started {
 		t.states[id] = Ran
 	}
-	t.ended = append(t.ended, ending{id: id, at: now})
+	t.ended = append(t.ended, endedAttempt{id: id, at: now})
 }
 
 // Resolve tells what became of an attempt. One that is not known is fenced.
 func (t *Table) Resolve(now time.Time, id string) State {
-	t.forget(now)
+	t.dropExpired(now)
 	state, known := t.states[id]
 	if !known {
 		t.End(now, id, false)
@@ -86,8 +86,8 @@
 	return len(t.states)
 }
 
-func (t *Table) forget(now time.Time) {
-	for len(t.ended) > 0 && now.Sub(t.ended[0].at) > memory {
+func (t *Table) dropExpired(now time.Time) {
+	for len(t.ended) > 0 && now.Sub(t.ended[0].at) > retention {
 		delete(t.states, t.ended[0].id)
 		t.ended = t.ended[1:]
 	}
--- a/internal/decide/lineage/lineage.go
+++ b/internal/decide/lineage/lineage.go
@@ -22,29 +22,29 @@
 	Expires time.Time
 }
 
-// Running is a request that the backend server works on.
-type Running struct {
+// RunningRequest is a request that the backend server works on.
+type RunningRequest struct {
 	Kind     string
 	Started  time.Time
 	Deadline time.Time
-	// Calling says that a call of it has not been answered.
-	Calling bool
-	// LastCall is when its last call was answered; zero for none.
-	LastCall time.Time
+	// HasOpenCall says that a call of it has not been answered.
+	HasOpenCall bool
+	// LastCallEnd is when its last call was answered; zero for none.
+	LastCallEnd time.Time
 }
 
 const (
 	// tolerance is by how much times may differ: senders give whole milliseconds, and messages take time.
 	tolerance = 2500 * time.Microsecond
-	// leastAge is how long a request has run before it makes calls.
-	leastAge = time.Millisecond
+	// minAge is how long a request has run before it makes calls.
+	minAge = time.Millisecond
 	// sampleWeight is the weight of one request in what is known of its kind.
 	sampleWeight = 0.03
-	// leastFitting is the share of a kind's requests that expire with a running one, from which on they count as calls.
-	leastFitting = 0.12
-	// mostWhole is the share of a kind's requests that have the longest time of all, up to which they count as calls:
+	// minMatchRatio is the share of a kind's requests that expire with a running one, from which on they count as calls.
+	minMatchRatio = 0.12
+	// maxFullTimeoutRatio is the share of a kind's requests that have the longest time of all, up to which they count as calls:
 	// callers give each request the same time.
-	mostWhole = 0.3
+	maxFullTimeoutRatio = 0.3
 )
 
 // Matcher learns which kinds of requests are calls.
@@ -53,23 +53,23 @@
 }
 
 type kind struct {
-	// longest is the longest time that a sender gave, in whole milliseconds.
-	longest int64
-	// whole is the share of the requests with that time, and fitting the share of those that expire with a running one.
-	whole   float64
-	fitting float64
+	// maxTimeout is the longest time that a sender gave, in whole milliseconds.
+	maxTimeout int64
+	// fullTimeoutRatio is the share of the requests with that time, and fitting the share of those that expire with a running one.
+	fullTimeoutRatio float64
+	matchRatio       float64
 	// parents counts the requests of each kind that calls of this kind expired with, and matched all of them.
 	parents map[string]int
 	matched int
 }
 
-// leastOfParents is the least part of the calls that a kind of request must have made to be taken for the maker of
+// minParentRatio is the least part of the calls that a kind of request must have made to be taken for the maker of
 // others: some requests expire with a call by chance.
-const leastOfParents = 0.1
+const minParentRatio = 0.1
 
 // isMadeBy reports whether requests of the kind make calls of this one.
 func (k *kind) isMadeBy(parent string) bool {
-	return float64(k.parents[parent]) >= leastOfParents*float64(k.matched)
+	return float64(k.parents[parent]) >= minParentRatio*float64(k.matched)
 }
 
 // NewMatcher returns a matcher that knows no kinds.
@@ -82,8 +82,8 @@
 
 // Match returns the index of the request that the call was most likely made for, or Unknown. It reports false where the
 // kind is not known to be made up of calls.
-func (m *Matcher) Match(now time.Time, c Call, running []Running) (int, bool) {
-	index, fits := fitting(now, c, running)
+func (m *Matcher) Match(now time.Time, c Call, running []RunningRequest) (int, bool) {
+	index, fits := matchDeadline(now, c, running)
 	k := m.kind(c)
 	k.learn(now, c, fits)
 	if fits {
@@ -96,27 +96,27 @@
 	case fits && k.isMadeBy(running[index].Kind):
 		return index, true
 	}
-	return k.likeliest(now, c, running), true
+	return k.likeliestParent(now, c, running), true
 }
 
-// fitting returns the request that expires with the call.
-func fitting(now time.Time, c Call, running []Running) (int, bool) {
+// matchDeadline returns the request that expires with the call.
+func matchDeadline(now time.Time, c Call, running []RunningRequest) (int, bool) {
 	best, least := -1, tolerance
 	for i, r := range running {
 		difference := r.Deadline.Sub(c.Expires).Abs()
-		if now.Sub(r.Started) >= leastAge && difference <= least {
+		if now.Sub(r.Started) >= minAge && difference <= least {
 			best, least = i, difference
 		}
 	}
 	return best, best >= 0
 }
 
-// likeliest returns the request whose last call was answered last, of those that have no call open and outlast the call;
+// likeliestParent returns the request whose last call was answered last, of those that have no call open and outlast the call;
 // else the one that has run longest.
-func (k *kind) likeliest(now time.Time, c Call, running []Running) int {
+func (k *kind) likeliestParent(now time.Time, c Call, running []RunningRequest) int {
 	best := Unknown
 	for i, r := range running {
-		if r.Calling || now.Sub(r.Started) < leastAge || r.Deadline.Before(c.Expires.Add(-tolerance)) {
+		if r.HasOpenCall || now.Sub(r.Started) < minAge || r.Deadline.Before(c.Expires.Add(-tolerance)) {
 			continue
 		}
 		if k.isMadeBy(r.Kind) && (best < 0 || isLikelier(r, running[best])) {
@@ -126,9 +126,9 @@
 	return best
 }
 
-func isLikelier(a, b Running) bool {
-	if !a.LastCall.Equal(b.LastCall) {
-		return a.LastCall.After(b.LastCall)
+func isLikelier(a, b RunningRequest) bool {
+	if !a.LastCallEnd.Equal(b.LastCallEnd) {
+		return a.LastCallEnd.After(b.LastCallEnd)
 	}
 	return a.Started.Before(b.Started)
 }
@@ -136,7 +136,7 @@
 func (m *Matcher) kind(c Call) *kind {
 	k, known := m.kinds[c.Kind]
 	if !known {
-		k = &kind{whole: mostWhole, fitting: leastFitting, parents: map[string]int{}}
+		k = &kind{fullTimeoutRatio: maxFullTimeoutRatio, matchRatio: minMatchRatio, parents: map[string]int{}}
 		m.kinds[c.Kind] = k
 	}
 	return k
@@ -145,17 +145,17 @@
 // learn takes in one request.
 func (k *kind) learn(now time.Time, c Call, fits bool) {
 	left := c.Expires.Sub(now).Milliseconds()
-	k.longest = max(k.longest, left)
-	k.whole += sampleWeight * (truth(left >= k.longest) - k.whole)
-	k.fitting += sampleWeight * (truth(fits) - k.fitting)
+	k.maxTimeout = max(k.maxTimeout, left)
+	k.fullTimeoutRatio += sampleWeight * (indicator(left >= k.maxTimeout) - k.fullTimeoutRatio)
+	k.matchRatio += sampleWeight * (indicator(fits) - k.matchRatio)
 }
 
 // isCall reports whether the kind is made up of calls.
 func (k *kind) isCall() bool {
-	return k.fitting >= leastFitting && k.whole <= mostWhole
+	return k.matchRatio >= minMatchRatio && k.fullTimeoutRatio <= maxFullTimeoutRatio
 }
 
-func truth(value bool) float64 {
+func indicator(value bool) float64 {
 	if value {
 		return 1
 	}
--- a/internal/decide/lineage/lineage_test.go
+++ b/internal/decide/lineage/lineage_test.go
@@ -16,27 +16,27 @@
 	return start.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// knowing returns a matcher that has seen calls of the kind "keys".
-func knowing() *lineage.Matcher {
+// trainedMatcher returns a matcher that has seen calls of the kind "keys".
+func trainedMatcher() *lineage.Matcher {
 	m := lineage.NewMatcher()
 	for n := range 100 {
-		running := []lineage.Running{{Kind: "sheets", Started: at(-50), Deadline: at(700 - n)}}
+		running := []lineage.RunningRequest{{Kind: "sheets", Started: at(-50), Deadline: at(700 - n)}}
 		_, _ = m.Match(at(0), lineage.Call{Kind: "keys", Expires: at(700 - n)}, running)
 	}
 	return m
 }
 
 func TestMatch(t *testing.T) {
-	running := []lineage.Running{
-		{Kind: "sheets", Started: at(0), Deadline: at(1200), LastCall: at(40)},
-		{Kind: "sheets", Started: at(40), Deadline: at(900), LastCall: at(98)},
-		{Kind: "sheets", Started: at(50), Deadline: at(1300), Calling: true},
+	running := []lineage.RunningRequest{
+		{Kind: "sheets", Started: at(0), Deadline: at(1200), LastCallEnd: at(40)},
+		{Kind: "sheets", Started: at(40), Deadline: at(900), LastCallEnd: at(98)},
+		{Kind: "sheets", Started: at(50), Deadline: at(1300), HasOpenCall: true},
 		{Kind: "sheets", Started: at(100), Deadline: at(2000)},
-		{Kind: "browse", Started: at(10), Deadline: at(1900), LastCall: at(99)},
+		{Kind: "browse", Started: at(10), Deadline: at(1900), LastCallEnd: at(99)},
 	}
 	for name, test := range map[string]struct {
 		expires int
-		running []lineage.Running
+		running []lineage.RunningRequest
 		want    int
 	}{
 		"expires with its request":                  {1200, running, 0},
@@ -49,7 +49,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			index, ok := knowing().Match(at(100), lineage.Call{Kind: "keys", Expires: at(test.expires)}, test.running)
+			index, ok := trainedMatcher().Match(at(100), lineage.Call{Kind: "keys", Expires: at(test.expires)}, test.running)
 			is.True(ok) // a call in any case
 			is.Equal(index, test.want)
 		})
@@ -69,7 +69,7 @@
 		if deadline.Before(expires) {
 			expires = deadline
 		}
-		running := []lineage.Running{{Started: now.Add(-30 * time.Millisecond), Deadline: deadline}}
+		running := []lineage.RunningRequest{{Started: now.Add(-30 * time.Millisecond), Deadline: deadline}}
 		if _, ok := m.Match(now, lineage.Call{Kind: "keys", Expires: expires}, running); ok && n >= 50 {
 			known++
 		}
@@ -85,9 +85,9 @@
 	taken := 0
 	for n := range 500 {
 		now := at(10 * n)
-		var running []lineage.Running
+		var running []lineage.RunningRequest
 		for range 40 {
-			running = append(running, lineage.Running{
+			running = append(running, lineage.RunningRequest{
 				Started:  now.Add(-30 * time.Millisecond),
 				Deadline: now.Add(time.Duration(random.IntN(1500)) * time.Millisecond),
 			})
--- a/internal/decide/liveness/liveness.go
+++ b/internal/decide/liveness/liveness.go
@@ -33,14 +33,14 @@
 )
 
 const (
-	// regularGaps is how many times between announcements must be known before their absence means anything.
-	regularGaps = 4
-	// regularGap is the longest time between announcements that come regularly.
-	regularGap = 2 * time.Second
-	// missedGaps is how many announcements in a row must be missing.
-	missedGaps = 3
-	// shortestSilence is the least silence that means anything.
-	shortestSilence = 1500 * time.Millisecond
+	// minGaps is how many times between announcements must be known before their absence means anything.
+	minGaps = 4
+	// maxRegularGap is the longest time between announcements that come regularly.
+	maxRegularGap = 2 * time.Second
+	// missedAnnouncements is how many announcements in a row must be missing.
+	missedAnnouncements = 3
+	// minSilence is the least silence that means anything.
+	minSilence = 1500 * time.Millisecond
 )
 
 // Tracker follows one backend server.
@@ -50,8 +50,8 @@
 	// gaps are the latest times between announcements, at most regularGaps.
 	gaps     []time.Duration
 	refusing bool
-	// doubtful says that a connection broke since the last accepted one.
-	doubtful bool
+	// brokenSinceAccept says that a connection broke since the last accepted one.
+	brokenSinceAccept bool
 }
 
 // NewTracker returns a tracker of a backend server of which nothing is known yet.
@@ -64,7 +64,7 @@
 	if !t.announced.IsZero() {
 		t.gaps = append(t.gaps, now.Sub(t.announced))
 	}
-	if len(t.gaps) > regularGaps {
+	if len(t.gaps) > minGaps {
 		t.gaps = slices.Delete(t.gaps, 0, 1)
 	}
 	t.announced = now
@@ -73,27 +73,27 @@
 // Answered notes an answer.
 func (t *Tracker) Answered(now time.Time) {
 	t.answered = now
-	t.refusing, t.doubtful = false, false
+	t.refusing, t.brokenSinceAccept = false, false
 }
 
-// Refused notes a refused connection.
-func (t *Tracker) Refused() {
-	t.refusing, t.doubtful = true, false
+// ConnectionRefused notes a refused connection.
+func (t *Tracker) ConnectionRefused() {
+	t.refusing, t.brokenSinceAccept = true, false
 }
 
-// Broke notes a connection that broke in the middle of a request.
-func (t *Tracker) Broke() {
-	t.doubtful = true
+// ConnectionBroken notes a connection that broke in the middle of a request.
+func (t *Tracker) ConnectionBroken() {
+	t.brokenSinceAccept = true
 }
 
-// Accepted notes an accepted connection. It says nothing against silence: a process that hangs accepts connections.
-func (t *Tracker) Accepted() {
-	t.refusing, t.doubtful = false, false
+// ConnectionAccepted notes an accepted connection. It says nothing against silence: a process that hangs accepts connections.
+func (t *Tracker) ConnectionAccepted() {
+	t.refusing, t.brokenSinceAccept = false, false
 }
 
-// AsksForProbe reports whether a connection should be opened to learn more. It is true after a refused or broken one.
-func (t *Tracker) AsksForProbe() bool {
-	return t.refusing || t.doubtful
+// NeedsProbe reports whether a connection should be opened to learn more. It is true after a refused or broken one.
+func (t *Tracker) NeedsProbe() bool {
+	return t.refusing || t.brokenSinceAccept
 }
 
 // State returns whether the backend server is there.
@@ -108,9 +108,9 @@
 }
 
 func (t *Tracker) isSilent(now time.Time) bool {
-	if len(t.gaps) < regularGaps || slices.Max(t.gaps) > regularGap {
+	if len(t.gaps) < minGaps || slices.Max(t.gaps) > maxRegularGap {
 		return false
 	}
 	silence := min(now.Sub(t.announced), now.Sub(t.answered))
-	return silence > max(missedGaps*slices.Max(t.gaps), shortestSilence)
+	return silence > max(missedAnnouncements*slices.Max(t.gaps), minSilence)
 }
--- a/internal/decide/liveness/liveness_test.go
+++ b/internal/decide/liveness/liveness_test.go
@@ -9,7 +9,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/liveness"
 )
 
-const every = 500 * time.Millisecond
+const interval = 500 * time.Millisecond
 
 // announce notes announcements at the given distance and returns the time of the last.
 func announce(t *liveness.Tracker, start time.Time, count int, gap time.Duration) time.Time {
@@ -30,39 +30,43 @@
 			want: liveness.Alive,
 		},
 		"a refused connection": {
-			do:   func(t *liveness.Tracker) time.Time { t.Refused(); return start },
+			do:   func(t *liveness.Tracker) time.Time { t.ConnectionRefused(); return start },
 			want: liveness.Refusing,
 		},
 		"announcements alone don't clear a refused connection": {
 			do: func(t *liveness.Tracker) time.Time {
-				t.Refused()
-				return announce(t, start, 10, every)
+				t.ConnectionRefused()
+				return announce(t, start, 10, interval)
 			},
 			want: liveness.Refusing,
 		},
 		"an accepted connection after a refused one": {
-			do:   func(t *liveness.Tracker) time.Time { t.Refused(); t.Accepted(); return start },
+			do:   func(t *liveness.Tracker) time.Time { t.ConnectionRefused(); t.ConnectionAccepted(); return start },
 			want: liveness.Alive,
 		},
 		"a broken connection proves nothing": {
-			do:   func(t *liveness.Tracker) time.Time { t.Broke(); return start },
+			do:   func(t *liveness.Tracker) time.Time { t.ConnectionBroken(); return start },
 			want: liveness.Alive,
 		},
 		"an answer after a refused connection": {
-			do:   func(t *liveness.Tracker) time.Time { t.Refused(); t.Answered(start); return start },
+			do:   func(t *liveness.Tracker) time.Time { t.ConnectionRefused(); t.Answered(start); return start },
 			want: liveness.Alive,
 		},
 		"regular announcements stop": {
-			do:   func(t *liveness.Tracker) time.Time { return announce(t, start, 10, every).Add(1600 * time.Millisecond) },
+			do: func(t *liveness.Tracker) time.Time {
+				return announce(t, start, 10, interval).Add(1600 * time.Millisecond)
+			},
 			want: liveness.Silent,
 		},
 		"regular announcements stop for less than three times": {
-			do:   func(t *liveness.Tracker) time.Time { return announce(t, start, 10, every).Add(1400 * time.Millisecond) },
+			do: func(t *liveness.Tracker) time.Time {
+				return announce(t, start, 10, interval).Add(1400 * time.Millisecond)
+			},
 			want: liveness.Alive,
 		},
 		"announcements stop, and answers go on": {
 			do: func(t *liveness.Tracker) time.Time {
-				end := announce(t, start, 10, every).Add(time.Minute)
+				end := announce(t, start, 10, interval).Add(time.Minute)
 				t.Answered(end)
 				return end.Add(time.Second)
 			},
@@ -70,14 +74,14 @@
 		},
 		"accepted connections alone don't clear silence": {
 			do: func(t *liveness.Tracker) time.Time {
-				end := announce(t, start, 10, every).Add(time.Minute)
-				t.Accepted()
+				end := announce(t, start, 10, interval).Add(time.Minute)
+				t.ConnectionAccepted()
 				return end
 			},
 			want: liveness.Silent,
 		},
 		"one announcement, and never again": {
-			do:   func(t *liveness.Tracker) time.Time { return announce(t, start, 1, every).Add(time.Hour) },
+			do:   func(t *liveness.Tracker) time.Time { return announce(t, start, 1, interval).Add(time.Hour) },
 			want: liveness.Alive,
 		},
 		"announcements that were never regular": {
@@ -86,7 +90,7 @@
 		},
 		"announced again after silence": {
 			do: func(t *liveness.Tracker) time.Time {
-				end := announce(t, start, 10, every).Add(time.Minute)
+				end := announce(t, start, 10, interval).Add(time.Minute)
 				t.Announced(end)
 				return end.Add(time.Second)
 			},
@@ -109,18 +113,18 @@
 		want bool
 	}{
 		"nothing is known":              {do: func(*liveness.Tracker) {}, want: false},
-		"refused":                       {do: func(t *liveness.Tracker) { t.Refused() }, want: true},
-		"broken":                        {do: func(t *liveness.Tracker) { t.Broke() }, want: true},
-		"broken, then accepted":         {do: func(t *liveness.Tracker) { t.Broke(); t.Accepted() }, want: false},
-		"broken, then answered":         {do: func(t *liveness.Tracker) { t.Broke(); t.Answered(time.Unix(1, 0)) }, want: false},
-		"refused, accepted and refused": {do: func(t *liveness.Tracker) { t.Refused(); t.Accepted(); t.Refused() }, want: true},
+		"refused":                       {do: func(t *liveness.Tracker) { t.ConnectionRefused() }, want: true},
+		"broken":                        {do: func(t *liveness.Tracker) { t.ConnectionBroken() }, want: true},
+		"broken, then accepted":         {do: func(t *liveness.Tracker) { t.ConnectionBroken(); t.ConnectionAccepted() }, want: false},
+		"broken, then answered":         {do: func(t *liveness.Tracker) { t.ConnectionBroken(); t.Answered(time.Unix(1, 0)) }, want: false},
+		"refused, accepted and refused": {do: func(t *liveness.Tracker) { t.ConnectionRefused(); t.ConnectionAccepted(); t.ConnectionRefused() }, want: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			tracker := liveness.NewTracker()
 			c.do(tracker)
-			is.Equal(tracker.AsksForProbe(), c.want)
+			is.Equal(tracker.NeedsProbe(), c.want)
 		})
 	}
 }
--- a/internal/decide/membership/election.go
+++ b/internal/decide/membership/election.go
@@ -35,10 +35,10 @@
 // ElectionConfig sets an Election up.
 type ElectionConfig struct {
 	Node string
-	// SilentAfter is the time without an answer after which a leader is no longer followed.
-	SilentAfter time.Duration
-	// AskAgain is the time after which a node that gave no answer is asked again.
-	AskAgain time.Duration
+	// FollowTimeout is the time without an answer after which a leader is no longer followed.
+	FollowTimeout time.Duration
+	// RetryInterval is the time after which a node that gave no answer is asked again.
+	RetryInterval time.Duration
 	// Candidates is how many nodes of a zone without a leader read the platform.
 	Candidates int
 }
@@ -50,73 +50,73 @@
 	lease    Lease
 	followed Target
 	// relayed says that the followed node does not lead but follows the leader.
-	relayed      bool
-	leased       bool
-	answered     time.Time
-	hint         Target
-	silent       map[string]time.Time
-	platformAway bool
+	relayed             bool
+	leased              bool
+	lastAnswer          time.Time
+	hint                Target
+	unresponsive        map[string]time.Time
+	platformUnreachable bool
 	// spreading says that the node spread last, and goes on while nobody else leads.
 	spreading bool
-	// looked is when others were last asked although there was a leader to follow.
-	looked time.Time
+	// lastProbe is when others were last asked although there was a leader to follow.
+	lastProbe time.Time
 }
 
 // NewElection returns an election without a leader.
 func NewElection(config ElectionConfig) *Election {
-	return &Election{config: config, silent: map[string]time.Time{}}
+	return &Election{config: config, unresponsive: map[string]time.Time{}}
 }
 
 // Plan is what a node does until it asks for the next one.
 type Plan struct {
 	Role Role
-	// Ask are the nodes to send heartbeats to.
-	Ask []Target
-	// Read says that the platform's leader entry is to be read, and taken where there is none.
-	Read bool
+	// HeartbeatTargets are the nodes to send heartbeats to.
+	HeartbeatTargets []Target
+	// ReadPlatform says that the platform's leader entry is to be read, and taken where there is none.
+	ReadPlatform bool
 }
 
 // Plan decides for the members of the zone that are not down. They need not include the node itself.
 func (e *Election) Plan(now time.Time, members []Member) Plan {
-	if e.Holds(now) {
+	if e.HoldsLease(now) {
 		return Plan{Role: Leading}
 	}
-	lower := e.lower(members)
+	lower := e.lowerMembers(members)
 	position := e.position(lower)
-	plan := Plan{Role: Following, Read: position < e.config.Candidates}
-	if e.follows(now) {
+	plan := Plan{Role: Following, ReadPlatform: position < e.config.Candidates}
+	if e.isFollowing(now) {
 		e.spreading = false
 		return e.planFollowing(now, lower, plan)
 	}
 	lapsed := !e.lease.Until.IsZero()
-	e.spreading = e.platformAway && (position == 0 || e.spreading || lapsed)
+	e.spreading = e.platformUnreachable && (position == 0 || e.spreading || lapsed)
 	if e.spreading {
 		plan.Role = Spreading
-		plan.Read = true
+		plan.ReadPlatform = true
 	}
-	plan.Ask = e.others(now, lower)
+	plan.HeartbeatTargets = e.probeTargets(now, lower)
 	return plan
 }
 
 // planFollowing goes on with the followed node, and looks out for a better one unless it leads under a lease.
 func (e *Election) planFollowing(now time.Time, lower []Target, plan Plan) Plan {
-	plan.Ask = []Target{e.followed}
-	plan.Read = plan.Read && !e.leased
+	plan.HeartbeatTargets = []Target{e.followed}
+	plan.ReadPlatform = plan.ReadPlatform && !e.leased
 	settled := e.leased && !e.relayed
-	if settled || now.Sub(e.looked) < e.config.AskAgain {
+	if settled || now.Sub(e.lastProbe) < e.config.RetryInterval {
 		return plan
 	}
-	e.looked = now
-	for _, t := range e.others(now, lower) {
+	e.lastProbe = now
+	for _, t := range e.probeTargets(now, lower) {
 		if t != e.followed {
-			plan.Ask = append(plan.Ask, t)
+			plan.HeartbeatTargets = append(plan.HeartbeatTargets, t)
 		}
 	}
 	return plan
 }
 
-// Holds reports whether the node leads under its lease.
-func (e *Election) Holds(now time.Time) bool {
+// HoldsLease reports whether the node leads under its lease.
+func (e *Election) HoldsLease(now time.Time) bool {
 	return now.Before(e.lease.Until)
 }
 
@@ -125,21 +125,21 @@
 	return e.lease.Term
 }
 
-// LeaseLeft returns how long the lease still holds without a renewal; it is negative where it does not.
-func (e *Election) LeaseLeft(now time.Time) time.Duration {
+// LeaseRemaining returns how long the lease still holds without a renewal; it is negative where it does not.
+func (e *Election) LeaseRemaining(now time.Time) time.Duration {
 	return e.lease.Until.Sub(now)
 }
 
 // Followed returns the node that is followed, whether it leads itself, and whether it does so under a lease.
 func (e *Election) Followed(now time.Time) (t Target, leads, leased bool) {
-	if !e.follows(now) {
+	if !e.isFollowing(now) {
 		return Target{}, false, false
 	}
 	return e.followed, !e.relayed, e.leased
 }
 
-// lower returns the members before the node in the order of names.
-func (e *Election) lower(members []Member) []Target {
+// lowerMembers returns the members before the node in the order of names.
+func (e *Election) lowerMembers(members []Member) []Target {
 	var lower []Target
 	for _, m := range members {
 		if m.Node < e.config.Node {
@@ -154,31 +154,31 @@
 func (e *Election) position(lower []Target) int {
 	count := 0
 	for _, t := range lower {
-		if _, silent := e.silent[t.Node]; !silent {
+		if _, unresponsive := e.unresponsive[t.Node]; !unresponsive {
 			count++
 		}
 	}
 	return count
 }
 
-// others returns the nodes that may know the leader or be it: the one that was named, and the lowest.
-func (e *Election) others(now time.Time, lower []Target) []Target {
-	var others []Target
+// probeTargets returns the nodes that may know the leader or be it: the one that was named, and the lowest.
+func (e *Election) probeTargets(now time.Time, lower []Target) []Target {
+	var targets []Target
 	if e.hint.Node != "" {
 		lower = append([]Target{e.hint}, lower...)
 	}
 	for _, t := range lower {
-		failed, silent := e.silent[t.Node]
-		due := !silent || now.Sub(failed) > e.config.AskAgain
-		if due && !slices.Contains(others, t) && len(others) < e.config.Candidates {
-			others = append(others, t)
+		failed, unresponsive := e.unresponsive[t.Node]
+		due := !unresponsive || now.Sub(failed) > e.config.RetryInterval
+		if due && !slices.Contains(targets, t) && len(targets) < e.config.Candidates {
+			targets = append(targets, t)
 		}
 	}
-	return others
+	return targets
 }
 
-func (e *Election) follows(now time.Time) bool {
-	return e.followed.Node != "" && now.Sub(e.answered) <= e.config.SilentAfter
+func (e *Election) isFollowing(now time.Time) bool {
+	return e.followed.Node != "" && now.Sub(e.lastAnswer) <= e.config.FollowTimeout
 }
 
 // Answer is what a node said in the answer to a heartbeat.
@@ -190,25 +190,25 @@
 	Leader Target
 }
 
-// Answered takes in the answer of a node of the same zone.
-func (e *Election) Answered(now time.Time, from Target, a Answer) {
-	delete(e.silent, from.Node)
+// RecordAnswer takes in the answer of a node of the same zone.
+func (e *Election) RecordAnswer(now time.Time, from Target, a Answer) {
+	delete(e.unresponsive, from.Node)
 	knowsLeader := a.Leader.Node != "" && a.Leader.Node != e.config.Node
 	switch {
 	case a.Leads:
 		e.follow(now, from, false, a.Leased)
 	case knowsLeader:
-		e.relay(now, from, a)
+		e.considerRelay(now, from, a)
 	case from == e.followed:
 		e.followed = Target{}
 	}
 }
 
-// relay follows a node that follows the leader, as long as the leader itself gives no answer.
-func (e *Election) relay(now time.Time, from Target, a Answer) {
+// considerRelay follows a node that follows the leader, as long as the leader itself gives no answer.
+func (e *Election) considerRelay(now time.Time, from Target, a Answer) {
 	e.hint = a.Leader
-	_, unreachable := e.silent[a.Leader.Node]
-	if unreachable && (!e.follows(now) || e.followed == from) {
+	_, unreachable := e.unresponsive[a.Leader.Node]
+	if unreachable && (!e.isFollowing(now) || e.followed == from) {
 		e.follow(now, from, true, a.Leased)
 		return
 	}
@@ -218,63 +218,63 @@
 }
 
 func (e *Election) follow(now time.Time, t Target, relayed, leased bool) {
-	better := t == e.followed || !e.follows(now) || (leased && !e.leased) || (leased == e.leased && e.relayed && !relayed)
+	better := t == e.followed || !e.isFollowing(now) || (leased && !e.leased) || (leased == e.leased && e.relayed && !relayed)
 	lower := leased == e.leased && relayed == e.relayed && t.Node < e.followed.Node
 	if !better && !lower {
 		return
 	}
-	e.followed, e.relayed, e.leased, e.answered = t, relayed, leased, now
+	e.followed, e.relayed, e.leased, e.lastAnswer = t, relayed, leased, now
 }
 
-// Failed notes that a heartbeat to the node had no answer.
-func (e *Election) Failed(now time.Time, t Target) {
-	e.silent[t.Node] = now
+// RecordFailure notes that a heartbeat to the node had no answer.
+func (e *Election) RecordFailure(now time.Time, t Target) {
+	e.unresponsive[t.Node] = now
 }
 
-// IsSilent reports whether the last heartbeat to the node had no answer.
-func (e *Election) IsSilent(node string) bool {
-	_, silent := e.silent[node]
-	return silent
+// IsUnresponsive reports whether the last heartbeat to the node had no answer.
+func (e *Election) IsUnresponsive(node string) bool {
+	_, unresponsive := e.unresponsive[node]
+	return unresponsive
 }
 
-// Suggest names a node that says it leads. It is asked next where it has a lease, or where nobody else is followed.
-func (e *Election) Suggest(now time.Time, t Target, leased bool) {
-	if t.Node != e.config.Node && (leased || !e.follows(now)) {
+// SuggestLeader names a node that says it leads. It is asked next where it has a lease, or where nobody else is followed.
+func (e *Election) SuggestLeader(now time.Time, t Target, leased bool) {
+	if t.Node != e.config.Node && (leased || !e.isFollowing(now)) {
 		e.hint = t
-		delete(e.silent, t.Node)
+		delete(e.unresponsive, t.Node)
 	}
 }
 
-// PlatformNames takes in the leader that the platform names.
-func (e *Election) PlatformNames(t Target) {
-	e.platformAway = false
+// RecordPlatformLeader takes in the leader that the platform names.
+func (e *Election) RecordPlatformLeader(t Target) {
+	e.platformUnreachable = false
 	if t.Node != e.config.Node {
 		e.hint = t
 	}
 }
 
-// PlatformAway notes that the platform gave no answer.
-func (e *Election) PlatformAway() {
-	e.platformAway = true
+// RecordPlatformUnreachable notes that the platform gave no answer.
+func (e *Election) RecordPlatformUnreachable() {
+	e.platformUnreachable = true
 }
 
-// Granted notes that the node holds the lease of the term.
-func (e *Election) Granted(lease Lease) {
-	e.platformAway = false
+// RecordLeaseGranted notes that the node holds the lease of the term.
+func (e *Election) RecordLeaseGranted(lease Lease) {
+	e.platformUnreachable = false
 	e.lease = lease
 	e.followed = Target{}
 	e.hint = Target{}
 }
 
-// Renewed notes that the lease holds until the time, unless it was lost meanwhile.
-func (e *Election) Renewed(until time.Time) {
-	e.platformAway = false
+// RecordLeaseRenewed notes that the lease holds until the time, unless it was lost meanwhile.
+func (e *Election) RecordLeaseRenewed(until time.Time) {
+	e.platformUnreachable = false
 	if !e.lease.Until.IsZero() {
 		e.lease.Until = until
 	}
 }
 
-// Lost notes that the lease is gone.
-func (e *Election) Lost() {
+// RecordLeaseLost notes that the lease is gone.
+func (e *Election) RecordLeaseLost() {
 	e.lease.Until = time.Time{}
 }
--- a/internal/decide/membership/election_test.go
+++ b/internal/decide/membership/election_test.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	beat        = 250 * time.Millisecond
-	ttl         = 1500 * time.Millisecond
-	silentAfter = 750 * time.Millisecond
-	askAgain    = 2 * time.Second
+	heartbeatPeriod = 250 * time.Millisecond
+	ttl             = 1500 * time.Millisecond
+	followTimeout   = 750 * time.Millisecond
+	retryInterval   = 2 * time.Second
 )
 
 // zone drives the elections of one availability zone by explicit times, with a platform that grants one lease.
 type zone struct {
-	now      time.Time
-	names    []string
-	election map[string]*membership.Election
-	role     map[string]membership.Role
-	dead     map[string]bool
-	cut      map[[2]string]bool
+	now         time.Time
+	names       []string
+	election    map[string]*membership.Election
+	role        map[string]membership.Role
+	stopped     map[string]bool
+	partitioned map[[2]string]bool
 
 	platformDown bool
 	reads        int
@@ -38,12 +38,12 @@
 
 func newZone(names ...string) *zone {
 	z := &zone{
-		now:      time.Unix(1_800_000_000, 0),
-		names:    names,
-		election: map[string]*membership.Election{},
-		role:     map[string]membership.Role{},
-		dead:     map[string]bool{},
-		cut:      map[[2]string]bool{},
+		now:         time.Unix(1_800_000_000, 0),
+		names:       names,
+		election:    map[string]*membership.Election{},
+		role:        map[string]membership.Role{},
+		stopped:     map[string]bool{},
+		partitioned: map[[2]string]bool{},
 	}
 	for _, n := range names {
 		z.start(n)
@@ -52,17 +52,17 @@
 }
 
 func (z *zone) start(name string) {
-	z.dead[name] = false
+	z.stopped[name] = false
 	z.role[name] = membership.Following
 	z.election[name] = membership.NewElection(membership.ElectionConfig{
-		Node: name, SilentAfter: silentAfter, AskAgain: askAgain, Candidates: 3,
+		Node: name, FollowTimeout: followTimeout, RetryInterval: retryInterval, Candidates: 3,
 	})
 }
 
 func (z *zone) run(d time.Duration) {
-	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(beat) {
+	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(heartbeatPeriod) {
 		for _, n := range z.names {
-			if !z.dead[n] {
+			if !z.stopped[n] {
 				z.step(n)
 			}
 		}
@@ -73,17 +73,17 @@
 	e := z.election[name]
 	plan := e.Plan(z.now, z.members())
 	z.role[name] = plan.Role
-	for _, t := range plan.Ask {
-		if z.dead[t.Node] || z.cut[[2]string{name, t.Node}] || z.cut[[2]string{t.Node, name}] {
-			e.Failed(z.now, t)
+	for _, t := range plan.HeartbeatTargets {
+		if z.stopped[t.Node] || z.partitioned[[2]string{name, t.Node}] || z.partitioned[[2]string{t.Node, name}] {
+			e.RecordFailure(z.now, t)
 			continue
 		}
-		e.Answered(z.now, t, z.answer(t.Node))
+		e.RecordAnswer(z.now, t, z.answer(t.Node))
 	}
 	if plan.Role == membership.Leading {
 		z.renew(name)
 	}
-	if plan.Read {
+	if plan.ReadPlatform {
 		z.read(name)
 	}
 }
@@ -98,24 +98,24 @@
 
 func (z *zone) renew(name string) {
 	if z.platformDown || z.holder != name {
-		z.election[name].PlatformAway()
+		z.election[name].RecordPlatformUnreachable()
 		return
 	}
 	z.until = z.now.Add(ttl)
-	z.election[name].Renewed(z.until)
+	z.election[name].RecordLeaseRenewed(z.until)
 }
 
 func (z *zone) read(name string) {
 	z.reads++
 	switch {
 	case z.platformDown:
-		z.election[name].PlatformAway()
+		z.election[name].RecordPlatformUnreachable()
 	case z.now.Before(z.until) && z.holder != name:
-		z.election[name].PlatformNames(membership.Target{Node: z.holder, Address: z.holder})
+		z.election[name].RecordPlatformLeader(membership.Target{Node: z.holder, Address: z.holder})
 	default:
 		z.term++
 		z.holder, z.until = name, z.now.Add(ttl)
-		z.election[name].Granted(membership.Lease{Term: z.term, Until: z.until})
+		z.election[name].RecordLeaseGranted(membership.Lease{Term: z.term, Until: z.until})
 	}
 }
 
@@ -131,7 +131,7 @@
 func (z *zone) leaders(role membership.Role) []string {
 	var found []string
 	for _, n := range z.names {
-		if !z.dead[n] && z.role[n] == role {
+		if !z.stopped[n] && z.role[n] == role {
 			found = append(found, n)
 		}
 	}
@@ -142,8 +142,8 @@
 func (z *zone) isolate(a, b []string) {
 	for _, x := range a {
 		for _, y := range b {
-			z.cut[[2]string{x, y}] = true
-			z.cut[[2]string{y, x}] = true
+			z.partitioned[[2]string{x, y}] = true
+			z.partitioned[[2]string{y, x}] = true
 		}
 	}
 }
@@ -157,11 +157,11 @@
 		spreading int
 	}{
 		"undisturbed":   {disturb: func(*zone, string) {}, within: time.Second, leading: 1},
-		"leader dies":   {disturb: func(z *zone, l string) { z.dead[l] = true }, within: 2 * time.Second, leading: 1},
+		"leader dies":   {disturb: func(z *zone, l string) { z.stopped[l] = true }, within: 2 * time.Second, leading: 1},
 		"platform away": {disturb: func(z *zone, _ string) { z.platformDown = true }, within: 2 * time.Second, spreading: 1},
-		"both":          {disturb: func(z *zone, l string) { z.platformDown, z.dead[l] = true, true }, within: 2 * time.Second, spreading: 1},
+		"both":          {disturb: func(z *zone, l string) { z.platformDown, z.stopped[l] = true, true }, within: 2 * time.Second, spreading: 1},
 		"platform and three": {disturb: func(z *zone, _ string) {
-			z.platformDown, z.dead["a"], z.dead["b"], z.dead["c"] = true, true, true, true
+			z.platformDown, z.stopped["a"], z.stopped["b"], z.stopped["c"] = true, true, true, true
 		}, within: 4 * time.Second, spreading: 1},
 		"split without platform": {disturb: func(z *zone, _ string) {
 			z.platformDown = true
@@ -181,7 +181,7 @@
 			is.Equal(len(z.leaders(membership.Spreading)), c.spreading)
 
 			z.platformDown = false
-			clear(z.cut)
+			clear(z.partitioned)
 			z.run(5 * time.Second)
 			is.Equal(len(z.leaders(membership.Leading)), 1) // one lease again after all is well
 			is.Equal(len(z.leaders(membership.Spreading)), 0)
@@ -203,7 +203,7 @@
 	is.True(followed.Node != "" && followed.Node != leader)
 	is.True(!leads && leased)
 	is.Equal(z.leaders(membership.Leading), []string{leader})
-	clear(z.cut)
+	clear(z.partitioned)
 	z.run(5 * time.Second)
 	followed, leads, _ = z.election["f"].Followed(z.now)
 	is.Equal(followed.Node, leader)
@@ -215,10 +215,10 @@
 	z := newZone("a", "b", "c")
 	z.run(5 * time.Second)
 	paused := z.leaders(membership.Leading)[0]
-	z.dead[paused] = true
+	z.stopped[paused] = true
 	z.run(3 * time.Second)
-	is.True(!z.election[paused].Holds(z.now))
-	z.dead[paused] = false
+	is.True(!z.election[paused].HoldsLease(z.now))
+	z.stopped[paused] = false
 	z.run(3 * time.Second)
 	is.Equal(len(z.leaders(membership.Leading)), 1)
 	is.True(!slices.Contains(z.leaders(membership.Leading), paused))
@@ -242,12 +242,12 @@
 	s.Merge(record("a", 1), record("b", 1), record("a", 2), record("a", 1))
 	newer, next := s.Since(0, 100, nil)
 	is.Equal(recordsOf(newer), []membership.Record{record("b", 1), record("a", 2)}) // each record once, the newest
-	is.Equal(next, s.Last())
+	is.Equal(next, s.LastChange())
 	newer, next = s.Since(0, 1, nil)
 	is.Equal(len(newer), 1) // as many as fit
 	newer, next = s.Since(next, 1, nil)
 	is.Equal(recordsOf(newer), []membership.Record{record("a", 2)})
-	is.Equal(next, s.Last())
+	is.Equal(next, s.LastChange())
 	for i := range uint64(1000) {
 		s.Merge(record("a", i))
 	}
@@ -261,9 +261,9 @@
 	long := func(sequence uint64, until int) membership.Record {
 		return membership.Record{Key: "homes/a", Version: membership.Version{Sequence: sequence}, Value: value(until)}
 	}
-	s := membership.NewRecords(membership.Renewal{Prefix: "homes/"})
+	s := membership.NewRecords(membership.RenewalRule{Prefix: "homes/"})
 	s.Merge(long(1, 100))
-	seen, digest := s.Last(), s.Digest()
+	seen, digest := s.LastChange(), s.Digest()
 	s.Merge(long(2, 207))
 	is.Equal(s.Digest(), digest) // renewals are left out of the digests
 	changes, _ := s.Since(seen, 1<<20, nil)
@@ -292,7 +292,7 @@
 		structure := func(value []byte) membership.Structure {
 			return membership.Structure{Term: uint64(value[0]), Zone: string(value[1])}
 		}
-		s := membership.NewRecords(membership.Renewal{Prefix: "homes/", Structure: structure})
+		s := membership.NewRecords(membership.RenewalRule{Prefix: "homes/", Structure: structure})
 		all, none := newReader(s, nil), newReader(s, func(string) bool { return false })
 		value := append([]byte{1, 'a'}, bytes.Repeat([]byte("x"), 200)...)
 		structural := 0
@@ -315,35 +315,35 @@
 		is.Equal(all.held["homes/a"], held)
 		is.Equal(structure(none.held["homes/a"].Value), structure(held.Value))
 		is.Equal(none.held["b"], all.held["b"])
-		is.True(none.taken <= structural) // no renewal
+		is.True(none.applied <= structural) // no renewal
 	}
 }
 
 // reader reads a store's changes again and again, little by little, as another node does.
 type reader struct {
 	from    *membership.Records
-	follows membership.Follows
+	follows membership.ZoneFilter
 	seen    uint64
 	held    map[string]membership.Record
-	taken   int
+	applied int
 }
 
-func newReader(from *membership.Records, follows membership.Follows) *reader {
+func newReader(from *membership.Records, follows membership.ZoneFilter) *reader {
 	return &reader{from: from, follows: follows, held: map[string]membership.Record{}}
 }
 
 func (r *reader) read(is *is.I) {
-	for r.seen < r.from.Last() {
+	for r.seen < r.from.LastChange() {
 		changes, next := r.from.Since(r.seen, 1, r.follows)
 		for _, c := range changes {
-			r.take(is, c)
+			r.apply(is, c)
 		}
 		is.True(next > r.seen)
 		r.seen = next
 	}
 }
 
-func (r *reader) take(is *is.I, c membership.Change) {
+func (r *reader) apply(is *is.I, c membership.Change) {
 	held := r.held[c.Record.Key]
 	if c.Record.Version.Compare(held.Version) <= 0 {
 		return
@@ -356,7 +356,7 @@
 	}
 	r.held[c.Record.Key] = made
 	if c.Record.Key != "b" {
-		r.taken++
+		r.applied++
 	}
 }
 
@@ -372,8 +372,8 @@
 	b.Merge(record("a", 2))
 	theirs := b.Versions(a.Digests())
 	is.True(len(theirs) < 100) // two buckets of the 64
-	b.Merge(a.Newer(b.Digests(), theirs)...)
-	is.Equal(a.Wanted(theirs), []string{"a"})
+	b.Merge(a.NewerThan(b.Digests(), theirs)...)
+	is.Equal(a.MissingKeys(theirs), []string{"a"})
 	a.Merge(record("a", 2))
 	is.Equal(a.Digest(), b.Digest())
 }
@@ -381,12 +381,12 @@
 func TestMarksAndOwnRecordsNeverMeet(t *testing.T) {
 	is := is.New(t)
 	m := membership.Member{Node: "a", State: membership.Up}
-	own := m.Record(membership.Version{Epoch: 1, Sequence: membership.OwnSequence(0)})
-	mark := m.MarkedDown(own.Version, time.Unix(1, 0))
+	own := m.Record(membership.Version{Epoch: 1, Sequence: membership.NextOwnSequence(0)})
+	mark := m.DownRecord(own.Version, time.Unix(1, 0))
 	is.Equal(mark.Version.Compare(own.Version), 1)
-	again := membership.OwnSequence(mark.Version.Sequence)
+	again := membership.NextOwnSequence(mark.Version.Sequence)
 	is.True(again > mark.Version.Sequence) // the member refutes the mark
-	next := membership.OwnSequence(own.Version.Sequence)
+	next := membership.NextOwnSequence(own.Version.Sequence)
 	is.True(next > mark.Version.Sequence) // and so does a change made at the same moment
 }
 
@@ -402,10 +402,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := membership.NewRecords(membership.Renewal{Prefix: "homes/"})
+			s := membership.NewRecords(membership.RenewalRule{Prefix: "homes/"})
 			first := membership.Record{Key: "homes/a", Version: membership.Version{Epoch: 1}, Value: value(0)}
 			s.Merge(first)
-			seen := s.Last()
+			seen := s.LastChange()
 			last := first
 			for i := range c.renewals {
 				last = membership.Record{Key: "homes/a", Version: membership.Version{Epoch: uint64(i) + 2}, Value: value(i + 1)}
@@ -428,11 +428,11 @@
 		got  time.Duration
 		want time.Duration
 	}{
-		"few members":  {membership.BeatPeriod(time.Second, 36), time.Second},
-		"many members": {membership.BeatPeriod(time.Second, 72), 2 * time.Second},
-		"no zone":      {membership.MeetPeriod(time.Second, 0), time.Second},
-		"few zones":    {membership.MeetPeriod(time.Second, 8), time.Second},
-		"many zones":   {membership.MeetPeriod(time.Second, 28), 3500 * time.Millisecond},
+		"few members":  {membership.HeartbeatPeriod(time.Second, 36), time.Second},
+		"many members": {membership.HeartbeatPeriod(time.Second, 72), 2 * time.Second},
+		"no zone":      {membership.InterZoneHeartbeatPeriod(time.Second, 0), time.Second},
+		"few zones":    {membership.InterZoneHeartbeatPeriod(time.Second, 8), time.Second},
+		"many zones":   {membership.InterZoneHeartbeatPeriod(time.Second, 28), 3500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(c.got, c.want) })
 	}
--- a/internal/decide/membership/member.go
+++ b/internal/decide/membership/member.go
@@ -32,8 +32,8 @@
 	Slots       int    `json:"slots,omitempty"`
 	Connections int    `json:"connections,omitempty"`
 	State       State  `json:"state"`
-	// Lost says that the backend server is not there, though the node is.
-	Lost bool `json:"lost,omitempty"`
+	// BackendLost says that the backend server is not there, though the node is.
+	BackendLost bool `json:"lost,omitempty"`
 	// Unconfirmed says that the member's entry in the platform's store went without a word of it.
 	Unconfirmed bool `json:"unconfirmed,omitempty"`
 	// DownSince is when a leader marked the member down, in seconds of Unix time.
@@ -44,9 +44,9 @@
 	AnswersFor string `json:"answers_for,omitempty"`
 }
 
-// TakesWork reports whether requests may be sent to the member's backend server.
-func (m Member) TakesWork() bool {
-	return m.Service != "" && m.State == Up && !m.Lost
+// AcceptsRequests reports whether requests may be sent to the member's backend server.
+func (m Member) AcceptsRequests() bool {
+	return m.Service != "" && m.State == Up && !m.BackendLost
 }
 
 // Record returns the member as a record.
@@ -65,45 +65,45 @@
 	return m, err
 }
 
-// OwnSequence returns the sequence by which a member's own record follows the one held: an even number.
-func OwnSequence(held uint64) uint64 {
+// NextOwnSequence returns the sequence by which a member's own record follows the one held: an even number.
+func NextOwnSequence(held uint64) uint64 {
 	return (held | 1) + 1
 }
 
-// MarkedDown returns the record by which a leader marks the member down. Its sequence is odd, so that it never meets
+// DownRecord returns the record by which a leader marks the member down. Its sequence is odd, so that it never meets
 // the member's own record with the same version; the member's next record refutes it.
-func (m Member) MarkedDown(held Version, now time.Time) Record {
+func (m Member) DownRecord(held Version, now time.Time) Record {
 	m.State = Down
 	m.DownSince = now.Unix()
 	return m.Record(Version{Epoch: held.Epoch, Sequence: held.Sequence | 1})
 }
 
-// IsMark reports whether a member's record of the version was made by a leader that marked it down.
-func IsMark(v Version) bool {
+// IsDownMark reports whether a member's record of the version was made by a leader that marked it down.
+func IsDownMark(v Version) bool {
 	return v.Sequence%2 == 1
 }
 
-// forgetAfter is how long the record of a member that is down is kept, so that no older record of it comes back.
-const forgetAfter = time.Hour
+// downRetention is how long the record of a member that is down is kept, so that no older record of it comes back.
+const downRetention = time.Hour
 
-// IsForgotten reports whether the member has been down for so long that its record is dropped, by every node alike.
-func (m Member) IsForgotten(now time.Time) bool {
-	return m.State == Down && now.Sub(time.Unix(m.DownSince, 0)) > forgetAfter
+// IsExpired reports whether the member has been down for so long that its record is dropped, by every node alike.
+func (m Member) IsExpired(now time.Time) bool {
+	return m.State == Down && now.Sub(time.Unix(m.DownSince, 0)) > downRetention
 }
 
-// beatsPerPeriod bounds the heartbeats that a leader takes in one period of a small zone.
-const beatsPerPeriod = 36
+// heartbeatsPerPeriod bounds the heartbeats that a leader takes in one period of a small zone.
+const heartbeatsPerPeriod = 36
 
-// BeatPeriod returns the time between heartbeats in a zone of so many members. It grows with the zone, so that the
+// HeartbeatPeriod returns the time between heartbeats in a zone of so many members. It grows with the zone, so that the
 // leader's work does not.
-func BeatPeriod(period time.Duration, members int) time.Duration {
-	return period * time.Duration(max(members, beatsPerPeriod)) / beatsPerPeriod
+func HeartbeatPeriod(period time.Duration, members int) time.Duration {
+	return period * time.Duration(max(members, heartbeatsPerPeriod)) / heartbeatsPerPeriod
 }
 
 // zonesPerPeriod bounds the other availability zones whose leaders get a heartbeat in each period.
 const zonesPerPeriod = 8
 
-// MeetPeriod returns the time between heartbeats to the leaders of so many other availability zones.
-func MeetPeriod(period time.Duration, zones int) time.Duration {
+// InterZoneHeartbeatPeriod returns the time between heartbeats to the leaders of so many other availability zones.
+func InterZoneHeartbeatPeriod(period time.Duration, zones int) time.Duration {
 	return period * time.Duration(max(zones, zonesPerPeriod)) / zonesPerPeriod
 }
--- a/internal/decide/membership/patch.go
+++ b/internal/decide/membership/patch.go
@@ -17,27 +17,27 @@
 	Prefix int
 	Suffix int
 	Middle []byte
-	// Sum is the checksum of the new value.
-	Sum uint64
+	// Checksum is the checksum of the new value.
+	Checksum uint64
 }
 
-// patchOverhead is how many bytes a patch must spare to be used.
-const patchOverhead = 64
+// minPatchSaving is how many bytes a patch must spare to be used.
+const minPatchSaving = 64
 
 // NewPatch returns the patch from one record to another, and whether it is worth while.
 func NewPatch(from, to Record) (Patch, bool) {
 	prefix := commonPrefix(from.Value, to.Value)
 	suffix := commonSuffix(from.Value[prefix:], to.Value[prefix:])
-	p := Patch{
-		Key:     to.Key,
-		Base:    from.Version,
-		Version: to.Version,
-		Prefix:  prefix,
-		Suffix:  suffix,
-		Middle:  to.Value[prefix : len(to.Value)-suffix],
-		Sum:     xxhash.Sum64(to.Value),
+	patch := Patch{
+		Key:      to.Key,
+		Base:     from.Version,
+		Version:  to.Version,
+		Prefix:   prefix,
+		Suffix:   suffix,
+		Middle:   to.Value[prefix : len(to.Value)-suffix],
+		Checksum: xxhash.Sum64(to.Value),
 	}
-	return p, prefix+suffix > patchOverhead
+	return patch, prefix+suffix > minPatchSaving
 }
 
 // Apply returns the new record. It reports false where the record held is not the one that the patch was made from.
@@ -46,7 +46,7 @@
 		return Record{}, false
 	}
 	value := bytes.Join([][]byte{held.Value[:p.Prefix], p.Middle, held.Value[len(held.Value)-p.Suffix:]}, nil)
-	return Record{Key: p.Key, Version: p.Version, Value: value}, xxhash.Sum64(value) == p.Sum
+	return Record{Key: p.Key, Version: p.Version, Value: value}, xxhash.Sum64(value) == p.Checksum
 }
 
 func commonPrefix(a, b []byte) int {
--- a/internal/decide/membership/records.go
+++ b/internal/decide/membership/records.go
@@ -62,14 +62,14 @@
 
 // Records holds the newest record under each key that a node has seen, and the order in which they came.
 type Records struct {
-	renewals []Renewal
-	// renewed are the keys of the records of these kinds.
-	renewed map[string]bool
-	byKey   map[string]numbered
-	digests [Buckets]uint64
+	renewalRules []RenewalRule
+	// renewedKeys are the keys of the records of these kinds.
+	renewedKeys map[string]bool
+	byKey       map[string]entry
+	digests     [Buckets]uint64
 	// changes are in order; one is stale where the key has changed again.
-	changes []change
-	last    uint64
+	changes    []change
+	lastNumber uint64
 }
 
 type change struct {
@@ -78,21 +78,21 @@
 }
 
 // NewRecords returns an empty store. The digests cover only the structure of records that are renewed all the time.
-func NewRecords(renewals ...Renewal) *Records {
-	return &Records{renewals: renewals, renewed: map[string]bool{}, byKey: map[string]numbered{}}
+func NewRecords(renewals ...RenewalRule) *Records {
+	return &Records{renewalRules: renewals, renewedKeys: map[string]bool{}, byKey: map[string]entry{}}
 }
 
 // Merge takes the records that are newer than those held and returns them.
 func (s *Records) Merge(received ...Record) []Record {
 	var changed []Record
 	for _, r := range received {
-		held, stands := s.byKey[r.Key]
-		if stands && r.Version.Compare(held.Version) <= 0 {
+		held, exists := s.byKey[r.Key]
+		if exists && r.Version.Compare(held.Version) <= 0 {
 			continue
 		}
-		s.last++
+		s.lastNumber++
 		s.replace(held, r)
-		s.changes = append(s.changes, change{number: s.last, key: r.Key})
+		s.changes = append(s.changes, change{number: s.lastNumber, key: r.Key})
 		changed = append(changed, r)
 	}
 	s.compact()
@@ -100,40 +100,40 @@
 }
 
 // replace puts the record in the place of the one held, which may be none.
-func (s *Records) replace(held numbered, r Record) {
+func (s *Records) replace(held entry, r Record) {
 	structure, renewed := s.structureOf(r)
-	next := held.followed(r, s.last, renewed, structure)
+	next := held.replacedBy(r, s.lastNumber, renewed, structure)
 	if held.number != 0 {
-		s.toggle(held)
+		s.toggleDigest(held)
 	}
-	s.toggle(next)
+	s.toggleDigest(next)
 	s.byKey[r.Key] = next
 	if renewed {
-		s.renewed[r.Key] = true
+		s.renewedKeys[r.Key] = true
 	}
 }
 
 // Drop forgets the record under the key.
 func (s *Records) Drop(key string) {
-	held, stands := s.byKey[key]
-	if stands {
-		s.toggle(held)
+	held, exists := s.byKey[key]
+	if exists {
+		s.toggleDigest(held)
 		delete(s.byKey, key)
-		delete(s.renewed, key)
+		delete(s.renewedKeys, key)
 	}
 }
 
-// toggle puts the record into the digest of its bucket, or takes it out.
-func (s *Records) toggle(n numbered) {
-	s.digests[bucketOf(n.Key)] ^= hash(n.Key, n.mark())
+// toggleDigest puts the record into the digest of its bucket, or takes it out.
+func (s *Records) toggleDigest(n entry) {
+	s.digests[bucketOf(n.Key)] ^= hash(n.Key, n.digestVersion())
 }
 
-// leastChanges are kept without a look for stale ones.
-const leastChanges = 64
+// minChangesToCompact are kept without a look for stale ones.
+const minChangesToCompact = 64
 
 // compact drops the stale changes once they outnumber the others.
 func (s *Records) compact() {
-	if len(s.changes) < leastChanges+2*len(s.byKey) {
+	if len(s.changes) < minChangesToCompact+2*len(s.byKey) {
 		return
 	}
 	s.changes = slices.DeleteFunc(s.changes, func(c change) bool { return s.byKey[c.key].number != c.number })
@@ -150,8 +150,8 @@
 	return len(s.byKey)
 }
 
-// Prefix returns the records whose keys begin with the prefix, by key.
-func (s *Records) Prefix(prefix string) []Record {
+// WithPrefix returns the records whose keys begin with the prefix, by key.
+func (s *Records) WithPrefix(prefix string) []Record {
 	var found []Record
 	for key, r := range s.byKey {
 		if strings.HasPrefix(key, prefix) {
@@ -162,9 +162,9 @@
 	return found
 }
 
-// Last returns the number of the newest change.
-func (s *Records) Last() uint64 {
-	return s.last
+// LastChange returns the number of the newest change.
+func (s *Records) LastChange() uint64 {
+	return s.lastNumber
 }
 
 // Change is a record, or the patch by which one who has seen all earlier changes gets it.
@@ -177,28 +177,28 @@
 // Since returns what came after the change of the given number, in order, up to so many bytes of values but at least
 // one, and the number to go on from. One who follows only some zones, where follows is not nil, gets changes of
 // structure in the place of the others' renewals; they come first and whatever their size.
-func (s *Records) Since(after uint64, bytes int, follows Follows) (changes []Change, next uint64) {
+func (s *Records) Since(after uint64, maxBytes int, follows ZoneFilter) (changes []Change, next uint64) {
 	start, _ := slices.BinarySearchFunc(s.changes, after+1, func(c change, n uint64) int { return cmp.Compare(c.number, n) })
 	if start == len(s.changes) {
-		return nil, s.last
+		return nil, s.lastNumber
 	}
 	seen := after
-	changes = s.structures(seen, follows)
+	changes = s.structuralChanges(seen, follows)
 	unordered := len(changes)
 	for _, c := range s.changes[start:] {
 		n := s.byKey[c.key]
-		if n.number != c.number || n.isLimited(follows) {
+		if n.number != c.number || n.isStructureOnly(follows) {
 			continue
 		}
-		found := n.change(seen)
-		bytes -= found.size()
-		if len(changes) > unordered && bytes < 0 {
+		found := n.changeSince(seen)
+		maxBytes -= found.size()
+		if len(changes) > unordered && maxBytes < 0 {
 			return changes, after
 		}
 		changes = append(changes, found)
 		after = c.number
 	}
-	return changes, s.last
+	return changes, s.lastNumber
 }
 
 func (c Change) size() int {
@@ -234,27 +234,27 @@
 	return versions
 }
 
-// Newer returns the records, in the buckets whose digests are not the given ones, that a peer with the versions lacks.
-func (s *Records) Newer(digests []uint64, versions map[string]Version) []Record {
+// NewerThan returns the records, in the buckets whose digests are not the given ones, that a peer with the versions lacks.
+func (s *Records) NewerThan(digests []uint64, versions map[string]Version) []Record {
 	var newer []Record
 	for key := range s.Versions(digests) {
 		r := s.byKey[key]
-		held, stands := versions[key]
-		if !stands || held.Compare(r.Version) < 0 {
+		held, exists := versions[key]
+		if !exists || held.Compare(r.Version) < 0 {
 			newer = append(newer, r.Record)
 		}
 	}
 	return newer
 }
 
-// Wanted returns the keys of which a peer with the versions has newer records.
-func (s *Records) Wanted(versions map[string]Version) []string {
-	var wanted []string
+// MissingKeys returns the keys of which a peer with the versions has newer records.
+func (s *Records) MissingKeys(versions map[string]Version) []string {
+	var missing []string
 	for key, v := range versions {
-		held, stands := s.byKey[key]
-		if !stands || held.Version.Compare(v) < 0 {
-			wanted = append(wanted, key)
+		held, exists := s.byKey[key]
+		if !exists || held.Version.Compare(v) < 0 {
+			missing = append(missing, key)
 		}
 	}
-	return wanted
+	return missing
 }
--- a/internal/decide/membership/renewal.go
+++ b/internal/decide/membership/renewal.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Renewal is a kind of records that are renewed all the time, such as a lease with its end.
-type Renewal struct {
+// RenewalRule is a kind of records that are renewed all the time, such as a lease with its end.
+type RenewalRule struct {
 	// Prefix begins the keys of the records.
 	Prefix string
 	// Structure reads what a mere renewal leaves as it is; nil for nothing.
@@ -21,68 +21,68 @@
 	Zone string
 }
 
-// Follows says of which availability zones a node gets the renewals; of the others it gets changes of the structure only.
-type Follows func(zone string) bool
+// ZoneFilter says of which availability zones a node gets the renewals; of the others it gets changes of the structure only.
+type ZoneFilter func(zone string) bool
 
-// numbered is a record with the number of the change that brought it.
-type numbered struct {
+// entry is a record with the number of the change that brought it.
+type entry struct {
 	Record
 
 	number uint64
-	// earlier are the records that this one replaced, the newest last.
-	earlier []earlier
+	// previous are the records that this one replaced, the newest last.
+	previous []previousRecord
 
 	renewed   bool
 	structure Structure
-	// anchor is the record as it was when its structure last changed, and priorAnchor the one before. Who follows no
+	// lastStructural is the record as it was when its structure last changed, and priorAnchor the one before. Who follows no
 	// renewals holds just these.
-	anchor      earlier
-	priorAnchor earlier
-	// moved says that the last change of the structure brought another zone.
-	moved bool
+	lastStructural  previousRecord
+	priorStructural previousRecord
+	// zoneChanged says that the last change of the structure brought another zone.
+	zoneChanged bool
 }
 
-// earlier is a record that was replaced, with the number of the change that had brought it; 0 for none.
-type earlier struct {
+// previousRecord is a record that was replaced, with the number of the change that had brought it; 0 for none.
+type previousRecord struct {
 	record Record
 	number uint64
 }
 
-// maxEarlier is how many replaced records are kept of one that is renewed all the time, for those who ask seldom.
-const maxEarlier = 8
+// maxPrevious is how many replaced records are kept of one that is renewed all the time, for those who ask seldom.
+const maxPrevious = 8
 
-// followed returns the record with its successor in its place.
-func (n numbered) followed(r Record, number uint64, renewed bool, structure Structure) numbered {
+// replacedBy returns the record with its successor in its place.
+func (n entry) replacedBy(r Record, number uint64, renewed bool, structure Structure) entry {
 	next := n
 	next.Record, next.number = r, number
-	next.earlier = append(slices.Clone(n.earlier), earlier{n.Record, n.number})
-	most := 1
+	next.previous = append(slices.Clone(n.previous), previousRecord{n.Record, n.number})
+	limit := 1
 	if renewed {
-		most = maxEarlier
+		limit = maxPrevious
 	}
-	next.earlier = next.earlier[max(0, len(next.earlier)-most):]
+	next.previous = next.previous[max(0, len(next.previous)-limit):]
 	next.renewed, next.structure = renewed, structure
 	if renewed && (structure != n.structure || n.number == 0) {
-		next.anchor, next.priorAnchor = earlier{r, number}, n.anchor
-		next.moved = structure.Zone != n.structure.Zone
+		next.lastStructural, next.priorStructural = previousRecord{r, number}, n.lastStructural
+		next.zoneChanged = structure.Zone != n.structure.Zone
 	}
 	return next
 }
 
-// mark is the version that counts in the digests: renewals don't, because no two nodes would ever agree.
-func (n numbered) mark() Version {
+// digestVersion is the version that counts in the digests: renewals don't, because no two nodes would ever agree.
+func (n entry) digestVersion() Version {
 	if n.renewed {
 		return Version{Epoch: n.structure.Term}
 	}
 	return n.Version
 }
 
-// change returns the record as a patch for one who has seen the changes up to the number, where that spares bytes.
-func (n numbered) change(seen uint64) Change {
-	if n.moved && n.anchor.number > seen {
+// changeSince returns the record as a patch for one who has seen the changes up to the number, where that spares bytes.
+func (n entry) changeSince(seen uint64) Change {
+	if n.zoneChanged && n.lastStructural.number > seen {
 		return Change{Record: n.Record}
 	}
-	for _, e := range slices.Backward(n.earlier) {
+	for _, e := range slices.Backward(n.previous) {
 		if e.number <= seen {
 			return e.changeTo(n.Record)
 		}
@@ -90,54 +90,54 @@
 	return Change{Record: n.Record}
 }
 
-// structural returns the last change of the structure for one who follows no renewals. It reports false where that was
+// structuralChangeSince returns the last change of the structure for one who follows no renewals. It reports false where that was
 // seen.
-func (n numbered) structural(seen uint64) (Change, bool) {
-	if n.anchor.number <= seen {
+func (n entry) structuralChangeSince(seen uint64) (Change, bool) {
+	if n.lastStructural.number <= seen {
 		return Change{}, false
 	}
-	if n.moved || n.priorAnchor.number > seen {
-		return Change{Record: n.anchor.record}, true
+	if n.zoneChanged || n.priorStructural.number > seen {
+		return Change{Record: n.lastStructural.record}, true
 	}
-	return n.priorAnchor.changeTo(n.anchor.record), true
+	return n.priorStructural.changeTo(n.lastStructural.record), true
 }
 
-func (e earlier) changeTo(r Record) Change {
+func (e previousRecord) changeTo(r Record) Change {
 	if e.number == 0 {
 		return Change{Record: r}
 	}
-	patch, worthWhile := NewPatch(e.record, r)
-	return Change{Record: r, Patch: patch, Patched: worthWhile}
+	patch, patched := NewPatch(e.record, r)
+	return Change{Record: r, Patch: patch, Patched: patched}
 }
 
-// isLimited reports whether one who follows the zones gets only the changes of the record's structure.
-func (n numbered) isLimited(follows Follows) bool {
+// isStructureOnly reports whether one who follows the zones gets only the changes of the record's structure.
+func (n entry) isStructureOnly(follows ZoneFilter) bool {
 	return n.renewed && follows != nil && !follows(n.structure.Zone)
 }
 
-// structures returns the changes of structure, after the change of the given number, of the records whose renewals are
+// structuralChanges returns the changes of structure, after the change of the given number, of the records whose renewals are
 // not followed.
-func (s *Records) structures(after uint64, follows Follows) []Change {
+func (s *Records) structuralChanges(after uint64, follows ZoneFilter) []Change {
 	var changes []Change
-	for key := range s.renewed {
+	for key := range s.renewedKeys {
 		n := s.byKey[key]
-		if !n.isLimited(follows) {
+		if !n.isStructureOnly(follows) {
 			continue
 		}
-		if found, unseen := n.structural(after); unseen {
+		if found, unseen := n.structuralChangeSince(after); unseen {
 			changes = append(changes, found)
 		}
 	}
 	return changes
 }
 
-// Renewed returns the records that are renewed all the time, as one who follows the zones gets them.
-func (s *Records) Renewed(follows Follows) []Record {
+// RenewedRecords returns the records that are renewed all the time, as one who follows the zones gets them.
+func (s *Records) RenewedRecords(follows ZoneFilter) []Record {
 	var records []Record
-	for key := range s.renewed {
+	for key := range s.renewedKeys {
 		n := s.byKey[key]
-		if n.isLimited(follows) {
-			records = append(records, n.anchor.record)
+		if n.isStructureOnly(follows) {
+			records = append(records, n.lastStructural.record)
 		} else {
 			records = append(records, n.Record)
 		}
@@ -145,20 +145,20 @@
 	return records
 }
 
-func (s *Records) renewal(key string) (Renewal, bool) {
-	for _, r := range s.renewals {
+func (s *Records) renewalRule(key string) (RenewalRule, bool) {
+	for _, r := range s.renewalRules {
 		if strings.HasPrefix(key, r.Prefix) {
 			return r, true
 		}
 	}
-	return Renewal{}, false
+	return RenewalRule{}, false
 }
 
 // structureOf returns the structure of the record, and whether it is one that is renewed all the time.
 func (s *Records) structureOf(r Record) (Structure, bool) {
-	renewal, found := s.renewal(r.Key)
-	if !found || renewal.Structure == nil {
+	rule, found := s.renewalRule(r.Key)
+	if !found || rule.Structure == nil {
 		return Structure{}, found
 	}
-	return renewal.Structure(r.Value), true
+	return rule.Structure(r.Value), true
 }
--- a/internal/decide/outcome/explore_opaque_test.go
+++ b/internal/decide/outcome/explore_opaque_test.go
@@ -14,42 +14,42 @@
 
 // opaqueRules are the guards of opaque keys that a trial may take out.
 type opaqueRules struct {
-	// third adds a node, and handovers adds them and restarts.
-	third     bool
+	// thirdNode adds a node, and handovers adds them and restarts.
+	thirdNode bool
 	handovers bool
-	// start takes the first steps, after which the exploration begins.
-	start func(m *model)
-	// unasked lets a home run a key that earlier homes have not moved, and latest asks only the latest of them.
-	unasked bool
-	latest  bool
-	// refusedOnce lets a home that has refused a key run it later without asking again.
-	refusedOnce bool
-	// unmarked lets a node that has moved a key forget that at once.
-	unmarked bool
-	// endless lets a home run keys after the end of the last epoch that it knows.
-	endless bool
-	// unchecked lets a home run a key without another look at the shard once earlier ones have moved it.
-	unchecked bool
-	// sinceArrival counts the window from when the key was first seen, whatever happened to it later.
-	sinceArrival bool
-	// openAnswer lets a node that has handed its keys over go on moving keys that it has not seen.
-	openAnswer bool
+	// prepare takes the first steps, after which the exploration begins.
+	prepare func(m *model)
+	// skipEarlierOwners lets a home run a key that earlier homes have not moved, and latest asks only the latest of them.
+	skipEarlierOwners bool
+	askOnlyLatest     bool
+	// skipAfterRefusal lets a home that has refused a key run it later without asking again.
+	skipAfterRefusal bool
+	// forgetMoved lets a node that has moved a key forget that at once.
+	forgetMoved bool
+	// ignoreEpochEnd lets a home run keys after the end of the last epoch that it knows.
+	ignoreEpochEnd bool
+	// skipRecheck lets a home run a key without another look at the shard once earlier ones have moved it.
+	skipRecheck bool
+	// windowFromFirstCopy counts the window from when the key was first seen, whatever happened to it later.
+	windowFromFirstCopy bool
+	// moveAfterHandover lets a node that has handed its keys over go on moving keys that it has not seen.
+	moveAfterHandover bool
 }
 
 const (
 	opaqueKey = "opaque"
 	// opaqueWindow is in the model's milliseconds, and longer than the shard is renewed ahead.
 	opaqueWindow = 3
-	// opaqueEnd is when the exploration ends.
-	opaqueEnd = 9
-	// opaqueWrites bounds the versions of the shard.
-	opaqueWrites = 4
+	// opaqueLastTime is when the exploration ends.
+	opaqueLastTime = 9
+	// maxOpaqueWrites bounds the versions of the shard.
+	maxOpaqueWrites = 4
 )
 
-var opaqueConfig = TableConfig{Window: opaqueWindow * time.Millisecond, Ahead: time.Hour, MaxKeys: 10, MaxBytes: 1 << 20}
+var opaqueConfig = TableConfig{Window: opaqueWindow * time.Millisecond, MaxAhead: time.Hour, MaxKeys: 10, MaxBytes: 1 << 20}
 
-// asking is a request whose home still asks earlier ones to move its key.
-type asking struct {
+// pendingMove is a request whose home still asks earlier ones to move its key.
+type pendingMove struct {
 	earlier  []Node
 	deadline int64
 }
@@ -57,15 +57,15 @@
 func newOpaqueModel(r rules) model {
 	m := newModel(r)
 	m.lastRun = -opaqueWindow
-	if r.opaque.third {
-		m.nodes = append(m.nodes, modelNode{self: Node{"c", 1}, known: m.written, heirOf: map[Node]bool{}})
+	if r.opaque.thirdNode {
+		m.nodes = append(m.nodes, modelNode{self: Node{"c", 1}, known: m.written, successorOf: map[Node]bool{}})
 	}
 	for i := range m.nodes {
 		m.nodes[i].table = NewTable[string](opaqueConfig)
-		m.nodes[i].table.floor = -opaqueWindow
+		m.nodes[i].table.windowStart = -opaqueWindow
 	}
-	if r.opaque.start != nil {
-		r.opaque.start(&m)
+	if r.opaque.prepare != nil {
+		r.opaque.prepare(&m)
 	}
 	return m
 }
@@ -80,33 +80,33 @@
 
 func (n *modelNode) appendOpaque(b []byte) []byte {
 	if e, ok := n.table.entries[opaqueKey]; ok {
-		b = append(b, byte(e.State), byte(e.UnixMillis), byte(e.decided.UnixMilli()))
+		b = append(b, byte(e.State), byte(e.UnixMillis), byte(e.reportedAt.UnixMilli()))
 		b = append(b, e.MovedTo.Name...)
 		b = append(b, byte(e.MovedTo.Incarnation))
 	}
-	b = append(b, byte(n.table.floor), byte(flag(n.table.closed)))
-	if n.asking == nil {
+	b = append(b, byte(n.table.windowStart), byte(bit(n.table.closed)))
+	if n.pendingMove == nil {
 		return b
 	}
-	for _, home := range n.asking.earlier {
-		b = append(b, home.Name[0], byte(home.Incarnation))
+	for _, owner := range n.pendingMove.earlier {
+		b = append(b, owner.Name[0], byte(owner.Incarnation))
 	}
-	return append(b, byte(n.asking.deadline), 255)
+	return append(b, byte(n.pendingMove.deadline), 255)
 }
 
-func (m model) nextOpaque() []model {
+func (m model) opaqueSuccessors() []model {
 	var states []model
 	step := m.step(&states)
 	for _, span := range []int64{1, opaqueWindow} {
-		step(func(c *model) bool { c.now += span; return c.now <= opaqueEnd })
+		step(func(c *model) bool { c.now += span; return c.now <= opaqueLastTime })
 	}
 	for i := range m.nodes {
-		step(func(c *model) bool { return c.arrive(i, Done) })
-		step(func(c *model) bool { return c.arrive(i, NotRun) })
-		step(func(c *model) bool { return c.askEarlier(i) })
+		step(func(c *model) bool { return c.receiveCopy(i, Done) })
+		step(func(c *model) bool { return c.receiveCopy(i, NotRun) })
+		step(func(c *model) bool { return c.askEarlierOwner(i) })
 		step(func(c *model) bool { return c.learn(i, c.written, true) })
 		for _, reach := range []int{0, 1 << i, everyNode} {
-			step(func(c *model) bool { return c.agree(i, reach) })
+			step(func(c *model) bool { return c.renewShard(i, reach) })
 		}
 		if m.rules.opaque.handovers {
 			step(func(c *model) bool { return c.restart(i) })
@@ -122,15 +122,15 @@
 // everyNode is the set of all nodes, as bits.
 const everyNode = 1<<3 - 1
 
-// agree renews the shard with the member as the home, and lets the nodes in reach, as bits, learn of it at once.
-func (m *model) agree(member, reach int) bool {
+// renewShard renews the shard with the member as the home, and lets the nodes in reach, as bits, learn of it at once.
+func (m *model) renewShard(member, reach int) bool {
 	next, changed := m.written.Renew(Renewal{
-		Until:   m.now + 2,
-		Keep:    m.now - opaqueWindow,
-		Zone:    "zone",
-		Members: []Member{{Node: m.nodes[member].self}},
+		Until:      m.now + 2,
+		DropBefore: m.now - opaqueWindow,
+		Zone:       "zone",
+		Members:    []Member{{Node: m.nodes[member].self}},
 	})
-	if !changed || m.writes >= opaqueWrites {
+	if !changed || m.writes >= maxOpaqueWrites {
 		return false
 	}
 	m.written = next
@@ -143,80 +143,80 @@
 	return true
 }
 
-// current returns the nodes that must have moved the key before the node runs it, where the node decides about it.
-func (m *model) current(n *modelNode) ([]Node, bool) {
+// ownersToAsk returns the nodes that must have moved the key before the node runs it, where the node decides about it.
+func (m *model) ownersToAsk(n *modelNode) ([]Node, bool) {
 	now := m.now
-	if m.rules.opaque.endless {
+	if m.rules.opaque.ignoreEpochEnd {
 		now = min(now, n.known.Last().Until-1)
 	}
-	home, earlier, ok := n.known.Current("", opaqueKey, now, m.now-opaqueWindow)
-	if !ok || !n.answersFor(home) {
+	owner, earlier, ok := n.known.CurrentOwner("", opaqueKey, now, m.now-opaqueWindow)
+	if !ok || !n.answersFor(owner) {
 		return nil, false
 	}
 	return slices.DeleteFunc(earlier, n.answersFor), true
 }
 
-// arrive brings a copy of the request to the node. It is run, or shed, unless earlier homes must be asked first.
-func (m *model) arrive(node int, end State) bool {
+// receiveCopy brings a copy of the request to the node. It is run, or shed, unless earlier homes must be asked first.
+func (m *model) receiveCopy(node int, end State) bool {
 	n := &m.nodes[node]
-	earlier, ok := m.current(n)
-	if !ok || n.asking != nil {
+	earlier, ok := m.ownersToAsk(n)
+	if !ok || n.pendingMove != nil {
 		return false
 	}
-	n.own()
-	if !n.table.MayRun(m.tableTime(), opaqueKey) || m.rules.opaque.unasked || m.hasRefused(n) {
+	n.copyBeforeChange()
+	if !n.table.MayRun(m.tableTime(), opaqueKey) || m.rules.opaque.skipEarlierOwners || m.skipsAfterRefusal(n) {
 		earlier = nil
 	}
 	if len(earlier) == 0 {
-		return m.take(n, end)
+		return m.begin(n, end)
 	}
-	if m.rules.opaque.latest {
+	if m.rules.opaque.askOnlyLatest {
 		earlier = earlier[len(earlier)-1:]
 	}
-	n.asking = &asking{earlier: earlier, deadline: m.now + opaqueWindow}
+	n.pendingMove = &pendingMove{earlier: earlier, deadline: m.now + opaqueWindow}
 	return true
 }
 
-func (m *model) hasRefused(n *modelNode) bool {
+func (m *model) skipsAfterRefusal(n *modelNode) bool {
 	_, held := n.table.entries[opaqueKey]
-	return m.rules.opaque.refusedOnce && held
+	return m.rules.opaque.skipAfterRefusal && held
 }
 
-// askEarlier asks one earlier home to move the key. Once all have, the key is run.
-func (m *model) askEarlier(node int) bool {
+// askEarlierOwner asks one earlier home to move the key. Once all have, the key is run.
+func (m *model) askEarlierOwner(node int) bool {
 	n := &m.nodes[node]
-	if n.asking == nil {
+	if n.pendingMove == nil {
 		return false
 	}
-	n.own()
-	left := *n.asking
-	n.asking = nil
+	n.copyBeforeChange()
+	left := *n.pendingMove
+	n.pendingMove = nil
 	if m.now > left.deadline {
 		return true
 	}
 	if len(left.earlier) == 0 {
-		_, ok := m.current(n)
-		return !ok && !m.rules.opaque.unchecked || m.take(n, Done)
+		_, ok := m.ownersToAsk(n)
+		return !ok && !m.rules.opaque.skipRecheck || m.begin(n, Done)
 	}
 	switch m.moveFrom(n, left.earlier[0]) {
 	case Moved:
 		left.earlier = left.earlier[1:]
-		n.asking = &left
+		n.pendingMove = &left
 	case Absent:
-		n.asking = &left
+		n.pendingMove = &left
 		return false
 	}
 	return true
 }
 
 // moveFrom asks the node that answers for the earlier home to move the key. NotRun stands for one that can't be asked.
-func (m *model) moveFrom(n *modelNode, home Node) State {
-	if n.answersFor(home) {
+func (m *model) moveFrom(n *modelNode, owner Node) State {
+	if n.answersFor(owner) {
 		return Moved
 	}
 	for i := range m.nodes {
 		asked := &m.nodes[i]
-		if asked.answersFor(home) && !asked.answersFor(n.self) {
+		if asked.answersFor(owner) && !asked.answersFor(n.self) {
 			return m.move(asked, n.self)
 		}
 	}
@@ -224,35 +224,35 @@
 }
 
 func (m *model) move(asked *modelNode, to Node) State {
-	asked.own()
-	if m.rules.opaque.openAnswer {
+	asked.copyBeforeChange()
+	if m.rules.opaque.moveAfterHandover {
 		asked.table.closed = false
 	}
-	arrived := m.arrived(asked)
-	state := asked.table.Move(m.tableTime(), Ask{ID: opaqueKey, Fingerprint: 1}, to).State
+	arrived := m.windowStart(asked)
+	state := asked.table.Move(m.tableTime(), RequestCopy{ID: opaqueKey, Fingerprint: 1}, to).State
 	switch {
 	case state != Moved:
-	case m.rules.opaque.unmarked:
+	case m.rules.opaque.forgetMoved:
 		delete(asked.table.entries, opaqueKey)
-	case m.rules.opaque.sinceArrival:
+	case m.rules.opaque.windowFromFirstCopy:
 		asked.table.entries[opaqueKey].UnixMillis = arrived
 	}
 	return state
 }
 
-// arrived returns the time from which the window of the key counts once it has moved or begins to run.
-func (m *model) arrived(n *modelNode) int64 {
-	if e, ok := n.table.entries[opaqueKey]; ok && m.rules.opaque.sinceArrival {
+// windowStart returns the time from which the window of the key counts once it has moved or begins to run.
+func (m *model) windowStart(n *modelNode) int64 {
+	if e, ok := n.table.entries[opaqueKey]; ok && m.rules.opaque.windowFromFirstCopy {
 		return e.UnixMillis
 	}
 	return m.now
 }
 
-// take lets the node's table decide about a copy. A challenge is answered at once.
-func (m *model) take(n *modelNode, end State) bool {
+// begin lets the node's table decide about a copy. A challenge is answered at once.
+func (m *model) begin(n *modelNode, end State) bool {
 	now := m.tableTime()
-	arrived := m.arrived(n)
-	a := Ask{ID: opaqueKey, Fingerprint: 1, Token: "token"}
+	arrived := m.windowStart(n)
+	a := RequestCopy{ID: opaqueKey, Fingerprint: 1, Token: "token"}
 	verdict := n.table.Begin(now, a)
 	if verdict.Action == Challenge {
 		a.Confirm = verdict.Token
@@ -261,19 +261,19 @@
 	if verdict.Action != Run {
 		return false
 	}
-	if m.rules.opaque.sinceArrival {
+	if m.rules.opaque.windowFromFirstCopy {
 		n.table.entries[opaqueKey].UnixMillis = arrived
 	}
 	n.table.Settle(now, opaqueKey, end, "", 0)
 	if end == Done {
-		m.twice = m.now < m.lastRun+opaqueWindow
+		m.ranTwice = m.now < m.lastRun+opaqueWindow
 		m.lastRun = m.now
 	}
 	return true
 }
 
-func guardedOpaque() rules {
-	r := guarded
+func allOpaqueGuards() rules {
+	r := allGuards
 	r.opaque = &opaqueRules{}
 	return r
 }
@@ -285,13 +285,13 @@
 		depth  int
 	}{
 		"two nodes":             {change: func(*opaqueRules) {}, depth: 8},
-		"three nodes":           {change: func(r *opaqueRules) { r.third = true }, depth: 6},
+		"three nodes":           {change: func(r *opaqueRules) { r.thirdNode = true }, depth: 6},
 		"nodes leave and start": {change: func(r *opaqueRules) { r.handovers = true }, depth: 6},
 		"after a handover":      {change: afterHandover, depth: 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := guardedOpaque()
+			r := allOpaqueGuards()
 			tc.change(r.opaque)
 			steps, states := explore(r, tc.depth)
 			t.Logf("%d states in %d steps", states, tc.depth)
@@ -303,16 +303,16 @@
 // afterHandover begins after the second node has taken the first one's keys over.
 func afterHandover(r *opaqueRules) {
 	r.handovers = true
-	r.start = func(m *model) {
+	r.prepare = func(m *model) {
 		m.handOver(0)
 		m.deliver(0)
 	}
 }
 
-// atTheEndOfAnEpoch begins when the second node is the home, for one more millisecond.
-func atTheEndOfAnEpoch(r *opaqueRules) {
-	r.start = func(m *model) {
-		m.agree(1, everyNode)
+// atEpochEnd begins when the second node is the home, for one more millisecond.
+func atEpochEnd(r *opaqueRules) {
+	r.prepare = func(m *model) {
+		m.renewShard(1, everyNode)
 		m.now += 2
 	}
 }
@@ -321,24 +321,24 @@
 	t.Parallel()
 	const depth = 8
 	for name, change := range map[string]func(*opaqueRules){
-		"earlier homes are not asked":               func(r *opaqueRules) { r.unasked = true },
-		"only the latest earlier home is asked":     func(r *opaqueRules) { r.third, r.latest = true, true },
-		"a key that was refused is not asked for":   func(r *opaqueRules) { r.refusedOnce = true },
-		"a node forgets that a key has moved":       func(r *opaqueRules) { r.unmarked = true },
-		"a home goes on after the end of its epoch": func(r *opaqueRules) { r.endless = true },
-		"the window counts from the first copy":     func(r *opaqueRules) { r.sinceArrival = true },
+		"earlier homes are not asked":               func(r *opaqueRules) { r.skipEarlierOwners = true },
+		"only the latest earlier home is asked":     func(r *opaqueRules) { r.thirdNode, r.askOnlyLatest = true, true },
+		"a key that was refused is not asked for":   func(r *opaqueRules) { r.skipAfterRefusal = true },
+		"a node forgets that a key has moved":       func(r *opaqueRules) { r.forgetMoved = true },
+		"a home goes on after the end of its epoch": func(r *opaqueRules) { r.ignoreEpochEnd = true },
+		"the window counts from the first copy":     func(r *opaqueRules) { r.windowFromFirstCopy = true },
 		"a home looks at the shard before it asks": func(r *opaqueRules) {
-			r.unchecked = true
-			atTheEndOfAnEpoch(r)
+			r.skipRecheck = true
+			atEpochEnd(r)
 		},
 		"a node moves keys after its handover": func(r *opaqueRules) {
-			r.openAnswer = true
+			r.moveAfterHandover = true
 			afterHandover(r)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			broken := guardedOpaque()
+			broken := allOpaqueGuards()
 			change(broken.opaque)
 			steps, _ := explore(broken, depth)
 			t.Logf("broken after %d steps", steps)
--- a/internal/decide/outcome/explore_test.go
+++ b/internal/decide/outcome/explore_test.go
@@ -20,42 +20,42 @@
 // rules are the guards that a trial may take out.
 type rules struct {
 	name string
-	// home gives the node that may run a key at its time.
-	home func(s Shard, key string, millis int64) (Node, bool)
+	// owner gives the node that may run a key at its time.
+	owner func(s Shard, key string, millis int64) (Node, bool)
 	// renew gives the successor of a shard at a time.
 	renew func(s Shard, r Renewal, now int64) (Shard, bool)
 	// blindWrites lets nodes write what they made of the shard that they know, without a comparison.
 	blindWrites bool
-	// unasked lets a node write without asking a keeper, and unsettled lets one extend after a write without answer.
-	unasked   bool
-	unsettled bool
+	// skipKeeper lets a node write without asking a keeper, and unsettled lets one extend after a write without answer.
+	skipKeeper      bool
+	extendUnsettled bool
 	// sameIncarnation lets a restarted process pass for its former self.
 	sameIncarnation bool
-	// still leaves the agreed shard alone, so that more steps of the rest can be explored.
-	still bool
-	// anyIncarnation lets a restarted process take over what was sent to its former self.
-	anyIncarnation bool
-	// handOverOpen lets a node go on with keys that it has handed over.
-	handOverOpen bool
+	// fixedShard leaves the agreed shard alone, so that more steps of the rest can be explored.
+	fixedShard bool
+	// deliverToAnyIncarnation lets a restarted process take over what was sent to its former self.
+	deliverToAnyIncarnation bool
+	// handOverUnclosed lets a node go on with keys that it has handed over.
+	handOverUnclosed bool
 	// opaque explores a key without a time in the place of the others.
 	opaque *opaqueRules
 }
 
-// most is how many restarts and handovers are explored.
-func (r rules) most() int {
-	if r.still {
+// maxRestarts is how many restarts and handovers are explored.
+func (r rules) maxRestarts() int {
+	if r.fixedShard {
 		return 3
 	}
 	return 1
 }
 
-var guarded = rules{
+var allGuards = rules{
 	name:  "all guards",
-	home:  func(s Shard, key string, millis int64) (Node, bool) { return s.Home("", key, millis) },
+	owner: func(s Shard, key string, millis int64) (Node, bool) { return s.Owner("", key, millis) },
 	renew: func(s Shard, r Renewal, _ int64) (Shard, bool) { return s.Renew(r) },
 }
 
-var modelConfig = TableConfig{Window: time.Hour, Ahead: time.Hour, MaxKeys: 10, MaxBytes: 1 << 20}
+var modelConfig = TableConfig{Window: time.Hour, MaxAhead: time.Hour, MaxKeys: 10, MaxBytes: 1 << 20}
 
 // modelKeys have times in different epochs.
 var modelKeys = []struct {
@@ -64,21 +64,21 @@
 }{{"first", 1}, {"second", 2}}
 
 type modelNode struct {
-	self   Node
-	known  Shard
-	table  *Table[string]
-	heirOf map[Node]bool
-	left   bool
+	self        Node
+	known       Shard
+	table       *Table[string]
+	successorOf map[Node]bool
+	handedOver  bool
 	// promises are what the node promised as a keeper; unsettled is set while a write of its own has no answer.
 	promises  map[string]promise
 	unsettled bool
-	// asking is set while a home asks earlier ones to move the opaque key. It is replaced, not changed.
-	asking *asking
+	// pendingMove is set while a home asks earlier ones to move the opaque key. It is replaced, not changed.
+	pendingMove *pendingMove
 }
 
 type message struct {
 	to      Node
-	homes   []Node
+	owners  []Node
 	entries []Entry[string]
 }
 
@@ -92,15 +92,15 @@
 	restarts int
 	runs     []int
 	// lastRun is when the opaque key ran last; twice says that it ran again within the window.
-	lastRun int64
-	twice   bool
+	lastRun  int64
+	ranTwice bool
 }
 
 // newModel returns two nodes that know one shard, of which the first is the writer and the home.
 func newModel(r rules) model {
 	m := model{rules: r, runs: make([]int, len(modelKeys))}
 	for _, name := range []string{"a", "b"} {
-		m.nodes = append(m.nodes, modelNode{self: Node{name, 1}, table: NewTable[string](modelConfig), heirOf: map[Node]bool{}})
+		m.nodes = append(m.nodes, modelNode{self: Node{name, 1}, table: NewTable[string](modelConfig), successorOf: map[Node]bool{}})
 	}
 	m.write(0, 0, 0)
 	for i := range m.nodes {
@@ -115,9 +115,9 @@
 	return m
 }
 
-// own gives the node a table and a map of its own before they change.
-func (n *modelNode) own() {
-	n.heirOf = maps.Clone(n.heirOf)
+// copyBeforeChange gives the node a table and a map of its own before they change.
+func (n *modelNode) copyBeforeChange() {
+	n.successorOf = maps.Clone(n.successorOf)
 	copied := *n.table
 	copied.entries = map[string]*Entry[string]{}
 	for id, e := range n.table.entries {
@@ -138,21 +138,21 @@
 	for _, n := range m.nodes {
 		b = appendShard(append(b, byte(n.self.Incarnation)), n.known)
 		for incarnation := uint64(1); incarnation <= 4; incarnation++ {
-			b = append(b, byte(flag(n.heirOf[Node{"a", incarnation}])), byte(flag(n.heirOf[Node{"b", incarnation}])))
+			b = append(b, byte(bit(n.successorOf[Node{"a", incarnation}])), byte(bit(n.successorOf[Node{"b", incarnation}])))
 		}
 		for _, k := range modelKeys {
 			_, held := n.table.entries[k.text]
-			b = append(b, byte(flag(held)))
+			b = append(b, byte(bit(held)))
 		}
-		b = append(b, byte(flag(n.left)), byte(flag(n.unsettled)))
+		b = append(b, byte(bit(n.handedOver)), byte(bit(n.unsettled)))
 		b = n.appendOpaque(b)
 		held := n.promises["shard"]
-		b = append(b, byte(held.term), byte(held.until), byte(flag(held.fenced)))
+		b = append(b, byte(held.term), byte(held.until), byte(bit(held.fenced)))
 	}
 	for _, sent := range m.messages {
-		b = append(b, sent.to.Name[0], byte(sent.to.Incarnation), byte(len(sent.entries)), byte(len(sent.homes)))
-		for _, home := range sent.homes {
-			b = append(b, home.Name[0], byte(home.Incarnation))
+		b = append(b, sent.to.Name[0], byte(sent.to.Incarnation), byte(len(sent.entries)), byte(len(sent.owners)))
+		for _, owner := range sent.owners {
+			b = append(b, owner.Name[0], byte(owner.Incarnation))
 		}
 		for _, e := range sent.entries {
 			b = append(b, e.ID[0], byte(e.State), byte(e.UnixMillis), byte(e.MovedTo.Incarnation))
@@ -175,30 +175,30 @@
 	return append(b, 255)
 }
 
-func flag(set bool) int {
+func bit(set bool) int {
 	if set {
 		return 1
 	}
 	return 0
 }
 
-func (m model) next() []model {
+func (m model) successors() []model {
 	if m.rules.opaque != nil {
-		return m.nextOpaque()
+		return m.opaqueSuccessors()
 	}
 	var states []model
 	step := m.step(&states)
-	step(func(c *model) bool { c.now++; return c.now <= 3 && !c.rules.still })
+	step(func(c *model) bool { c.now++; return c.now <= 3 && !c.rules.fixedShard })
 	for i := range m.nodes {
 		for k := range modelKeys {
 			step(func(c *model) bool { return c.request(i, k) })
 		}
 		step(func(c *model) bool { return c.learn(i, c.written, true) })
 		step(func(c *model) bool { return c.learn(i, c.nodes[1-i].known, false) })
-		step(func(c *model) bool { return !c.rules.still && c.extend(i) })
+		step(func(c *model) bool { return !c.rules.fixedShard && c.extend(i) })
 		step(func(c *model) bool { return c.restart(i) })
 		step(func(c *model) bool { return c.handOver(i) })
-		for member := 0; member < len(m.nodes) && !m.rules.still; member++ {
+		for member := 0; member < len(m.nodes) && !m.rules.fixedShard; member++ {
 			for asked := range 3 {
 				step(func(c *model) bool { return c.write(i, member, asked) })
 			}
@@ -224,12 +224,12 @@
 
 func (m *model) request(node, key int) bool {
 	n, k := &m.nodes[node], modelKeys[key]
-	home, ok := m.rules.home(n.known, k.text, k.millis)
-	if !ok || (!n.answersFor(home)) {
+	owner, ok := m.rules.owner(n.known, k.text, k.millis)
+	if !ok || (!n.answersFor(owner)) {
 		return false
 	}
-	n.own()
-	verdict := n.table.Begin(modelTime, Ask{ID: k.text, UnixMillis: k.millis, Timed: true, Fingerprint: 1})
+	n.copyBeforeChange()
+	verdict := n.table.Begin(modelTime, RequestCopy{ID: k.text, UnixMillis: k.millis, Timed: true, Fingerprint: 1})
 	if verdict.Action != Run {
 		return false
 	}
@@ -254,7 +254,7 @@
 // learns what the platform holds, if ever.
 func (m *model) write(node, member, asked int) bool {
 	n := &m.nodes[node]
-	base, ok := m.base(node, asked)
+	base, ok := m.writeBase(node, asked)
 	if !ok || m.writes >= 4 {
 		return false
 	}
@@ -264,21 +264,21 @@
 	if !changed {
 		return false
 	}
-	n.unsettled = n.unsettled || (!m.rules.unsettled && next.Term != m.written.Term)
+	n.unsettled = n.unsettled || (!m.rules.extendUnsettled && next.Term != m.written.Term)
 	m.written = next
 	m.writes++
 	return true
 }
 
-// base returns the shard that the node builds on: the platform's, with the end that a keeper, which it asks, has
+// writeBase returns the shard that the node builds on: the platform's, with the end that a keeper, which it asks, has
 // promised. The last choice stands for no keeper that can be asked.
-func (m *model) base(node, asked int) (Shard, bool) {
+func (m *model) writeBase(node, asked int) (Shard, bool) {
 	n := &m.nodes[node]
 	base := m.written
 	if m.rules.blindWrites || n.known.Last().Until > base.Last().Until {
 		base = n.known
 	}
-	if m.rules.unasked || len(m.written.Keepers) == 0 || m.written.IsKeptBy(n.self) {
+	if m.rules.skipKeeper || len(m.written.Keepers) == 0 || m.written.IsFirstKeeper(n.self) {
 		return base, asked == 0
 	}
 	if asked == 2 {
@@ -288,7 +288,7 @@
 	if keeper == nil {
 		return base, false
 	}
-	return base.Extend(keeper.promise().Fence("shard", m.written.Term)), true
+	return base.Extend(keeper.writablePromises().Fence("shard", m.written.Term)), true
 }
 
 // keeper returns the node whose process is the keeper, or nil.
@@ -301,8 +301,8 @@
 	return nil
 }
 
-// promise returns the node's promises, which may change.
-func (n *modelNode) promise() *Promises {
+// writablePromises returns the node's promises, which may change.
+func (n *modelNode) writablePromises() *Promises {
 	n.promises = maps.Clone(n.promises)
 	if n.promises == nil {
 		n.promises = map[string]promise{}
@@ -314,12 +314,12 @@
 func (m *model) extend(node int) bool {
 	n := &m.nodes[node]
 	until := min(m.now+2, n.known.Limit)
-	if n.unsettled || !n.known.IsKeptBy(n.self) || until <= n.known.Last().Until {
+	if n.unsettled || !n.known.IsFirstKeeper(n.self) || until <= n.known.Last().Until {
 		return false
 	}
 	for _, k := range n.known.Keepers {
 		keeper := m.keeper(k)
-		if keeper == nil || !keeper.promise().Grant("shard", n.known.Term, until) {
+		if keeper == nil || !keeper.writablePromises().Grant("shard", n.known.Term, until) {
 			return false
 		}
 	}
@@ -329,7 +329,7 @@
 
 func (m *model) restart(node int) bool {
 	n := &m.nodes[node]
-	if m.restarts >= m.rules.most() {
+	if m.restarts >= m.rules.maxRestarts() {
 		return false
 	}
 	m.restarts++
@@ -337,27 +337,27 @@
 	if !m.rules.sameIncarnation {
 		self.Incarnation++
 	}
-	*n = modelNode{self: self, table: NewTable[string](modelConfig), heirOf: map[Node]bool{}}
+	*n = modelNode{self: self, table: NewTable[string](modelConfig), successorOf: map[Node]bool{}}
 	return true
 }
 
 func (m *model) handOver(node int) bool {
 	n := &m.nodes[node]
-	if n.left || len(m.messages) >= m.rules.most() {
+	if n.handedOver || len(m.messages) >= m.rules.maxRestarts() {
 		return false
 	}
-	n.own()
-	n.left = true
-	if !m.rules.handOverOpen {
+	n.copyBeforeChange()
+	n.handedOver = true
+	if !m.rules.handOverUnclosed {
 		n.table.Close()
 	}
 	byName := func(a, b Node) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	}
-	homes := append(slices.SortedFunc(maps.Keys(n.heirOf), byName), n.self)
+	owners := append(slices.SortedFunc(maps.Keys(n.successorOf), byName), n.self)
 	entries := n.table.Entries()
 	slices.SortFunc(entries, func(a, b Entry[string]) int { return cmp.Compare(a.ID, b.ID) })
-	m.messages = append(slices.Clone(m.messages), message{to: m.nodes[1-node].self, homes: homes, entries: entries})
+	m.messages = append(slices.Clone(m.messages), message{to: m.nodes[1-node].self, owners: owners, entries: entries})
 	return true
 }
 
@@ -365,18 +365,18 @@
 	received := m.messages[i]
 	var n *modelNode
 	for j := range m.nodes {
-		if to := &m.nodes[j]; to.self == received.to || (m.rules.anyIncarnation && to.self.Name == received.to.Name) {
+		if to := &m.nodes[j]; to.self == received.to || (m.rules.deliverToAnyIncarnation && to.self.Name == received.to.Name) {
 			n = to
 		}
 	}
-	if n == nil || n.left {
+	if n == nil || n.handedOver {
 		return false
 	}
-	n.own()
-	for _, home := range received.homes {
-		n.heirOf[home] = true
+	n.copyBeforeChange()
+	for _, owner := range received.owners {
+		n.successorOf[owner] = true
 	}
-	n.table.Claim(n.answersFor)
+	n.table.Reclaim(n.answersFor)
 	for _, e := range received.entries {
 		if e.State != Moved || !n.answersFor(e.MovedTo) {
 			n.table.Restore(m.tableTime(), e)
@@ -385,8 +385,8 @@
 	return true
 }
 
-func (n *modelNode) answersFor(home Node) bool {
-	return home == n.self || n.heirOf[home]
+func (n *modelNode) answersFor(owner Node) bool {
+	return owner == n.self || n.successorOf[owner]
 }
 
 // explore returns the fewest steps to a state in which a key ran twice, or 0, and how many states there were.
@@ -400,8 +400,8 @@
 	for steps := 1; steps <= depth; steps++ {
 		var following []model
 		for _, m := range states {
-			for _, n := range m.next() {
-				if n.twice || slices.Max(n.runs) > 1 {
+			for _, n := range m.successors() {
+				if n.ranTwice || slices.Max(n.runs) > 1 {
 					return steps, len(seen)
 				}
 				if name := n.encode(); !seen[name] {
@@ -417,20 +417,20 @@
 
 const (
 	// modelDepth is the number of steps explored, and stillDepth where the shard is left alone.
-	modelDepth = 6
-	stillDepth = 9
+	modelDepth      = 6
+	fixedShardDepth = 9
 )
 
 func TestNoStateInWhichAKeyRunsTwice(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	steps, states := explore(guarded, modelDepth)
+	steps, states := explore(allGuards, modelDepth)
 	t.Logf("%d states in %d steps", states, modelDepth)
 	is.Equal(steps, 0)
-	still := guarded
-	still.still = true
-	steps, states = explore(still, stillDepth)
-	t.Logf("%d states in %d steps with the shard left alone", states, stillDepth)
+	still := allGuards
+	still.fixedShard = true
+	steps, states = explore(still, fixedShardDepth)
+	t.Logf("%d states in %d steps with the shard left alone", states, fixedShardDepth)
 	is.Equal(steps, 0)
 }
 
@@ -439,7 +439,7 @@
 	t.Parallel()
 	without := map[string]func(*rules){
 		"home by the newest epoch, whatever the key's time": func(r *rules) {
-			r.home = func(s Shard, key string, _ int64) (Node, bool) { return s.Last().winner("", key) }
+			r.owner = func(s Shard, key string, _ int64) (Node, bool) { return s.Last().owner("", key) }
 		},
 		"a new epoch begins at the writer's clock": func(r *rules) {
 			r.renew = func(s Shard, n Renewal, now int64) (Shard, bool) {
@@ -451,18 +451,18 @@
 			}
 		},
 		"writes without a comparison":                    func(r *rules) { r.blindWrites = true },
-		"writes without asking a keeper":                 func(r *rules) { r.unasked = true },
+		"writes without asking a keeper":                 func(r *rules) { r.skipKeeper = true },
 		"a restarted process passes for its former self": func(r *rules) { r.sameIncarnation = true },
-		"a handover reaches a restarted process":         func(r *rules) { r.anyIncarnation, r.still = true, true },
-		"an end moves after a write without answer":      func(r *rules) { r.unsettled = true },
-		"keys are handed over without being closed":      func(r *rules) { r.handOverOpen = true },
+		"a handover reaches a restarted process":         func(r *rules) { r.deliverToAnyIncarnation, r.fixedShard = true, true },
+		"an end moves after a write without answer":      func(r *rules) { r.extendUnsettled = true },
+		"keys are handed over without being closed":      func(r *rules) { r.handOverUnclosed = true },
 	}
 	for name, change := range without {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			broken := guarded
+			broken := allGuards
 			change(&broken)
-			steps, _ := explore(broken, stillDepth)
+			steps, _ := explore(broken, fixedShardDepth)
 			t.Logf("broken after %d steps", steps)
 			is.True(steps > 0)
 		})
--- a/internal/decide/outcome/key.go
+++ b/internal/decide/outcome/key.go
@@ -15,8 +15,8 @@
 	UnixMillis int64
 	// Timed says that the key carries a time: a UUIDv7, a ULID, or a minted key.
 	Timed bool
-	// Home is the only node that may run a minted key; zero for others.
-	Home Node
+	// Owner is the only node that may run a minted key; zero for others.
+	Owner Node
 }
 
 // Node is one process of a node: its name, and the start that tells it from earlier processes of the same name.
@@ -35,19 +35,19 @@
 
 const (
 	maxKeyBytes  = 255
-	mintedMark   = "m"
+	mintedPrefix = "m"
 	mintedFields = 4
 	mintedBase   = 36
 )
 
 // Mint returns a key that names the one node that may run it.
-func Mint(home Node, id uuid.UUID) string {
-	return strings.Join([]string{mintedMark, strconv.FormatUint(home.Incarnation, mintedBase), id.String(), home.Name}, ".")
+func Mint(owner Node, id uuid.UUID) string {
+	return strings.Join([]string{mintedPrefix, strconv.FormatUint(owner.Incarnation, mintedBase), id.String(), owner.Name}, ".")
 }
 
 // ParseKey reads the text of a key.
 func ParseKey(text string) (Key, error) {
-	if text == "" || len(text) > maxKeyBytes || strings.ContainsFunc(text, isInvisible) {
+	if text == "" || len(text) > maxKeyBytes || strings.ContainsFunc(text, isNotVisibleASCII) {
 		return Key{}, ErrKey
 	}
 	if k, ok := parseMinted(text); ok {
@@ -62,13 +62,13 @@
 	return Key{Text: text}, nil
 }
 
-func isInvisible(r rune) bool {
+func isNotVisibleASCII(r rune) bool {
 	return r <= ' ' || r > '~'
 }
 
 func parseMinted(text string) (Key, bool) {
 	fields := strings.SplitN(text, ".", mintedFields)
-	if len(fields) != mintedFields || fields[0] != mintedMark || fields[3] == "" {
+	if len(fields) != mintedFields || fields[0] != mintedPrefix || fields[3] == "" {
 		return Key{}, false
 	}
 	incarnation, err := strconv.ParseUint(fields[1], mintedBase, 64)
@@ -79,8 +79,8 @@
 	if err != nil || id.Version() != 7 {
 		return Key{}, false
 	}
-	home := Node{Name: fields[3], Incarnation: incarnation}
-	return Key{Text: text, UnixMillis: uuidMillis(id), Timed: true, Home: home}, true
+	owner := Node{Name: fields[3], Incarnation: incarnation}
+	return Key{Text: text, UnixMillis: uuidMillis(id), Timed: true, Owner: owner}, true
 }
 
 func uuidMillis(id uuid.UUID) int64 {
@@ -92,15 +92,15 @@
 }
 
 const (
-	ulidLength     = 26
-	ulidTimeLength = 10
-	ulidAlphabet   = "0123456789ABCDEFGHJKMNPQRSTVWXYZ"
-	ulidFirstMax   = '7'
+	ulidLength       = 26
+	ulidTimeLength   = 10
+	ulidAlphabet     = "0123456789ABCDEFGHJKMNPQRSTVWXYZ"
+	ulidMaxFirstChar = '7'
 )
 
 func ulidMillis(text string) (int64, bool) {
 	upper := strings.ToUpper(text)
-	if len(upper) != ulidLength || upper[0] > ulidFirstMax {
+	if len(upper) != ulidLength || upper[0] > ulidMaxFirstChar {
 		return 0, false
 	}
 	var millis int64
--- a/internal/decide/outcome/promise.go
+++ b/internal/decide/outcome/promise.go
@@ -21,7 +21,7 @@
 // Grant promises the end for the shard in the term and reports false where the promise was taken back. The end is in
 // Unix milliseconds.
 func (p *Promises) Grant(shard string, term uint64, until int64) bool {
-	held := p.in(shard, term)
+	held := p.inTerm(shard, term)
 	if held.term > term || held.fenced {
 		return false
 	}
@@ -32,14 +32,14 @@
 
 // Fence takes the promise for the shard back in the term, and returns the latest end that was ever promised.
 func (p *Promises) Fence(shard string, term uint64) int64 {
-	held := p.in(shard, term)
+	held := p.inTerm(shard, term)
 	held.fenced = true
 	p.byShard[shard] = held
 	return held.until
 }
 
-// in returns the promise for the term. A newer term begins with a new promise, but what was promised before stands.
-func (p *Promises) in(shard string, term uint64) promise {
+// inTerm returns the promise for the term. A newer term begins with a new promise, but what was promised before stands.
+func (p *Promises) inTerm(shard string, term uint64) promise {
 	held := p.byShard[shard]
 	if held.term < term {
 		held.term, held.fenced = term, false
--- a/internal/decide/outcome/shard.go
+++ b/internal/decide/outcome/shard.go
@@ -43,10 +43,10 @@
 type Renewal struct {
 	// Until is where the last epoch shall end.
 	Until int64
-	// Keep is the time before which epochs are dropped.
-	Keep    int64
-	Zone    string
-	Members []Member
+	// DropBefore is the time before which epochs are dropped.
+	DropBefore int64
+	Zone       string
+	Members    []Member
 	// Keepers are the writer and a second node; none where the end shall not move without the platform.
 	Keepers []Node
 	// Reserve is how far beyond its end the last epoch may be moved without the platform, in milliseconds.
@@ -59,7 +59,7 @@
 	if len(r.Members) == 0 {
 		return s, false
 	}
-	next := Shard{Epochs: s.renewed(r), Term: s.Term, Keepers: r.Keepers}
+	next := Shard{Epochs: s.renewedEpochs(r), Term: s.Term, Keepers: r.Keepers}
 	last := &next.Epochs[len(next.Epochs)-1]
 	same := len(s.Epochs) > 0 && last.Start == s.Last().Start && slices.Equal(s.Keepers, r.Keepers)
 	if same && last.Until == s.Last().Until {
@@ -75,12 +75,12 @@
 	return next, true
 }
 
-// renewed returns the epochs with the last one moved forward, or a new one where the members changed.
-func (s Shard) renewed(r Renewal) []Epoch {
+// renewedEpochs returns the epochs with the last one moved forward, or a new one where the members changed.
+func (s Shard) renewedEpochs(r Renewal) []Epoch {
 	if len(s.Epochs) == 0 {
-		return []Epoch{{Start: r.Keep, Until: r.Until, Zone: r.Zone, Members: r.Members}}
+		return []Epoch{{Start: r.DropBefore, Until: r.Until, Zone: r.Zone, Members: r.Members}}
 	}
-	kept := s.since(r.Keep)
+	kept := s.epochsEndingAfter(r.DropBefore)
 	last := &kept[len(kept)-1]
 	if last.Zone == r.Zone && slices.Equal(last.Members, r.Members) {
 		last.Until = max(last.Until, r.Until)
@@ -99,15 +99,15 @@
 	return s
 }
 
-// IsKeptBy reports whether the node is the first keeper, who alone may write without asking.
-func (s Shard) IsKeptBy(n Node) bool {
+// IsFirstKeeper reports whether the node is the first keeper, who alone may write without asking.
+func (s Shard) IsFirstKeeper(n Node) bool {
 	return len(s.Keepers) > 0 && s.Keepers[0] == n
 }
 
-// since returns a copy of the epochs that end after the time, and always the last.
-func (s Shard) since(keep int64) []Epoch {
+// epochsEndingAfter returns a copy of the epochs that end after the time, and always the last.
+func (s Shard) epochsEndingAfter(unixMillis int64) []Epoch {
 	first := 0
-	for first < len(s.Epochs)-1 && s.Epochs[first].Until <= keep {
+	for first < len(s.Epochs)-1 && s.Epochs[first].Until <= unixMillis {
 		first++
 	}
 	return slices.Clone(s.Epochs[first:])
@@ -121,53 +121,53 @@
 	return s.Epochs[len(s.Epochs)-1]
 }
 
-// Home returns the only node that may run the key of the service at the key's own time.
-func (s Shard) Home(service, key string, unixMillis int64) (Node, bool) {
+// Owner returns the only node that may run the key of the service at the key's own time.
+func (s Shard) Owner(service, key string, unixMillis int64) (Node, bool) {
 	for _, e := range s.Epochs {
 		if unixMillis >= e.Start && unixMillis < e.Until {
-			return e.winner(service, key)
+			return e.owner(service, key)
 		}
 	}
 	return Node{}, false
 }
 
-// Current returns the home of a key without a time, and the other nodes that can have been its home since the given
+// CurrentOwner returns the home of a key without a time, and the other nodes that can have been its home since the given
 // time. Those must have moved the key before the home may run it. There is no home after the end of the last epoch.
 // All times are in Unix milliseconds.
-func (s Shard) Current(service, key string, now, since int64) (Node, []Node, bool) {
-	home, ok := s.Last().winner(service, key)
+func (s Shard) CurrentOwner(service, key string, now, since int64) (Node, []Node, bool) {
+	owner, ok := s.Last().owner(service, key)
 	if !ok || now >= s.Last().Until {
 		return Node{}, nil, false
 	}
 	var earlier []Node
 	for _, e := range s.Epochs {
-		n, found := e.winner(service, key)
-		if found && e.Until > since && n != home && !slices.Contains(earlier, n) {
+		n, found := e.owner(service, key)
+		if found && e.Until > since && n != owner && !slices.Contains(earlier, n) {
 			earlier = append(earlier, n)
 		}
 	}
-	return home, earlier, true
+	return owner, earlier, true
 }
 
-// Presumed returns where to ask about a key whose time lies after the end of the last epoch as it is known here: the home
+// PresumedOwner returns where to ask about a key whose time lies after the end of the last epoch as it is known here: the home
 // if the end has been moved meanwhile without a change of members. Whether that is so only the home itself can tell.
-func (s Shard) Presumed(service, key string, unixMillis int64) (Node, bool) {
+func (s Shard) PresumedOwner(service, key string, unixMillis int64) (Node, bool) {
 	if unixMillis < s.Last().Until {
 		return Node{}, false
 	}
-	return s.Last().winner(service, key)
+	return s.Last().owner(service, key)
 }
 
-// winner returns the member with the highest hash for the key, among those of the service where there are any.
-func (e Epoch) winner(service, key string) (Node, bool) {
-	best, found := highest(e.Members, service, key)
+// owner returns the member with the highest hash for the key, among those of the service where there are any.
+func (e Epoch) owner(service, key string) (Node, bool) {
+	best, found := highestHash(e.Members, service, key)
 	if !found {
-		best, found = highest(e.Members, "", key)
+		best, found = highestHash(e.Members, "", key)
 	}
 	return best, found
 }
 
-func highest(members []Member, service, key string) (Node, bool) {
+func highestHash(members []Member, service, key string) (Node, bool) {
 	var best Node
 	var bestHash uint64
 	found := false
@@ -175,14 +175,14 @@
 		if service != "" && m.Service != service {
 			continue
 		}
-		if h := rendezvous(m.Name, key); !found || h > bestHash {
+		if h := rendezvousHash(m.Name, key); !found || h > bestHash {
 			best, bestHash, found = m.Node, h, true
 		}
 	}
 	return best, found
 }
 
-func rendezvous(name, key string) uint64 {
+func rendezvousHash(name, key string) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(name)
 	_, _ = h.WriteString("\x00")
@@ -195,7 +195,7 @@
 	best := ""
 	var bestHash uint64
 	for _, z := range zones {
-		if h := rendezvous(z, key); best == "" || h > bestHash {
+		if h := rendezvousHash(z, key); best == "" || h > bestHash {
 			best, bestHash = z, h
 		}
 	}
--- a/internal/decide/outcome/shard_test.go
+++ b/internal/decide/outcome/shard_test.go
@@ -15,21 +15,21 @@
 	for name, tc := range map[string]struct {
 		shard  Shard
 		millis int64
-		home   Node
+		owner  Node
 		found  bool
 	}{
 		"nothing agreed":     {millis: 30},
 		"before all epochs":  {shard: shard, millis: 9},
 		"in the last epoch":  {shard: shard, millis: 29},
-		"after the last end": {shard: shard, millis: 30, home: last, found: true},
+		"after the last end": {shard: shard, millis: 30, owner: last, found: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			home, found := tc.shard.Presumed("", "key", tc.millis)
-			is.Equal(home, tc.home)
+			owner, found := tc.shard.PresumedOwner("", "key", tc.millis)
+			is.Equal(owner, tc.owner)
 			is.Equal(found, tc.found)
 			if found {
-				_, agreed := tc.shard.Home("", "key", tc.millis)
+				_, agreed := tc.shard.Owner("", "key", tc.millis)
 				is.True(!agreed) // nobody runs a key on a presumption
 			}
 		})
