--- a/internal/decide/outcome/table.go
+++ b/internal/decide/outcome/table.go
@@ -58,8 +58,8 @@
 	RefuseClosed
 )
 
-// Ask is one copy of a request that arrived.
-type Ask struct {
+// RequestCopy is one copy of a request that arrived.
+type RequestCopy struct {
 	ID string
 	// UnixMillis is the time in the key, where it is Timed.
 	UnixMillis  int64
@@ -70,8 +70,8 @@
 	Age     time.Duration
 	// Token is unused so far; a challenge takes it.
 	Token string
-	// Single says that there is no other copy of the request anywhere, so that a refusal needs no memory.
-	Single bool
+	// OnlyCopy says that there is no other copy of the request anywhere, so that a refusal needs no memory.
+	OnlyCopy bool
 }
 
 // Verdict is the decision about one copy.
@@ -87,8 +87,8 @@
 type TableConfig struct {
 	// Window is how long a key is remembered, counted from its own time. Older keys are refused.
 	Window time.Duration
-	// Ahead is how far a key's time may lie in the future.
-	Ahead time.Duration
+	// MaxAhead is how far a key's time may lie in the future.
+	MaxAhead time.Duration
 	// MaxKeys and MaxBytes bound the memory. At the bound new keys are refused; none is forgotten early. Replies to
 	// requests that were let in before the bound was reached may exceed MaxBytes.
 	MaxKeys  int
@@ -108,18 +108,18 @@
 	// MovedTo is the node that took the key over, with Moved.
 	MovedTo Node
 
-	// decided is when it was last told that the key has not run.
-	decided time.Time
-	token   string
-	issued  time.Time
-	// single says that no other copy can exist.
-	single bool
+	// reportedAt is when it was last told that the key has not run.
+	reportedAt    time.Time
+	token         string
+	tokenIssuedAt time.Time
+	// onlyCopy says that no other copy can exist.
+	onlyCopy bool
 }
 
-// tell notes that somebody is told now that the key has not run, if that is so. What entered before must not run.
-func (e *Entry[R]) tell(now time.Time) {
+// markReported notes that somebody is told now that the key has not run, if that is so. What entered before must not run.
+func (e *Entry[R]) markReported(now time.Time) {
 	if e.State == NotRun {
-		e.decided = now
+		e.reportedAt = now
 	}
 }
 
@@ -132,9 +132,9 @@
 	entries map[string]*Entry[R]
 	bytes   int
 	running int
-	// floor only grows, so that a key that was forgotten is refused for good, even if the clock is set back.
-	floor  int64
-	closed bool
+	// windowStart only grows, so that a key that was forgotten is refused for good, even if the clock is set back.
+	windowStart int64
+	closed      bool
 }
 
 // NewTable returns an empty table.
@@ -143,9 +143,9 @@
 }
 
 // Begin decides about one copy of a request.
-func (t *Table[R]) Begin(now time.Time, a Ask) Verdict[R] {
-	t.raiseFloor(now)
-	if a.Timed && t.outOfTime(now, a.UnixMillis) {
+func (t *Table[R]) Begin(now time.Time, a RequestCopy) Verdict[R] {
+	t.advanceWindow(now)
+	if a.Timed && t.isOutsideWindow(now, a.UnixMillis) {
 		return Verdict[R]{Action: RefuseTime}
 	}
 	e, ok := t.find(a.ID)
@@ -153,12 +153,12 @@
 		return Verdict[R]{Action: RefuseClosed}
 	}
 	if !ok {
-		return t.admit(a)
+		return t.beginNew(a)
 	}
 	if e.Fingerprint != a.Fingerprint && e.State != Moved {
 		return Verdict[R]{Action: RefuseReused}
 	}
-	return t.again(now, e, a)
+	return t.beginKnown(now, e, a)
 }
 
 // Settle ends a run. Done remembers the reply of the given size in bytes; NotRun only that it was so, and not even
@@ -176,15 +176,15 @@
 		t.bytes += bytes
 		return
 	}
-	e.decided = now
-	if e.single {
+	e.reportedAt = now
+	if e.onlyCopy {
 		t.remove(e)
 	}
 }
 
 // MayRun reports whether a copy of the key may still be let run: it has neither run nor moved within the window.
 func (t *Table[R]) MayRun(now time.Time, id string) bool {
-	t.raiseFloor(now)
+	t.advanceWindow(now)
 	e, ok := t.find(id)
 	return !ok || e.State == NotRun
 }
@@ -196,12 +196,12 @@
 		var none R
 		return Absent, none
 	}
-	e.tell(now)
+	e.markReported(now)
 	return e.State, e.Reply
 }
 
-// Moving is the answer about a key that another node takes over.
-type Moving[R any] struct {
+// MoveResult is the answer about a key that another node takes over.
+type MoveResult[R any] struct {
 	State State
 	// Reply is set with Done.
 	Reply R
@@ -211,21 +211,21 @@
 
 // Move tells what became of a key, and moves one that has not run to the given node: it never runs here. A table that
 // can't remember that, or that has been handed over, says Absent.
-func (t *Table[R]) Move(now time.Time, a Ask, to Node) Moving[R] {
-	t.raiseFloor(now)
+func (t *Table[R]) Move(now time.Time, a RequestCopy, to Node) MoveResult[R] {
+	t.advanceWindow(now)
 	e, ok := t.find(a.ID)
 	switch {
 	case ok && e.State != NotRun:
-		return Moving[R]{State: e.State, Reply: e.Reply, Fingerprint: e.Fingerprint}
-	case t.closed || (!ok && t.full()):
-		return Moving[R]{State: Absent}
+		return MoveResult[R]{State: e.State, Reply: e.Reply, Fingerprint: e.Fingerprint}
+	case t.closed || (!ok && t.isFull()):
+		return MoveResult[R]{State: Absent}
 	case !ok:
 		e = t.insert(a)
 	}
-	t.renew(e, a)
+	t.restartWindow(e, a)
 	e.State = Moved
 	e.MovedTo = to
-	return Moving[R]{State: Moved, Fingerprint: e.Fingerprint}
+	return MoveResult[R]{State: Moved, Fingerprint: e.Fingerprint}
 }
 
 // Close lets nothing run from now on but what runs already. Answers are still given.
@@ -245,23 +245,23 @@
 // Restore takes in an entry that another node handed over, unless it is older than the window. An answer replaces what
 // says that the key went elsewhere.
 func (t *Table[R]) Restore(now time.Time, e Entry[R]) {
-	t.raiseFloor(now)
+	t.advanceWindow(now)
 	held, ok := t.find(e.ID)
-	if e.UnixMillis < t.floor || ok && (held.State != Moved || e.State == Moved) {
+	if e.UnixMillis < t.windowStart || ok && (held.State != Moved || e.State == Moved) {
 		return
 	}
 	if ok {
 		t.remove(held)
 	}
-	e.decided = now
+	e.reportedAt = now
 	t.entries[e.ID] = &e
 	t.bytes += e.Bytes
 }
 
-// Claim makes the keys that were moved to the given nodes keys of this table again, because it answers for them now.
-func (t *Table[R]) Claim(mine func(Node) bool) {
+// Reclaim makes the keys that were moved to the given nodes keys of this table again, because it answers for them now.
+func (t *Table[R]) Reclaim(answersFor func(Node) bool) {
 	for _, e := range t.entries {
-		if e.State == Moved && mine(e.MovedTo) {
+		if e.State == Moved && answersFor(e.MovedTo) {
 			t.remove(e)
 		}
 	}
@@ -269,7 +269,7 @@
 
 // Expire forgets the keys that are older than the window. It is called regularly.
 func (t *Table[R]) Expire(now time.Time) {
-	t.raiseFloor(now)
+	t.advanceWindow(now)
 	for _, e := range t.entries {
 		if t.isExpired(e) {
 			t.remove(e)
@@ -278,7 +278,7 @@
 }
 
 func (t *Table[R]) isExpired(e *Entry[R]) bool {
-	return e.State != Running && e.UnixMillis < t.floor
+	return e.State != Running && e.UnixMillis < t.windowStart
 }
 
 // find returns the entry unless it is older than the window: whether such a one is still there depends on when Expire
@@ -292,11 +292,11 @@
 	return e, ok
 }
 
-// renew lets the window of a key without a time begin anew. It counts from the latest time that was ever seen, so
+// restartWindow lets the window of a key without a time begin anew. It counts from the latest time that was ever seen, so
 // that a clock that was set back makes no key forgotten early.
-func (t *Table[R]) renew(e *Entry[R], a Ask) {
+func (t *Table[R]) restartWindow(e *Entry[R], a RequestCopy) {
 	if !a.Timed {
-		e.UnixMillis = t.floor + t.config.Window.Milliseconds()
+		e.UnixMillis = t.windowStart + t.config.Window.Milliseconds()
 	}
 }
 
@@ -312,20 +312,20 @@
 	return Size{Keys: len(t.entries), Bytes: t.bytes, Running: t.running}
 }
 
-func (t *Table[R]) raiseFloor(now time.Time) {
-	t.floor = max(t.floor, now.Add(-t.config.Window).UnixMilli())
+func (t *Table[R]) advanceWindow(now time.Time) {
+	t.windowStart = max(t.windowStart, now.Add(-t.config.Window).UnixMilli())
 }
 
-func (t *Table[R]) outOfTime(now time.Time, unixMillis int64) bool {
-	return unixMillis < t.floor || unixMillis > now.Add(t.config.Ahead).UnixMilli()
+func (t *Table[R]) isOutsideWindow(now time.Time, unixMillis int64) bool {
+	return unixMillis < t.windowStart || unixMillis > now.Add(t.config.MaxAhead).UnixMilli()
 }
 
-func (t *Table[R]) full() bool {
+func (t *Table[R]) isFull() bool {
 	return len(t.entries) >= t.config.MaxKeys || t.bytes+EntryBytes > t.config.MaxBytes
 }
 
-func (t *Table[R]) admit(a Ask) Verdict[R] {
-	if t.full() {
+func (t *Table[R]) beginNew(a RequestCopy) Verdict[R] {
+	if t.isFull() {
 		return Verdict[R]{Action: RefuseFull}
 	}
 	e := t.insert(a)
@@ -334,10 +334,10 @@
 	return Verdict[R]{Action: Run}
 }
 
-func (t *Table[R]) again(now time.Time, e *Entry[R], a Ask) Verdict[R] {
+func (t *Table[R]) beginKnown(now time.Time, e *Entry[R], a RequestCopy) Verdict[R] {
 	switch e.State {
 	case Running:
-		e.single = e.single && a.Single
+		e.onlyCopy = e.onlyCopy && a.OnlyCopy
 		return Verdict[R]{Action: Attach}
 	case Done:
 		return Verdict[R]{Action: Answer, Reply: e.Reply}
@@ -345,30 +345,30 @@
 		return Verdict[R]{Action: RefuseClosed}
 	}
 	if a.Confirm == "" || a.Confirm != e.token {
-		e.token, e.issued = a.Token, now
+		e.token, e.tokenIssuedAt = a.Token, now
 		return Verdict[R]{Action: Challenge, Token: a.Token}
 	}
-	return t.confirmed(now, e, a)
+	return t.beginConfirmed(now, e, a)
 }
 
-// confirmed runs a request whose source still holds it, if the request entered after it was last told that the key
+// beginConfirmed runs a request whose source still holds it, if the request entered after it was last told that the key
 // has not run. The source computed the age after the challenge was issued, so the request entered later than
 // issued-age; no two clocks are compared.
-func (t *Table[R]) confirmed(now time.Time, e *Entry[R], a Ask) Verdict[R] {
+func (t *Table[R]) beginConfirmed(now time.Time, e *Entry[R], a RequestCopy) Verdict[R] {
 	e.token = ""
-	if !e.issued.Add(-a.Age).After(e.decided) {
-		e.tell(now)
+	if !e.tokenIssuedAt.Add(-a.Age).After(e.reportedAt) {
+		e.markReported(now)
 		return Verdict[R]{Action: RefuseNotRun}
 	}
-	t.renew(e, a)
+	t.restartWindow(e, a)
 	e.State = Running
 	t.running++
 	return Verdict[R]{Action: Run}
 }
 
-func (t *Table[R]) insert(a Ask) *Entry[R] {
-	e := &Entry[R]{ID: a.ID, UnixMillis: a.UnixMillis, Fingerprint: a.Fingerprint, Bytes: EntryBytes, single: a.Single}
-	t.renew(e, a)
+func (t *Table[R]) insert(a RequestCopy) *Entry[R] {
+	e := &Entry[R]{ID: a.ID, UnixMillis: a.UnixMillis, Fingerprint: a.Fingerprint, Bytes: EntryBytes, onlyCopy: a.OnlyCopy}
+	t.restartWindow(e, a)
 	t.entries[e.ID] = e
 	t.bytes += e.Bytes
 	return e
--- a/internal/decide/outcome/table_test.go
+++ b/internal/decide/outcome/table_test.go
@@ -12,25 +12,25 @@
 
 var start = time.UnixMilli(1_800_000_000_000)
 
-var config = outcome.TableConfig{Window: time.Minute, Ahead: 10 * time.Second, MaxKeys: 3, MaxBytes: 1 << 20}
+var config = outcome.TableConfig{Window: time.Minute, MaxAhead: 10 * time.Second, MaxKeys: 3, MaxBytes: 1 << 20}
 
-func askAt(id string, at time.Time) outcome.Ask {
-	return outcome.Ask{ID: id, UnixMillis: at.UnixMilli(), Timed: true, Fingerprint: 7, Token: "token-of-" + id}
+func copyAt(id string, at time.Time) outcome.RequestCopy {
+	return outcome.RequestCopy{ID: id, UnixMillis: at.UnixMilli(), Timed: true, Fingerprint: 7, Token: "token-of-" + id}
 }
 
 func TestParseKey(t *testing.T) {
-	home := outcome.Node{Name: "access.0", Incarnation: 99}
+	owner := outcome.Node{Name: "access.0", Incarnation: 99}
 	id := uuid.MustParse("01a23f1d-16fa-75fd-80e0-13ed2775fc37")
 	for name, tc := range map[string]struct {
 		text   string
 		millis int64
 		timed  bool
-		home   outcome.Node
+		owner  outcome.Node
 		fault  bool
 	}{
 		"UUIDv7":      {text: id.String(), millis: 0x01a23f1d16fa, timed: true},
 		"ULID":        {text: "01ARZ3NDEKTSV4RRFFQ69G5FAV", millis: 1469922850259, timed: true},
-		"minted":      {text: outcome.Mint(home, id), millis: 0x01a23f1d16fa, timed: true, home: home},
+		"minted":      {text: outcome.Mint(owner, id), millis: 0x01a23f1d16fa, timed: true, owner: owner},
 		"UUIDv4":      {text: "1b4e28ba-2fa1-41d2-883f-0016d3cca427"},
 		"opaque":      {text: "booking-17"},
 		"half minted": {text: "m.2r.nonsense.access"},
@@ -44,7 +44,7 @@
 			is.Equal(err != nil, tc.fault)
 			is.Equal(k.Timed, tc.timed)
 			is.Equal(k.UnixMillis, tc.millis)
-			is.Equal(k.Home, tc.home)
+			is.Equal(k.Owner, tc.owner)
 		})
 	}
 }
@@ -52,13 +52,13 @@
 func TestCopiesOfOneKey(t *testing.T) {
 	is := is.New(t)
 	table := outcome.NewTable[string](config)
-	is.Equal(table.Begin(start, askAt("k", start)).Action, outcome.Run)
-	is.Equal(table.Begin(start, askAt("k", start)).Action, outcome.Attach)
+	is.Equal(table.Begin(start, copyAt("k", start)).Action, outcome.Run)
+	is.Equal(table.Begin(start, copyAt("k", start)).Action, outcome.Attach)
 	table.Settle(start, "k", outcome.Done, "booked", 6)
-	again := table.Begin(start.Add(time.Second), askAt("k", start))
+	again := table.Begin(start.Add(time.Second), copyAt("k", start))
 	is.Equal(again.Action, outcome.Answer)
 	is.Equal(again.Reply, "booked")
-	other := askAt("k", start)
+	other := copyAt("k", start)
 	other.Fingerprint = 8
 	is.Equal(table.Begin(start, other).Action, outcome.RefuseReused)
 }
@@ -76,11 +76,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			table := outcome.NewTable[string](config)
-			table.Begin(start, askAt("k", start))
+			table.Begin(start, copyAt("k", start))
 			table.Settle(start, "k", outcome.NotRun, "", 0)
-			challenge := table.Begin(start.Add(2*time.Second), askAt("k", start))
+			challenge := table.Begin(start.Add(2*time.Second), copyAt("k", start))
 			is.Equal(challenge.Action, outcome.Challenge)
-			confirmed := askAt("k", start)
+			confirmed := copyAt("k", start)
 			confirmed.Confirm, confirmed.Age = challenge.Token, tc.age
 			is.Equal(table.Begin(start.Add(9*time.Second), confirmed).Action, tc.want)
 			is.True(table.Begin(start.Add(9*time.Second), confirmed).Action != outcome.Run) // a token holds once
@@ -92,28 +92,28 @@
 	is := is.New(t)
 	table := outcome.NewTable[string](config)
 	other := outcome.Node{Name: "access_1", Incarnation: 5}
-	table.Begin(start, askAt("done", start))
-	is.Equal(table.Move(start, askAt("done", start), other).State, outcome.Running)
+	table.Begin(start, copyAt("done", start))
+	is.Equal(table.Move(start, copyAt("done", start), other).State, outcome.Running)
 	table.Settle(start, "done", outcome.Done, "booked", 6)
-	is.Equal(table.Move(start, askAt("done", start), other), outcome.Moving[string]{State: outcome.Done, Reply: "booked", Fingerprint: 7})
-	unseen := askAt("new", start)
+	is.Equal(table.Move(start, copyAt("done", start), other), outcome.MoveResult[string]{State: outcome.Done, Reply: "booked", Fingerprint: 7})
+	unseen := copyAt("new", start)
 	unseen.Fingerprint = 0
-	is.Equal(table.Move(start, unseen, other), outcome.Moving[string]{State: outcome.Moved})
-	is.Equal(table.Begin(start, askAt("new", start)).Action, outcome.RefuseClosed)
-	table.Claim(func(n outcome.Node) bool { return n == other })
-	is.Equal(table.Begin(start, askAt("new", start)).Action, outcome.Run) // it came back with all that the other knew
+	is.Equal(table.Move(start, unseen, other), outcome.MoveResult[string]{State: outcome.Moved})
+	is.Equal(table.Begin(start, copyAt("new", start)).Action, outcome.RefuseClosed)
+	table.Reclaim(func(n outcome.Node) bool { return n == other })
+	is.Equal(table.Begin(start, copyAt("new", start)).Action, outcome.Run) // it came back with all that the other knew
 }
 
 // Whoever asks in between is told that the key has not run, so that later only what entered afterwards may run.
 func TestResolvedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	table := outcome.NewTable[string](config)
-	table.Begin(start, askAt("k", start))
+	table.Begin(start, copyAt("k", start))
 	table.Settle(start, "k", outcome.NotRun, "", 0)
 	state, _ := table.Resolve(start.Add(5*time.Second), "k")
 	is.Equal(state, outcome.NotRun)
-	confirmed := askAt("k", start)
-	confirmed.Confirm = table.Begin(start.Add(6*time.Second), askAt("k", start)).Token
+	confirmed := copyAt("k", start)
+	confirmed.Confirm = table.Begin(start.Add(6*time.Second), copyAt("k", start)).Token
 	confirmed.Age = 2 * time.Second
 	is.Equal(table.Begin(start.Add(7*time.Second), confirmed).Action, outcome.RefuseNotRun)
 }
@@ -121,13 +121,13 @@
 func TestSingleCopyNeedsNoMemory(t *testing.T) {
 	is := is.New(t)
 	table := outcome.NewTable[string](config)
-	single := askAt("k", start)
-	single.Single = true
+	single := copyAt("k", start)
+	single.OnlyCopy = true
 	table.Begin(start, single)
 	table.Settle(start, "k", outcome.NotRun, "", 0)
 	is.Equal(table.Size(), outcome.Size{})
 	table.Begin(start, single)
-	table.Begin(start, askAt("k", start)) // a second copy came while the first was waiting
+	table.Begin(start, copyAt("k", start)) // a second copy came while the first was waiting
 	table.Settle(start, "k", outcome.NotRun, "", 0)
 	is.Equal(table.Size().Keys, 1)
 }
@@ -135,19 +135,19 @@
 func TestKeysAreForgottenOnlyWhenRefused(t *testing.T) {
 	is := is.New(t)
 	table := outcome.NewTable[string](config)
-	table.Begin(start, askAt("k", start))
+	table.Begin(start, copyAt("k", start))
 	table.Settle(start, "k", outcome.Done, "booked", 6)
 	table.Expire(start.Add(config.Window))
 	is.Equal(table.Size().Keys, 1)
 	table.Expire(start.Add(config.Window + time.Second))
 	is.Equal(table.Size(), outcome.Size{})
-	is.Equal(table.Begin(start, askAt("k", start)).Action, outcome.RefuseTime) // also after the clock was set back
-	is.Equal(table.Begin(start, askAt("f", start.Add(time.Minute))).Action, outcome.RefuseTime)
+	is.Equal(table.Begin(start, copyAt("k", start)).Action, outcome.RefuseTime) // also after the clock was set back
+	is.Equal(table.Begin(start, copyAt("f", start.Add(time.Minute))).Action, outcome.RefuseTime)
 }
 
 // A key without a time is remembered for the window from when it last was let run, or moved.
 func TestWindowOfKeysWithoutTime(t *testing.T) {
-	opaque := outcome.Ask{ID: "k", Fingerprint: 7, Token: "token"}
+	opaque := outcome.RequestCopy{ID: "k", Fingerprint: 7, Token: "token"}
 	late, end := start.Add(config.Window-time.Second), start.Add(2*config.Window-2*time.Second)
 	refuse := func(table *outcome.Table[string]) {
 		table.Begin(start, opaque)
@@ -194,27 +194,27 @@
 	is := is.New(t)
 	table := outcome.NewTable[string](config)
 	for _, id := range []string{"a", "b", "c"} {
-		is.Equal(table.Begin(start, askAt(id, start)).Action, outcome.Run)
+		is.Equal(table.Begin(start, copyAt(id, start)).Action, outcome.Run)
 	}
-	is.Equal(table.Begin(start, askAt("d", start)).Action, outcome.RefuseFull)
-	is.Equal(table.Begin(start, askAt("a", start)).Action, outcome.Attach)
+	is.Equal(table.Begin(start, copyAt("d", start)).Action, outcome.RefuseFull)
+	is.Equal(table.Begin(start, copyAt("a", start)).Action, outcome.Attach)
 }
 
 func TestClosedTableOnlyAnswers(t *testing.T) {
 	is := is.New(t)
 	table, successor := outcome.NewTable[string](config), outcome.NewTable[string](config)
-	table.Begin(start, askAt("running", start))
-	table.Begin(start, askAt("refused", start))
+	table.Begin(start, copyAt("running", start))
+	table.Begin(start, copyAt("refused", start))
 	table.Settle(start, "refused", outcome.NotRun, "", 0)
 	table.Close()
-	is.Equal(table.Begin(start, askAt("new", start)).Action, outcome.RefuseClosed)
-	is.Equal(table.Begin(start, askAt("refused", start)).Action, outcome.RefuseClosed)
-	is.Equal(table.Begin(start, askAt("running", start)).Action, outcome.Attach)
+	is.Equal(table.Begin(start, copyAt("new", start)).Action, outcome.RefuseClosed)
+	is.Equal(table.Begin(start, copyAt("refused", start)).Action, outcome.RefuseClosed)
+	is.Equal(table.Begin(start, copyAt("running", start)).Action, outcome.Attach)
 	table.Settle(start, "running", outcome.Done, "booked", 6)
 	for _, e := range table.Entries() {
 		successor.Restore(start, e)
 	}
-	is.Equal(successor.Begin(start, askAt("running", start)).Action, outcome.Answer)
-	is.Equal(successor.Begin(start, askAt("refused", start)).Action, outcome.Challenge)
+	is.Equal(successor.Begin(start, copyAt("running", start)).Action, outcome.Answer)
+	is.Equal(successor.Begin(start, copyAt("refused", start)).Action, outcome.Challenge)
 	is.Equal(successor.Size().Bytes, table.Size().Bytes)
 }
--- a/internal/decide/quarantine/evidence.go
+++ b/internal/decide/quarantine/evidence.go
@@ -19,10 +19,10 @@
 
 // The sources.
 const (
-	// SeenHere is a crash of the local backend server.
-	SeenHere Source = "crash_seen_here"
-	// Told is a crash that another node or the sender of the request told of.
-	Told Source = "crash_told"
+	// ObservedLocally is a crash of the local backend server.
+	ObservedLocally Source = "crash_seen_here"
+	// Reported is a crash that another node or the sender of the request told of.
+	Reported Source = "crash_told"
 )
 
 // Reasons is the catalogue of the reasons.
@@ -33,8 +33,8 @@
 
 // Sources is the catalogue of the sources of evidence.
 var Sources = map[Source]string{
-	SeenHere: "The local backend server broke the connection while it ran the request.",
-	Told:     "Another node, or the request's sender, told of the crash.",
+	ObservedLocally: "The local backend server broke the connection while it ran the request.",
+	Reported:        "Another node, or the request's sender, told of the crash.",
 }
 
 // Evidence is one crash that a request is blamed for.
@@ -53,8 +53,8 @@
 	e.Evidence = e.Evidence[max(0, len(e.Evidence)-maxEvidence):]
 }
 
-// shown returns a copy of the entry with its reason.
-func (e *Entry) shown(maxCrashes int) Entry {
+// withReason returns a copy of the entry with its reason.
+func (e *Entry) withReason(maxCrashes int) Entry {
 	copied := *e
 	copied.Evidence = slices.Clone(e.Evidence)
 	copied.Reason = Suspected
--- a/internal/decide/quarantine/evidence_test.go
+++ b/internal/decide/quarantine/evidence_test.go
@@ -17,8 +17,8 @@
 	first := start.Add(time.Second)
 	s.crash(first, 0, start, poison)
 	is.Equal(s.tables[0].Entries()[0].Reason, quarantine.Suspected)
-	is.Equal(sources(s.tables[0]), []quarantine.Source{quarantine.SeenHere})
-	is.Equal(sources(s.tables[1]), []quarantine.Source{quarantine.Told})
+	is.Equal(sources(s.tables[0]), []quarantine.Source{quarantine.ObservedLocally})
+	is.Equal(sources(s.tables[1]), []quarantine.Source{quarantine.Reported})
 
 	s.run(t, first, 1, poison)
 	second := first.Add(time.Second)
@@ -31,7 +31,7 @@
 		is.Equal(e.Evidence[0].At, first)
 		is.Equal(e.Evidence[1].At, second)
 	}
-	is.Equal(sources(s.tables[0]), []quarantine.Source{quarantine.SeenHere, quarantine.Told})
+	is.Equal(sources(s.tables[0]), []quarantine.Source{quarantine.ObservedLocally, quarantine.Reported})
 
 	table := s.tables[0]
 	for crash := range 20 {
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -51,28 +51,28 @@
 	// FirstTerm is the first time of refusal; it doubles with each further crash up to MaxTerm.
 	FirstTerm time.Duration
 	MaxTerm   time.Duration
-	// EvidenceLife is how long a crash counts, and how long a request stays known after its term.
-	EvidenceLife time.Duration
-	// GoodLife is how long a request that ran well is not suspected.
-	GoodLife time.Duration
-	// SameCrash is the time within which broken requests belong to one crash.
-	SameCrash time.Duration
-	// SuspectRetry is when to come back while another suspect runs.
-	SuspectRetry time.Duration
+	// EvidenceLifetime is how long a crash counts, and how long a request stays known after its term.
+	EvidenceLifetime time.Duration
+	// GoodLifetime is how long a request that ran well is not suspected.
+	GoodLifetime time.Duration
+	// CrashWindow is the time within which broken requests belong to one crash.
+	CrashWindow time.Duration
+	// SuspectRetryAfter is when to come back while another suspect runs.
+	SuspectRetryAfter time.Duration
 	// MaxEntries bounds the suspects, and the requests remembered as good.
 	MaxEntries int
 }
 
 // DefaultConfig holds where nothing else is set.
 var DefaultConfig = Config{
-	MaxCrashes:   2,
-	FirstTerm:    10 * time.Second,
-	MaxTerm:      5 * time.Minute,
-	EvidenceLife: time.Minute,
-	GoodLife:     10 * time.Second,
-	SameCrash:    100 * time.Millisecond,
-	SuspectRetry: 100 * time.Millisecond,
-	MaxEntries:   8192,
+	MaxCrashes:        2,
+	FirstTerm:         10 * time.Second,
+	MaxTerm:           5 * time.Minute,
+	EvidenceLifetime:  time.Minute,
+	GoodLifetime:      10 * time.Second,
+	CrashWindow:       100 * time.Millisecond,
+	SuspectRetryAfter: 100 * time.Millisecond,
+	MaxEntries:        8192,
 }
 
 // Action is what becomes of a request.
@@ -84,8 +84,8 @@
 	Run Action = iota
 	// Refuse means that the request is quarantined.
 	Refuse
-	// Later means that another suspect is running on this backend server.
-	Later
+	// RetryLater means that another suspect is running on this backend server.
+	RetryLater
 )
 
 // Verdict answers Begin.
@@ -99,10 +99,10 @@
 
 // The endings.
 const (
-	// Open tells nothing: the request was refused, canceled or ran out of time.
-	Open Ending = iota
-	// Well means that the backend server answered, with whatever status.
-	Well
+	// Inconclusive tells nothing: the request was refused, canceled or ran out of time.
+	Inconclusive Ending = iota
+	// Answered means that the backend server answered, with whatever status.
+	Answered
 	// Broken means that the backend server broke the connection in the middle.
 	Broken
 )
@@ -129,17 +129,17 @@
 	Reason   Reason     `json:"reason"`
 	Evidence []Evidence `json:"evidence"`
 
-	// known are the crashes by which they are told apart. Crashes may be more, where some are only known by number.
-	known map[uint64]bool
+	// crashIDs are the crashes by which they are told apart. Crashes may be more, where some are only known by number.
+	crashIDs map[uint64]bool
 }
 
-// note adds a crash and reports whether it was not known.
-func (e *Entry) note(crash uint64) bool {
-	if crash == 0 || e.known[crash] {
+// addCrash adds a crash and reports whether it was not known.
+func (e *Entry) addCrash(crash uint64) bool {
+	if crash == 0 || e.crashIDs[crash] {
 		return false
 	}
-	e.known[crash] = true
-	e.Crashes = max(e.Crashes, len(e.known))
+	e.crashIDs[crash] = true
+	e.Crashes = max(e.Crashes, len(e.crashIDs))
 	return true
 }
 
@@ -150,18 +150,18 @@
 	good    map[Fingerprint]time.Time
 	running map[Fingerprint]int
 	// suspect is the suspect that runs now, if any.
-	suspect Fingerprint
-	crash   crash
+	suspect   Fingerprint
+	lastCrash crashRecord
 }
 
-// crash is the latest crash of the backend server.
-type crash struct {
+// crashRecord is the latest crash of the backend server.
+type crashRecord struct {
 	id uint64
 	at time.Time
 	// suspect was running then, if any.
 	suspect Fingerprint
-	// spared are the requests that are not blamed for it, since they ran well before.
-	spared map[Fingerprint]bool
+	// exempt are the requests that are not blamed for it, since they ran well before.
+	exempt map[Fingerprint]bool
 }
 
 // NewTable returns a table without evidence.
@@ -184,7 +184,7 @@
 		return Verdict{Action: Refuse, RetryAfter: e.Until.Sub(now)}
 	}
 	if e != nil && t.suspect != (Fingerprint{}) {
-		return Verdict{Action: Later, RetryAfter: t.config.SuspectRetry}
+		return Verdict{Action: RetryLater, RetryAfter: t.config.SuspectRetryAfter}
 	}
 	if e != nil {
 		t.suspect = f
@@ -199,19 +199,19 @@
 	if ending == Broken {
 		t.noteCrash(now, began)
 	}
-	t.leave(f)
+	t.endRun(f)
 	switch ending {
-	case Well:
-		t.clear(now, f)
+	case Answered:
+		t.clearSuspicion(now, f)
 	case Broken:
-		return t.blame(now, f)
+		return t.attributeCrash(now, f)
 	}
 	return Blame{}, false
 }
 
 // Learn takes in what another node knows.
 func (t *Table) Learn(now time.Time, b Blame) {
-	if !b.Fingerprint.valid() {
+	if !b.Fingerprint.isValid() {
 		return
 	}
 	delete(t.good, b.Fingerprint)
@@ -222,49 +222,49 @@
 	if e == nil {
 		e = t.add(now, b.Fingerprint)
 	}
-	fresh := e.note(b.Crash)
+	fresh := e.addCrash(b.Crash)
 	if fresh || b.Crashes > e.Crashes {
-		e.addEvidence(Evidence{Crash: b.Crash, Source: Told, At: now})
+		e.addEvidence(Evidence{Crash: b.Crash, Source: Reported, At: now})
 	}
 	if !fresh && b.Crashes <= e.Crashes && b.Term <= e.Term {
 		return
 	}
 	e.Crashes = max(e.Crashes, b.Crashes)
-	t.sentence(now, e, b.Term)
+	t.updateTerm(now, e, b.Term)
 }
 
 // Entries returns what is known against all requests.
 func (t *Table) Entries() []Entry {
 	entries := make([]Entry, 0, len(t.entries))
 	for _, e := range t.entries {
-		entries = append(entries, e.shown(t.config.MaxCrashes))
+		entries = append(entries, e.withReason(t.config.MaxCrashes))
 	}
 	return entries
 }
 
-func (f Fingerprint) valid() bool {
+func (f Fingerprint) isValid() bool {
 	return f.Service != "" && f.Kind != ""
 }
 
 // noteCrash notes which suspect was running when the first request of a crash broke.
 func (t *Table) noteCrash(now, began time.Time) {
-	if now.Sub(t.crash.at) <= t.config.SameCrash && began.Before(t.crash.at) {
+	if now.Sub(t.lastCrash.at) <= t.config.CrashWindow && began.Before(t.lastCrash.at) {
 		return
 	}
-	t.crash = crash{id: t.newID(now), at: now, suspect: t.suspect, spared: map[Fingerprint]bool{}}
+	t.lastCrash = crashRecord{id: t.newCrashID(now), at: now, suspect: t.suspect, exempt: map[Fingerprint]bool{}}
 }
 
-func (t *Table) newID(now time.Time) uint64 {
+func (t *Table) newCrashID(now time.Time) uint64 {
 	return xxhash.Sum64String(t.config.Node + now.Format(time.RFC3339Nano))
 }
 
-// blame charges the crash: to the suspect alone if one was running, else to all that did not run well lately.
-func (t *Table) blame(now time.Time, f Fingerprint) (Blame, bool) {
-	if t.crash.spared[f] || t.crash.suspect != (Fingerprint{}) && t.crash.suspect != f {
+// attributeCrash charges the crash: to the suspect alone if one was running, else to all that did not run well lately.
+func (t *Table) attributeCrash(now time.Time, f Fingerprint) (Blame, bool) {
+	if t.lastCrash.exempt[f] || t.lastCrash.suspect != (Fingerprint{}) && t.lastCrash.suspect != f {
 		return Blame{}, false
 	}
 	if t.isGood(now, f) {
-		t.crash.spared[f] = true
+		t.lastCrash.exempt[f] = true
 		delete(t.good, f) // a second crash before it runs well again counts
 		return Blame{Fingerprint: f}, true
 	}
@@ -272,17 +272,17 @@
 	if e == nil {
 		e = t.add(now, f)
 	}
-	if !e.note(t.crash.id) {
+	if !e.addCrash(t.lastCrash.id) {
 		return Blame{}, false
 	}
-	e.addEvidence(Evidence{Crash: t.crash.id, Source: SeenHere, At: now})
-	t.sentence(now, e, 0)
-	return Blame{Fingerprint: f, Crash: t.crash.id, Crashes: e.Crashes, Term: e.Term}, true
+	e.addEvidence(Evidence{Crash: t.lastCrash.id, Source: ObservedLocally, At: now})
+	t.updateTerm(now, e, 0)
+	return Blame{Fingerprint: f, Crash: t.lastCrash.id, Crashes: e.Crashes, Term: e.Term}, true
 }
 
-// sentence renews the expiry, and the term of refusal where there were enough crashes.
-func (t *Table) sentence(now time.Time, e *Entry, term time.Duration) {
-	e.Expires = now.Add(t.config.EvidenceLife)
+// updateTerm renews the expiry, and the term of refusal where there were enough crashes.
+func (t *Table) updateTerm(now time.Time, e *Entry, term time.Duration) {
+	e.Expires = now.Add(t.config.EvidenceLifetime)
 	if e.Crashes < t.config.MaxCrashes {
 		return
 	}
@@ -292,13 +292,13 @@
 	}
 	e.Term = min(max(own, term), t.config.MaxTerm)
 	e.Until = now.Add(e.Term)
-	e.Expires = e.Until.Add(t.config.EvidenceLife)
+	e.Expires = e.Until.Add(t.config.EvidenceLifetime)
 }
 
 // maxDoublings bounds the doublings of a term.
 const maxDoublings = 16
 
-func (t *Table) clear(now time.Time, f Fingerprint) {
+func (t *Table) clearSuspicion(now time.Time, f Fingerprint) {
 	delete(t.entries, f)
 	if len(t.good) >= t.config.MaxEntries {
 		t.good = map[Fingerprint]time.Time{}
@@ -306,7 +306,7 @@
 	t.good[f] = now
 }
 
-func (t *Table) leave(f Fingerprint) {
+func (t *Table) endRun(f Fingerprint) {
 	t.running[f]--
 	if t.running[f] > 0 {
 		return
@@ -319,7 +319,7 @@
 
 func (t *Table) isGood(now time.Time, f Fingerprint) bool {
 	at, ok := t.good[f]
-	return ok && now.Sub(at) <= t.config.GoodLife
+	return ok && now.Sub(at) <= t.config.GoodLifetime
 }
 
 // entry returns the evidence that has not expired, or nil.
@@ -337,15 +337,15 @@
 
 func (t *Table) add(now time.Time, f Fingerprint) *Entry {
 	if len(t.entries) >= t.config.MaxEntries {
-		t.dropExpired(now)
+		t.makeRoom(now)
 	}
-	e := &Entry{Fingerprint: f, Expires: now.Add(t.config.EvidenceLife), known: map[uint64]bool{}}
+	e := &Entry{Fingerprint: f, Expires: now.Add(t.config.EvidenceLifetime), crashIDs: map[uint64]bool{}}
 	t.entries[f] = e
 	return e
 }
 
-// dropExpired makes room, by force where nothing has expired.
-func (t *Table) dropExpired(now time.Time) {
+// makeRoom makes room, by force where nothing has expired.
+func (t *Table) makeRoom(now time.Time) {
 	for f, e := range t.entries {
 		if now.After(e.Expires) {
 			delete(t.entries, f)
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -53,7 +53,7 @@
 func TestCrashesBounded(t *testing.T) {
 	is := is.New(t)
 	s := newService(5)
-	poison, beside := request("poison"), request("beside")
+	poison, bystander := request("poison"), request("beside")
 	now := start
 	for i := range 20 {
 		now = now.Add(200 * time.Millisecond)
@@ -62,8 +62,8 @@
 			continue
 		}
 		running := []quarantine.Fingerprint{poison}
-		if s.tables[node].Begin(now, beside, 0).Action == quarantine.Run {
-			running = append(running, beside)
+		if s.tables[node].Begin(now, bystander, 0).Action == quarantine.Run {
+			running = append(running, bystander)
 		}
 		s.crash(now.Add(time.Millisecond), node, now, running...)
 	}
@@ -71,8 +71,8 @@
 	for _, table := range s.tables {
 		is.Equal(table.Begin(now, poison, 0).Action, quarantine.Refuse)
 	}
-	s.run(t, now, 0, beside) // it was suspected, but never ran alone beside the second crash
-	s.tables[0].End(now, beside, now, quarantine.Well)
+	s.run(t, now, 0, bystander) // it was suspected, but never ran alone beside the second crash
+	s.tables[0].End(now, bystander, now, quarantine.Answered)
 	is.Equal(len(s.tables[0].Entries()), 1)
 }
 
@@ -92,7 +92,7 @@
 	s := newService(2)
 	sheets := request("sheets")
 	s.run(t, start, 0, sheets)
-	s.tables[0].End(start, sheets, start, quarantine.Well)
+	s.tables[0].End(start, sheets, start, quarantine.Answered)
 	now := start.Add(time.Second)
 	s.run(t, now, 0, sheets)
 	s.run(t, now, 0, sheets)
@@ -118,7 +118,7 @@
 		is.Equal(s.tables[0].Entries()[0].Term, term)
 		now = now.Add(max(term, time.Second))
 	}
-	now = now.Add(c.EvidenceLife + time.Second)
+	now = now.Add(c.EvidenceLifetime + time.Second)
 	s.run(t, now, 0, poison)
 	is.Equal(len(s.tables[0].Entries()), 0) // nothing outlives its evidence
 }
@@ -132,9 +132,9 @@
 	s.run(t, start, 0, b)
 	s.crash(start, 0, start, a, a, b) // counts once against each
 	s.run(t, start, 1, a)
-	is.Equal(s.tables[1].Begin(start, b, 0).Action, quarantine.Later)
+	is.Equal(s.tables[1].Begin(start, b, 0).Action, quarantine.RetryLater)
 	s.run(t, start, 1, request("c")) // others go on
-	s.tables[1].End(start, a, start, quarantine.Well)
+	s.tables[1].End(start, a, start, quarantine.Answered)
 	s.run(t, start, 1, b)
 }
 
@@ -142,7 +142,7 @@
 	is := is.New(t)
 	table := quarantine.NewTable(quarantine.DefaultConfig)
 	is.Equal(table.Begin(start, request("a"), 1).Action, quarantine.Run)
-	is.Equal(table.Begin(start, request("b"), 1).Action, quarantine.Later) // both are suspects already
+	is.Equal(table.Begin(start, request("b"), 1).Action, quarantine.RetryLater) // both are suspects already
 	is.Equal(table.Begin(start, request("c"), 2).Action, quarantine.Refuse)
 	table.Learn(start, quarantine.Blame{Crashes: 9}) // names no request
 	is.Equal(len(table.Entries()), 3)
--- a/internal/decide/reach/reach.go
+++ b/internal/decide/reach/reach.go
@@ -17,60 +17,60 @@
 )
 
 const (
-	// firstAsk is the time between the first two questions to a node; each further one doubles it.
-	firstAsk = 150 * time.Millisecond
-	// longestAsk bounds that time. A node that is back is found within it.
-	longestAsk = 600 * time.Millisecond
+	// initialProbeInterval is the time between the first two questions to a node; each further one doubles it.
+	initialProbeInterval = 150 * time.Millisecond
+	// maxProbeInterval bounds that time. A node that is back is found within it.
+	maxProbeInterval = 600 * time.Millisecond
 )
 
 // Tracker holds the nodes that gave no answer.
 type Tracker struct {
-	lost map[string]*question
+	unreachable map[string]*probe
 }
 
-// question is when a lost node is asked next.
-type question struct {
-	since time.Time
-	next  time.Time
-	pause time.Duration
+// probe is when a lost node is asked next.
+type probe struct {
+	since    time.Time
+	next     time.Time
+	interval time.Duration
 }
 
 // NewTracker returns a tracker that has lost nobody.
 func NewTracker() *Tracker {
-	return &Tracker{lost: map[string]*question{}}
+	return &Tracker{unreachable: map[string]*probe{}}
 }
 
-// Lost notes that a node gave no answer, and reports whether that is new. It is due at once: only its open connection may
+// MarkUnreachable notes that a node gave no answer, and reports whether that is new. It is due at once: only its open connection may
 // have gone silent.
-func (t *Tracker) Lost(now time.Time, node string) bool {
-	if _, known := t.lost[node]; known {
+func (t *Tracker) MarkUnreachable(now time.Time, node string) bool {
+	if _, known := t.unreachable[node]; known {
 		return false
 	}
-	t.lost[node] = &question{since: now, next: now, pause: firstAsk}
+	t.unreachable[node] = &probe{since: now, next: now, interval: initialProbeInterval}
 	return true
 }
 
-// Found notes that a node answers again, or is no member any more. It returns since when it was lost, and false where it
+// Clear notes that a node answers again, or is no member any more. It returns since when it was lost, and false where it
 // wasn't.
-func (t *Tracker) Found(node string) (time.Time, bool) {
-	q, known := t.lost[node]
+func (t *Tracker) Clear(node string) (time.Time, bool) {
+	q, known := t.unreachable[node]
 	if !known {
 		return time.Time{}, false
 	}
-	delete(t.lost, node)
+	delete(t.unreachable, node)
 	return q.since, true
 }
 
 // Due returns the nodes that are to be asked now, by name, and sets the next time for each.
 func (t *Tracker) Due(now time.Time) []string {
 	var due []string
-	for node, q := range t.lost {
+	for node, q := range t.unreachable {
 		if now.Before(q.next) {
 			continue
 		}
 		due = append(due, node)
-		q.next = now.Add(q.pause)
-		q.pause = min(2*q.pause, longestAsk)
+		q.next = now.Add(q.interval)
+		q.interval = min(2*q.interval, maxProbeInterval)
 	}
 	slices.Sort(due)
 	return due
@@ -78,5 +78,5 @@
 
 // Len returns how many nodes are lost.
 func (t *Tracker) Len() int {
-	return len(t.lost)
+	return len(t.unreachable)
 }
--- a/internal/decide/reach/reach_test.go
+++ b/internal/decide/reach/reach_test.go
@@ -17,8 +17,8 @@
 	is := is.New(t)
 	tracker := reach.NewTracker()
 	const cut = 6 * time.Second
-	is.True(tracker.Lost(start, "node_1"))
-	is.True(!tracker.Lost(start, "node_1")) // many requests notice at once
+	is.True(tracker.MarkUnreachable(start, "node_1"))
+	is.True(!tracker.MarkUnreachable(start, "node_1")) // many requests notice at once
 	asked, found := 0, time.Duration(0)
 	for at := time.Duration(0); found == 0; at += 10 * time.Millisecond {
 		for range tracker.Due(start.Add(at)) {
@@ -30,7 +30,7 @@
 	}
 	is.True(asked <= 15)
 	is.True(found-cut <= 600*time.Millisecond)
-	since, lost := tracker.Found("node_1")
+	since, lost := tracker.Clear("node_1")
 	is.True(lost)
 	is.Equal(since, start)
 	is.Equal(tracker.Len(), 0)
@@ -41,10 +41,10 @@
 func TestLostNodeIsDueAtOnce(t *testing.T) {
 	is := is.New(t)
 	tracker := reach.NewTracker()
-	tracker.Lost(start, "node_2")
-	tracker.Lost(start, "node_1")
+	tracker.MarkUnreachable(start, "node_2")
+	tracker.MarkUnreachable(start, "node_1")
 	is.Equal(tracker.Due(start), []string{"node_1", "node_2"})
 	is.Equal(len(tracker.Due(start)), 0)
-	_, lost := tracker.Found("node_3")
+	_, lost := tracker.Clear("node_3")
 	is.True(!lost)
 }
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -20,8 +20,8 @@
 const (
 	// GiveUp passes the reply up.
 	GiveUp Verdict = iota
-	// TryAgain sends the request to another instance.
-	TryAgain
+	// Retry sends the request to another instance.
+	Retry
 )
 
 // Attempt is what is known after a failed attempt.
@@ -31,10 +31,10 @@
 	Started bool
 	// Final is the mark of the reply.
 	Final bool
-	// Deeper says that the failure came from further down the chain, where the node next to it has decided.
-	Deeper       bool
-	AttemptsLeft int
-	TimeLeft     time.Duration
+	// FailedDownstream says that the failure came from further down the chain, where the node next to it has decided.
+	FailedDownstream bool
+	AttemptsLeft     int
+	TimeLeft         time.Duration
 	// Candidates is how many instances have not been tried.
 	Candidates int
 }
@@ -44,7 +44,7 @@
 
 // Decide applies the rules to a failed attempt and charges the budget where the answer is TryAgain.
 func Decide(a Attempt, b *Budget) Verdict {
-	if a.Final || a.Deeper || a.AttemptsLeft <= 0 || a.Candidates <= 0 || a.TimeLeft < MinTimeLeft {
+	if a.Final || a.FailedDownstream || a.AttemptsLeft <= 0 || a.Candidates <= 0 || a.TimeLeft < MinTimeLeft {
 		return GiveUp
 	}
 	if a.Started && !a.Idempotent {
@@ -53,13 +53,13 @@
 	if !b.Take() {
 		return GiveUp
 	}
-	return TryAgain
+	return Retry
 }
 
 // BudgetConfig sets a Budget up.
 type BudgetConfig struct {
-	// PerSuccess is how much of an attempt each success earns, or with Turns each request.
-	PerSuccess float64
+	// EarnRatio is how much of an attempt each success earns, or with Turns each request.
+	EarnRatio float64
 	// Max is the most that is kept.
 	Max float64
 }
@@ -77,7 +77,7 @@
 
 // Earn adds what one success earns.
 func (b *Budget) Earn() {
-	b.tokens = min(b.tokens+b.config.PerSuccess, b.config.Max)
+	b.tokens = min(b.tokens+b.config.EarnRatio, b.config.Max)
 }
 
 // Take spends one retry and reports whether there was one.
@@ -95,13 +95,13 @@
 }
 
 // Cap lowers what is kept to the most.
-func (b *Budget) Cap(most float64) {
-	b.tokens = min(b.tokens, most)
+func (b *Budget) Cap(limit float64) {
+	b.tokens = min(b.tokens, limit)
 }
 
-// Part returns how many retries one of so many nodes may keep, where the fleet as a whole may make so many at once. A
+// PerNodeLimit returns how many retries one of so many nodes may keep, where the fleet as a whole may make so many at once. A
 // node keeps one at least, or it could never retry.
-func Part(fleet float64, nodes int) float64 {
+func PerNodeLimit(fleet float64, nodes int) float64 {
 	return max(fleet/float64(max(nodes, 1)), 1)
 }
 
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -21,11 +21,11 @@
 			is := is.New(t)
 			retried := 0
 			for range test.nodes {
-				budget := retry.NewBudget(retry.BudgetConfig{PerSuccess: 0.05, Max: 20})
+				budget := retry.NewBudget(retry.BudgetConfig{EarnRatio: 0.05, Max: 20})
 				for range 100 {
-					budget.Cap(retry.Part(36, test.nodes))
+					budget.Cap(retry.PerNodeLimit(36, test.nodes))
 					failed := retry.Attempt{Idempotent: true, Started: true, AttemptsLeft: 1, TimeLeft: time.Second, Candidates: 2}
-					if retry.Decide(failed, budget) == retry.TryAgain {
+					if retry.Decide(failed, budget) == retry.Retry {
 						retried++
 					}
 				}
--- a/internal/decide/retry/turn_test.go
+++ b/internal/decide/retry/turn_test.go
@@ -10,25 +10,25 @@
 )
 
 func TestTurnAgain(t *testing.T) {
-	shed := retry.Turn{Shed: true, Safe: true, AttemptsLeft: 1, TimeLeft: time.Second, HoldTime: 100 * time.Millisecond}
+	shed := retry.RequeueCandidate{Shed: true, SafeToRepeat: true, AttemptsLeft: 1, TimeLeft: time.Second, HoldTime: 100 * time.Millisecond}
 	for name, test := range map[string]struct {
-		change func(t *retry.Turn)
+		change func(t *retry.RequeueCandidate)
 		wait   time.Duration
 		again  bool
 	}{
-		"shed":                          {func(*retry.Turn) {}, 100 * time.Millisecond, true},
-		"served":                        {func(t *retry.Turn) { t.Shed = false }, 0, false},
-		"may have run, not idempotent":  {func(t *retry.Turn) { t.Safe = false }, 0, false},
-		"no attempt left":               {func(t *retry.Turn) { t.AttemptsLeft = 0 }, 0, false},
-		"no time for another run":       {func(t *retry.Turn) { t.TimeLeft = 190 * time.Millisecond }, 0, false},
-		"nothing known of the backend":  {func(t *retry.Turn) { t.HoldTime = 0 }, 20 * time.Millisecond, true},
-		"requests that hold slots long": {func(t *retry.Turn) { t.HoldTime = 500 * time.Millisecond }, 250 * time.Millisecond, true},
+		"shed":                          {func(*retry.RequeueCandidate) {}, 100 * time.Millisecond, true},
+		"served":                        {func(t *retry.RequeueCandidate) { t.Shed = false }, 0, false},
+		"may have run, not idempotent":  {func(t *retry.RequeueCandidate) { t.SafeToRepeat = false }, 0, false},
+		"no attempt left":               {func(t *retry.RequeueCandidate) { t.AttemptsLeft = 0 }, 0, false},
+		"no time for another run":       {func(t *retry.RequeueCandidate) { t.TimeLeft = 190 * time.Millisecond }, 0, false},
+		"nothing known of the backend":  {func(t *retry.RequeueCandidate) { t.HoldTime = 0 }, 20 * time.Millisecond, true},
+		"requests that hold slots long": {func(t *retry.RequeueCandidate) { t.HoldTime = 500 * time.Millisecond }, 250 * time.Millisecond, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			turn := shed
 			test.change(&turn)
-			wait, again := retry.TurnAgain(turn)
+			wait, again := retry.DecideRequeue(turn)
 			is.Equal(wait, test.wait)
 			is.Equal(again, test.again)
 		})
@@ -40,10 +40,10 @@
 func TestTurnsGoToTheMostUrgent(t *testing.T) {
 	is := is.New(t)
 	const perRequest, kept, urgentEvery, count = 0.1, 8, 10, 2000
-	turns := retry.NewTurns(retry.BudgetConfig{PerSuccess: perRequest, Max: kept})
+	turns := retry.NewRequeueBudget(retry.BudgetConfig{EarnRatio: perRequest, Max: kept})
 	urgent, urgentTurns, otherTurns := 0, 0, 0
 	for n := range count {
-		turns.Came()
+		turns.Earn()
 		isUrgent := n%urgentEvery == 0
 		if isUrgent {
 			urgent++
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -23,25 +23,25 @@
 
 // Config sets a Roster up.
 type Config struct {
-	// Keep is how long a member without an entry is kept.
-	Keep time.Duration
+	// KeepUnconfirmed is how long a member without an entry is kept.
+	KeepUnconfirmed time.Duration
 }
 
 // DefaultConfig holds where nothing else is set.
-var DefaultConfig = Config{Keep: 30 * time.Second}
+var DefaultConfig = Config{KeepUnconfirmed: 30 * time.Second}
 
 const (
-	// settleEach is what each member adds to the pause between two looks at what has changed. All members look at each
+	// delayPerMember is what each member adds to the pause between two looks at what has changed. All members look at each
 	// change, so that without it the calls to the store would grow with the square of the fleet.
-	settleEach = 15 * time.Millisecond
-	// leastSettle lets the entries of a fleet that starts come together, and mostSettle bounds how late a change is known.
-	leastSettle = 150 * time.Millisecond
-	mostSettle  = 1500 * time.Millisecond
+	delayPerMember = 15 * time.Millisecond
+	// minDelay lets the entries of a fleet that starts come together, and mostSettle bounds how late a change is known.
+	minDelay = 150 * time.Millisecond
+	maxDelay = 1500 * time.Millisecond
 )
 
-// Settle returns the pause between two looks at what has changed, in a fleet of so many members.
-func Settle(members int) time.Duration {
-	return min(max(time.Duration(members)*settleEach, leastSettle), mostSettle)
+// CoalesceDelay returns the pause between two looks at what has changed, in a fleet of so many members.
+func CoalesceDelay(members int) time.Duration {
+	return min(max(time.Duration(members)*delayPerMember, minDelay), maxDelay)
 }
 
 // Entry is what the store holds of one node.
@@ -60,11 +60,11 @@
 // Roster is what one node knows of all members.
 type Roster struct {
 	config  Config
-	entries map[string]*known
+	entries map[string]*trackedMember
 }
 
-// known is one member.
-type known struct {
+// trackedMember is one member.
+type trackedMember struct {
 	Entry
 	// lapsedAt is when its entry went; zero while the entry is there.
 	lapsedAt time.Time
@@ -72,7 +72,7 @@
 
 // New returns an empty roster.
 func New(config Config) *Roster {
-	return &Roster{config: config, entries: map[string]*known{}}
+	return &Roster{config: config, entries: map[string]*trackedMember{}}
 }
 
 // Replace takes in all entries that the store holds now.
@@ -84,7 +84,7 @@
 	}
 	for key := range r.entries {
 		if !held[key] {
-			r.lapse(now, key)
+			r.markLapsed(now, key)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 		return
 	}
 	if c.Deleted {
-		r.lapse(now, c.Key)
+		r.markLapsed(now, c.Key)
 		return
 	}
 	r.put(c.Entry)
@@ -106,12 +106,12 @@
 	if ok && e.Revision < before.Revision {
 		return
 	}
-	r.dropOthersAt(e)
-	r.entries[e.Key] = &known{Entry: e}
+	r.dropReplacedAt(e)
+	r.entries[e.Key] = &trackedMember{Entry: e}
 }
 
-// dropOthersAt forgets the members whose peer address now belongs to another node, also before their own entries go.
-func (r *Roster) dropOthersAt(e Entry) {
+// dropReplacedAt forgets the members whose peer address now belongs to another node, also before their own entries go.
+func (r *Roster) dropReplacedAt(e Entry) {
 	for key, k := range r.entries {
 		if key != e.Key && k.Member.PeerAddress == e.Member.PeerAddress && k.Revision < e.Revision {
 			delete(r.entries, key)
@@ -119,7 +119,7 @@
 	}
 }
 
-func (r *Roster) lapse(now time.Time, key string) {
+func (r *Roster) markLapsed(now time.Time, key string) {
 	k, ok := r.entries[key]
 	switch {
 	case !ok:
@@ -134,7 +134,7 @@
 func (r *Roster) Members(now time.Time) []membership.Member {
 	var members []membership.Member
 	for key, k := range r.entries {
-		if !k.lapsedAt.IsZero() && now.Sub(k.lapsedAt) > r.config.Keep {
+		if !k.lapsedAt.IsZero() && now.Sub(k.lapsedAt) > r.config.KeepUnconfirmed {
 			delete(r.entries, key)
 			continue
 		}
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func gone(node string, revision uint64) roster.Change {
+func deleted(node string, revision uint64) roster.Change {
 	return roster.Change{Entry: roster.Entry{Key: node, Revision: revision}, Deleted: true}
 }
 
@@ -31,13 +31,13 @@
 		unconfirmed bool
 	}{
 		"entry stands":                    {[]roster.Change{{Entry: up}}, 0, true, false},
-		"entry went without a word":       {[]roster.Change{{Entry: up}, gone("a", 6)}, time.Second, true, true},
-		"kept long enough":                {[]roster.Change{{Entry: up}, gone("a", 6)}, time.Minute, false, false},
-		"said that it leaves":             {[]roster.Change{{Entry: leaving}, gone("a", 6)}, 0, false, false},
-		"back under its name":             {[]roster.Change{{Entry: up}, gone("a", 6), {Entry: entry("a", 7, membership.Up)}}, 0, true, false},
-		"an older change comes late":      {[]roster.Change{{Entry: up}, gone("a", 4)}, 0, true, false},
-		"address taken by another later":  {[]roster.Change{{Entry: up}, gone("a", 6), {Entry: roster.Entry{Key: "b", Revision: 8, Member: membership.Member{Node: "b", PeerAddress: up.Member.PeerAddress}}}}, 0, false, false},
-		"address taken by another before": {[]roster.Change{{Entry: up}, {Entry: roster.Entry{Key: "b", Revision: 8, Member: membership.Member{Node: "b", PeerAddress: up.Member.PeerAddress}}}, gone("a", 9)}, 0, false, false},
+		"entry went without a word":       {[]roster.Change{{Entry: up}, deleted("a", 6)}, time.Second, true, true},
+		"kept long enough":                {[]roster.Change{{Entry: up}, deleted("a", 6)}, time.Minute, false, false},
+		"said that it leaves":             {[]roster.Change{{Entry: leaving}, deleted("a", 6)}, 0, false, false},
+		"back under its name":             {[]roster.Change{{Entry: up}, deleted("a", 6), {Entry: entry("a", 7, membership.Up)}}, 0, true, false},
+		"an older change comes late":      {[]roster.Change{{Entry: up}, deleted("a", 4)}, 0, true, false},
+		"address taken by another later":  {[]roster.Change{{Entry: up}, deleted("a", 6), {Entry: roster.Entry{Key: "b", Revision: 8, Member: membership.Member{Node: "b", PeerAddress: up.Member.PeerAddress}}}}, 0, false, false},
+		"address taken by another before": {[]roster.Change{{Entry: up}, {Entry: roster.Entry{Key: "b", Revision: 8, Member: membership.Member{Node: "b", PeerAddress: up.Member.PeerAddress}}}, deleted("a", 9)}, 0, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -86,7 +86,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			settle := roster.Settle(test.members)
+			settle := roster.CoalesceDelay(test.members)
 			is.True(float64(test.members)/settle.Seconds() <= test.most)
 			is.True(settle <= 1500*time.Millisecond)
 		})
--- a/internal/decide/routing/bounded_test.go
+++ b/internal/decide/routing/bounded_test.go
@@ -36,10 +36,10 @@
 			random := rand.New(rand.NewPCG(1, 1))
 			s := newSet(2)
 			if test.lost != "" {
-				s.Find(test.lost).Lost = true
+				s.Find(test.lost).Unreachable = true
 			}
 			for _, node := range test.bounded {
-				s.Find(node).End(start, routing.Sample{Result: routing.Bounded, Kind: "sheet"})
+				s.Find(node).End(start, routing.Sample{Result: routing.KindLimited, Kind: "sheet"})
 			}
 			test.request.Tried = test.tried
 			i, ok := s.Choose(start.Add(test.after), random, test.request)
--- a/internal/decide/routing/crossing.go
+++ b/internal/decide/routing/crossing.go
@@ -3,83 +3,83 @@
 import "time"
 
 const (
-	// kindWeight is the weight of one request in the mean of its kind.
-	kindWeight = 0.1
-	// kindMemory is for how long such a mean is known.
-	kindMemory = 10 * time.Second
+	// kindAverageWeight is the weight of one request in the mean of its kind.
+	kindAverageWeight = 0.1
+	// kindAverageExpiry is for how long such a mean is known.
+	kindAverageExpiry = 10 * time.Second
 )
 
-// kindMeans are recent means by kind of request.
-type kindMeans struct {
-	byKind map[string]kindMean
-	// cautious means begin at 0, others with the first value.
-	cautious bool
+// kindAverages are recent means by kind of request.
+type kindAverages struct {
+	byKind map[string]kindAverage
+	// startAtZero means begin at 0, others with the first value.
+	startAtZero bool
 }
 
-type kindMean struct {
-	value float64
-	at    time.Time
+type kindAverage struct {
+	value     float64
+	updatedAt time.Time
 }
 
-// learn takes in the value of one request.
-func (m *kindMeans) learn(now time.Time, kind string, value float64) {
+// observe takes in the value of one request.
+func (m *kindAverages) observe(now time.Time, kind string, value float64) {
 	if m.byKind == nil {
-		m.byKind = map[string]kindMean{}
+		m.byKind = map[string]kindAverage{}
 	}
-	known, ok := m.byKind[kind]
+	average, ok := m.byKind[kind]
 	switch {
 	case !ok && len(m.byKind) >= maxKinds:
 		clear(m.byKind)
-		known.value = m.first(value)
-	case !ok || now.Sub(known.at) > kindMemory:
-		known.value = m.first(value)
+		average.value = m.initial(value)
+	case !ok || now.Sub(average.updatedAt) > kindAverageExpiry:
+		average.value = m.initial(value)
 	}
-	known.value += kindWeight * (value - known.value)
-	known.at = now
-	m.byKind[kind] = known
+	average.value += kindAverageWeight * (value - average.value)
+	average.updatedAt = now
+	m.byKind[kind] = average
 }
 
-// first returns where a mean begins.
-func (m *kindMeans) first(value float64) float64 {
-	if m.cautious {
+// initial returns where a mean begins.
+func (m *kindAverages) initial(value float64) float64 {
+	if m.startAtZero {
 		return 0
 	}
 	return value
 }
 
-// of returns the mean of the kind; 0 where none is known.
-func (m *kindMeans) of(now time.Time, kind string) float64 {
-	known, ok := m.byKind[kind]
-	if !ok || now.Sub(known.at) > kindMemory {
+// get returns the mean of the kind; 0 where none is known.
+func (m *kindAverages) get(now time.Time, kind string) float64 {
+	average, ok := m.byKind[kind]
+	if !ok || now.Sub(average.updatedAt) > kindAverageExpiry {
 		return 0
 	}
-	return known.value
+	return average.value
 }
 
-// mostMoved is the largest part of the requests that moves; the others show when their calls no longer cross.
-const mostMoved = 0.98
+// maxCrossingFraction is the largest part of the requests that moves; the others show when their calls no longer cross.
+const maxCrossingFraction = 0.98
 
-// slowerFar is how many times as long as at an instance of the own zone requests may take at one of another that saves bytes.
-const slowerFar = 1.5
+// maxCrossZoneSlowdown is how many times as long as at an instance of the own zone requests may take at one of another that saves bytes.
+const maxCrossZoneSlowdown = 1.5
 
-// crossesLess returns an instance of another availability zone where the calls of the request cross between zones so much
+// pickFewerCrossZoneBytes returns an instance of another availability zone where the calls of the request cross between zones so much
 // less that the request itself had better cross once: where the own zone lacks something further down, or has too little
 // of it. It returns nil where there is none. Only so large a part of the requests moves as has calls that cross.
-func (s *Set) crossesLess(now time.Time, random Source, r Request, own *Instance) *Instance {
-	below, crossing := own.farBelow.of(now, r.Kind), s.sizes.of(now, r.Kind)
-	if random.Float64() >= min(own.farShare.of(now, r.Kind), mostMoved) {
+func (s *Set) pickFewerCrossZoneBytes(now time.Time, random Source, r Request, own *Instance) *Instance {
+	ownBytes, requestBytes := own.crossZoneBytes.get(now, r.Kind), s.sizes.get(now, r.Kind)
+	if random.Float64() >= min(own.crossZoneFraction.get(now, r.Kind), maxCrossingFraction) {
 		return nil
 	}
-	return s.pickElsewhere(now, random, r, func(i *Instance) bool {
-		return below-crossing > i.farBelow.of(now, r.Kind) && i.isQuickEnough(now, r, own)
+	return s.pickOtherZone(now, random, r, func(i *Instance) bool {
+		return ownBytes-requestBytes > i.crossZoneBytes.get(now, r.Kind) && i.isQuickEnough(now, r, own)
 	})
 }
 
 // isQuickEnough reports whether the instance has room and takes little longer than the other one.
 func (i *Instance) isQuickEnough(now time.Time, r Request, other *Instance) bool {
-	if i.ahead(r.Rank)+1 > i.config.SpillFrom*i.capacity(now) {
+	if i.requestsAhead(r.Rank)+1 > i.config.SpillUtilization*i.capacity(now) {
 		return false
 	}
-	a, b, ok := i.latencies.common(now, work{rank: r.Rank, kind: r.Kind}, i.config.Fade, &other.latencies)
-	return !ok || i.delay(now, a) < slowerFar*other.delay(now, b)
+	a, b, ok := i.latencies.comparablePair(now, requestClass{rank: r.Rank, kind: r.Kind}, i.config.TimeConstant, &other.latencies)
+	return !ok || i.penalizedLatency(now, a) < maxCrossZoneSlowdown*other.penalizedLatency(now, b)
 }
--- a/internal/decide/routing/crossing_test.go
+++ b/internal/decide/routing/crossing_test.go
@@ -10,9 +10,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/routing"
 )
 
-// farPart sends requests to a node in each of three zones, which answer in the times and with the bytes below, and returns
+// crossZoneFraction sends requests to a node in each of three zones, which answer in the times and with the bytes below, and returns
 // the part that left the own zone z0. Of the slots of the own node so many are taken.
-func farPart(sample func(node string) routing.Sample, taken int, r routing.Request) float64 {
+func crossZoneFraction(sample func(node string) routing.Sample, taken int, r routing.Request) float64 {
 	random := rand.New(rand.NewPCG(1, 1))
 	s := newSet(3)
 	now := start
@@ -49,8 +49,8 @@
 		"only the other zones lack": {map[string]int64{"node_1": 4000, "node_2": 4000}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			part := farPart(func(node string) routing.Sample {
-				return routing.Sample{Took: 20 * time.Millisecond, Bytes: 800, FarBytesBelow: test.below[node]}
+			part := crossZoneFraction(func(node string) routing.Sample {
+				return routing.Sample{Latency: 20 * time.Millisecond, Bytes: 800, DownstreamCrossZoneBytes: test.below[node]}
 			}, 0, routing.Request{Kind: "ledger", IsCall: true})
 			t.Logf("%.2f crossed", part)
 			is.New(t).True(part >= test.least && part <= test.most)
@@ -71,11 +71,11 @@
 		"full":      {slots, 25 * time.Millisecond, 0, 0.1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			part := farPart(func(node string) routing.Sample {
+			part := crossZoneFraction(func(node string) routing.Sample {
 				if node == "node_0" {
-					return routing.Sample{Took: 20 * time.Millisecond, Bytes: 800, FarBytesBelow: 4000, Load: routing.Load{Limit: slots}}
+					return routing.Sample{Latency: 20 * time.Millisecond, Bytes: 800, DownstreamCrossZoneBytes: 4000, Load: routing.Load{Limit: slots}}
 				}
-				return routing.Sample{Took: test.took, Bytes: 800, Load: routing.Load{InFlight: test.inFlight, Limit: slots}}
+				return routing.Sample{Latency: test.took, Bytes: 800, Load: routing.Load{InFlight: test.inFlight, Limit: slots}}
 			}, 0, routing.Request{Kind: "ledger", IsCall: true})
 			t.Logf("%.2f crossed", part)
 			is.New(t).True(part >= test.least && part <= test.most)
@@ -89,12 +89,12 @@
 	for name, share := range map[string]float64{"a fifth": 0.2, "half": 0.5, "most": 0.8} {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(2, 2))
-			part := farPart(func(node string) routing.Sample {
+			part := crossZoneFraction(func(node string) routing.Sample {
 				below := int64(0)
 				if node == "node_0" && random.Float64() < share {
 					below = 4000
 				}
-				return routing.Sample{Took: 20 * time.Millisecond, Bytes: 800, FarBytesBelow: below}
+				return routing.Sample{Latency: 20 * time.Millisecond, Bytes: 800, DownstreamCrossZoneBytes: below}
 			}, 0, routing.Request{Kind: "ledger", IsCall: true})
 			t.Logf("%.2f crossed", part)
 			is.New(t).True(part >= share-0.2 && part <= share+0.1)
@@ -113,12 +113,12 @@
 		"large": {6000, 0, 0.05},
 	} {
 		t.Run(name, func(t *testing.T) {
-			part := farPart(func(node string) routing.Sample {
+			part := crossZoneFraction(func(node string) routing.Sample {
 				took := 100 * time.Millisecond
 				if node == "node_0" {
 					took = 250 * time.Millisecond
 				}
-				return routing.Sample{Took: took, Bytes: test.bytes}
+				return routing.Sample{Latency: took, Bytes: test.bytes}
 			}, slots-1, routing.Request{Kind: "browse"})
 			t.Logf("%.2f crossed", part)
 			is.New(t).True(part >= test.least && part <= test.most)
--- a/internal/decide/routing/latency.go
+++ b/internal/decide/routing/latency.go
@@ -9,41 +9,41 @@
 
 // latency is the peak-weighted mean latency of some of an instance's requests; zero where none is known.
 type latency struct {
-	value time.Duration
-	// mean gives no more weight to peaks.
-	mean time.Duration
-	at   time.Time
+	peakAverage time.Duration
+	// average gives no more weight to peaks.
+	average   time.Duration
+	updatedAt time.Time
 }
 
-// meanWeight is the weight of one answer in the mean.
-const meanWeight = 0.05
+// averageWeight is the weight of one answer in the mean.
+const averageWeight = 0.05
 
-// learn takes a peak at once and forgets it with time.
-func (l latency) learn(now time.Time, took, fade time.Duration) latency {
-	mean := l.mean + time.Duration(meanWeight*float64(took-l.mean))
-	if l.mean == 0 {
-		mean = took
+// observe takes a peak at once and forgets it with time.
+func (l latency) observe(now time.Time, sample, timeConstant time.Duration) latency {
+	average := l.average + time.Duration(averageWeight*float64(sample-l.average))
+	if l.average == 0 {
+		average = sample
 	}
-	if took < l.value {
-		kept := math.Exp(-float64(now.Sub(l.at)) / float64(fade))
-		took = time.Duration(kept*float64(l.value) + (1-kept)*float64(took))
+	if sample < l.peakAverage {
+		remaining := math.Exp(-float64(now.Sub(l.updatedAt)) / float64(timeConstant))
+		sample = time.Duration(remaining*float64(l.peakAverage) + (1-remaining)*float64(sample))
 	}
-	return latency{value: took, mean: mean, at: now}
+	return latency{peakAverage: sample, average: average, updatedAt: now}
 }
 
-// latencyMemory is for how many times the time constant of fading a latency is known.
-const latencyMemory = 5
+// latencyExpiry is for how many times the time constant of fading a latency is known.
+const latencyExpiry = 5
 
-// known reports whether such requests were answered lately.
-func (l latency) known(now time.Time, fade time.Duration) bool {
-	return l.value > 0 && now.Sub(l.at) < latencyMemory*fade
+// isRecent reports whether such requests were answered lately.
+func (l latency) isRecent(now time.Time, timeConstant time.Duration) bool {
+	return l.peakAverage > 0 && now.Sub(l.updatedAt) < latencyExpiry*timeConstant
 }
 
 // maxKinds bounds the kinds of which an instance's latency is told apart; the others count with their ranks only.
 const maxKinds = 256
 
-// work names the requests of one kind and rank.
-type work struct {
+// requestClass names the requests of one kind and rank.
+type requestClass struct {
 	rank int
 	kind string
 }
@@ -52,55 +52,55 @@
 // share of their kind. What those that wait longer take says nothing about the others, and an instance where none of
 // them is run would look quick to all.
 type latencies struct {
-	byRank [admission.Ranks]latency
-	byWork map[work]latency
+	byRank  [admission.Ranks]latency
+	byClass map[requestClass]latency
 }
 
-func (l *latencies) learn(now time.Time, w work, took, fade time.Duration) {
-	l.byRank[w.rank] = l.byRank[w.rank].learn(now, took, fade)
-	known, ok := l.byWork[w]
-	if !ok && len(l.byWork) >= maxKinds {
-		l.forget(now, fade)
+func (l *latencies) observe(now time.Time, class requestClass, sample, timeConstant time.Duration) {
+	l.byRank[class.rank] = l.byRank[class.rank].observe(now, sample, timeConstant)
+	previous, ok := l.byClass[class]
+	if !ok && len(l.byClass) >= maxKinds {
+		l.dropExpired(now, timeConstant)
 	}
-	if !ok && len(l.byWork) >= maxKinds {
+	if !ok && len(l.byClass) >= maxKinds {
 		return
 	}
-	if l.byWork == nil {
-		l.byWork = map[work]latency{}
+	if l.byClass == nil {
+		l.byClass = map[requestClass]latency{}
 	}
-	l.byWork[w] = known.learn(now, took, fade)
+	l.byClass[class] = previous.observe(now, sample, timeConstant)
 }
 
-// forget drops the kinds that were not answered lately.
-func (l *latencies) forget(now time.Time, fade time.Duration) {
-	for w, known := range l.byWork {
-		if !known.known(now, fade) {
-			delete(l.byWork, w)
+// dropExpired drops the kinds that were not answered lately.
+func (l *latencies) dropExpired(now time.Time, timeConstant time.Duration) {
+	for class, observed := range l.byClass {
+		if !observed.isRecent(now, timeConstant) {
+			delete(l.byClass, class)
 		}
 	}
 }
 
-// last returns the latency of the rank that was answered last.
-func (l *latencies) last() time.Duration {
-	var last latency
+// latest returns the latency of the rank that was answered last.
+func (l *latencies) latest() time.Duration {
+	var latest latency
 	for _, r := range l.byRank {
-		if r.at.After(last.at) {
-			last = r
+		if r.updatedAt.After(latest.updatedAt) {
+			latest = r
 		}
 	}
-	return last.value
+	return latest.peakAverage
 }
 
-// common returns the latencies by which two instances are compared for a request: those of its rank and kind, else of
+// comparablePair returns the latencies by which two instances are compared for a request: those of its rank and kind, else of
 // its rank, else of the least urgent of the more urgent ranks, where both have answered such requests lately.
-func (l *latencies) common(now time.Time, w work, fade time.Duration, other *latencies) (latency, latency, bool) {
-	own, others := l.byWork[w], other.byWork[w]
-	if own.known(now, fade) && others.known(now, fade) {
+func (l *latencies) comparablePair(now time.Time, class requestClass, timeConstant time.Duration, other *latencies) (latency, latency, bool) {
+	own, others := l.byClass[class], other.byClass[class]
+	if own.isRecent(now, timeConstant) && others.isRecent(now, timeConstant) {
 		return own, others, true
 	}
-	for r := w.rank; r >= 0; r-- {
+	for r := class.rank; r >= 0; r-- {
 		own, others = l.byRank[r], other.byRank[r]
-		if own.known(now, fade) && others.known(now, fade) {
+		if own.isRecent(now, timeConstant) && others.isRecent(now, timeConstant) {
 			return own, others, true
 		}
 	}
--- a/internal/decide/routing/overload_test.go
+++ b/internal/decide/routing/overload_test.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	modelService = 80 * time.Millisecond
-	modelStep    = time.Millisecond
+	modelServiceTime = 80 * time.Millisecond
+	modelStep        = time.Millisecond
 )
 
 // fleet is a model of instances behind gates, each of which sends requests too.
 type fleet struct {
-	random *rand.Rand
-	now    time.Time
-	sets   []*routing.Set
-	gates  []*admission.Gate
-	ends   map[time.Time][]func()
+	random  *rand.Rand
+	now     time.Time
+	sets    []*routing.Set
+	gates   []*admission.Gate
+	endings map[time.Time][]func()
 	// waiting tells whoever sent a ticket whether it runs.
 	waiting map[*admission.Ticket]func(ran bool)
 	// answered and refused count by kind.
@@ -33,7 +33,7 @@
 func newFleet(seed uint64, instances int) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), now: start,
-		ends: map[time.Time][]func(){}, waiting: map[*admission.Ticket]func(bool){},
+		endings: map[time.Time][]func(){}, waiting: map[*admission.Ticket]func(bool){},
 		answered: map[string]int{}, refused: map[string]int{},
 	}
 	var list []routing.Member
@@ -41,10 +41,10 @@
 		list = append(list, routing.Member{Node: fmt.Sprint("node_", i), Zone: "z", Slots: slots})
 		gate := admission.NewGate(admission.GateConfig{
 			Limit: admission.LimitConfig{
-				Initial: 8, Min: 1, Max: 1000, Tolerance: 2, LatencySlack: 5 * time.Millisecond, Backoff: 0.7, TrialBackoff: 0.8, Growth: 0.1,
-				Window: 100 * time.Millisecond, MaxWindow: time.Second, KindMemory: time.Minute, RetrialTime: 5 * time.Second, MaxRetrialTime: 30 * time.Second,
+				Initial: 8, Min: 1, Max: 1000, Tolerance: 2, LatencySlack: 5 * time.Millisecond, DecreaseFactor: 0.7, TrialDecreaseFactor: 0.8, GrowthRatio: 0.1,
+				Window: 100 * time.Millisecond, MaxWindow: time.Second, KindRetention: time.Minute, TrialDelay: 5 * time.Second, MaxTrialDelay: 30 * time.Second,
 			},
-			QueuePerSlot: 4, MaxWait: 100 * time.Millisecond, UrgentWait: 300 * time.Millisecond, ReserveWait: 20 * time.Millisecond, MaxRetryAfter: 3 * time.Second,
+			QueuePerSlot: 4, MaxDelayLeastUrgent: 100 * time.Millisecond, MaxDelayMostUrgent: 300 * time.Millisecond, ReserveInterval: 20 * time.Millisecond, MaxRetryAfter: 3 * time.Second,
 		})
 		gate.Announce(slots, 100)
 		f.gates = append(f.gates, gate)
@@ -65,7 +65,7 @@
 	t := &admission.Ticket{Rank: rank, Kind: kind, Share: 1, Caller: "app", RootStart: f.now, Deadline: f.now.Add(2 * time.Second)}
 	reply := func(result routing.Result) {
 		load := routing.Load{InFlight: gate.InFlight(), Queued: gate.Queued(), Limit: gate.LimitValue(), SheddingRank: gate.SheddingRank(f.now)}
-		i.End(f.now, routing.Sample{Result: result, Took: f.now.Sub(began), Rank: rank, Kind: kind, Load: load})
+		i.End(f.now, routing.Sample{Result: result, Latency: f.now.Sub(began), Rank: rank, Kind: kind, Load: load})
 	}
 	f.waiting[t] = func(ran bool) {
 		delete(f.waiting, t)
@@ -74,11 +74,11 @@
 			reply(routing.Shed)
 			return
 		}
-		took := time.Duration(float64(modelService) * (0.7 + 0.6*f.random.Float64())).Truncate(modelStep)
+		took := time.Duration(float64(modelServiceTime) * (0.7 + 0.6*f.random.Float64())).Truncate(modelStep)
 		end := f.now.Add(took)
-		f.ends[end] = append(f.ends[end], func() {
+		f.endings[end] = append(f.endings[end], func() {
 			f.answered[kind]++
-			f.apply(gate.Finish(f.now, admission.Sample{Kind: kind, Took: took, Held: took}))
+			f.settle(gate.Finish(f.now, admission.Sample{Kind: kind, ServiceTime: took, HoldTime: took}))
 			reply(routing.Good)
 		})
 	}
@@ -86,7 +86,7 @@
 	for _, d := range verdict.Displaced {
 		f.waiting[d.Ticket](false)
 	}
-	if verdict.Action != admission.Wait {
+	if verdict.Action != admission.Enqueue {
 		f.waiting[t](verdict.Action == admission.Run)
 	}
 }
@@ -97,7 +97,7 @@
 	return f.gates[number]
 }
 
-func (f *fleet) apply(next admission.Next) {
+func (f *fleet) settle(next admission.Dequeued) {
 	for _, e := range next.Expired {
 		f.waiting[e.Ticket](false)
 	}
@@ -116,12 +116,12 @@
 // run sends the streams for the time.
 func (f *fleet) run(d time.Duration, streams []stream) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(modelStep) {
-		for _, e := range f.ends[f.now] {
+		for _, e := range f.endings[f.now] {
 			e()
 		}
-		delete(f.ends, f.now)
+		delete(f.endings, f.now)
 		for _, g := range f.gates {
-			f.apply(g.Advance(f.now))
+			f.settle(g.Advance(f.now))
 		}
 		for _, s := range streams {
 			if f.random.Float64() < s.rate*modelStep.Seconds() {
--- a/internal/decide/routing/routing.go
+++ b/internal/decide/routing/routing.go
@@ -39,36 +39,36 @@
 	Zone string
 	// SubsetSize bounds the instances that the sender uses.
 	SubsetSize int
-	// SubsetFar is how many of these are kept for other availability zones, where there are so many.
-	SubsetFar int
-	// SpillFrom is the utilization of the own zone from which requests may go to the others too.
-	SpillFrom float64
-	// FarFactor is how many times the expected time at another zone's instance is taken before it counts as less than
+	// SubsetOtherZones is how many of these are kept for other availability zones, where there are so many.
+	SubsetOtherZones int
+	// SpillUtilization is the utilization of the own zone from which requests may go to the others too.
+	SpillUtilization float64
+	// CrossZoneFactor is how many times the expected time at another zone's instance is taken before it counts as less than
 	// that at one of the own zone: bytes between zones cost more than bytes within.
-	FarFactor float64
-	// FarKilobyte is what each kilobyte of a request and its answer adds to the time at another zone's instance.
-	FarKilobyte time.Duration
-	// TargetPart is the part of a request's target that the latency at an instance of the own zone may take, on average,
+	CrossZoneFactor float64
+	// CrossZoneKilobyte is what each kilobyte of a request and its answer adds to the time at another zone's instance.
+	CrossZoneKilobyte time.Duration
+	// TargetFraction is the part of a request's target that the latency at an instance of the own zone may take, on average,
 	// before others are worth a look.
-	TargetPart float64
-	// CallFarFactor is the same for calls down a chain. A request that goes to another zone takes all of its calls there,
+	TargetFraction float64
+	// CallCrossZoneFactor is the same for calls down a chain. A request that goes to another zone takes all of its calls there,
 	// at the price of one.
-	CallFarFactor float64
+	CallCrossZoneFactor float64
 	// SlowStart is the time in which a new instance comes up to its whole part.
 	SlowStart time.Duration
-	// Failures in a row eject an instance for EjectionTime.
-	Failures     int
-	EjectionTime time.Duration
-	// UnconfirmedEjection is the time for which one failure ejects an unconfirmed instance.
-	UnconfirmedEjection time.Duration
+	// FailuresToEject in a row eject an instance for EjectionTime.
+	FailuresToEject int
+	EjectionTime    time.Duration
+	// UnconfirmedEjectionTime is the time for which one failure ejects an unconfirmed instance.
+	UnconfirmedEjectionTime time.Duration
 	// SheddingTime is how long a shed request keeps others of its rank away.
 	SheddingTime time.Duration
-	// BoundedTime is how long an instance that refused a kind of request because calls wait further down is asked after others.
-	BoundedTime time.Duration
+	// KindLimitedTime is how long an instance that refused a kind of request because calls wait further down is asked after others.
+	KindLimitedTime time.Duration
 	// LeavingTime is how long an instance that takes nothing is kept away from. It may not be able to say so to all.
 	LeavingTime time.Duration
-	// Fade is the time constant with which latency and errors are forgotten.
-	Fade time.Duration
+	// TimeConstant is the time constant with which latency and errors are forgotten.
+	TimeConstant time.Duration
 	// FailureCost is the latency that a certain failure counts as.
 	FailureCost time.Duration
 }
@@ -76,29 +76,29 @@
 // DefaultConfig returns the values that hold where nothing else is set.
 func DefaultConfig(node, zone string) Config {
 	return Config{
-		Node:       node,
-		Zone:       zone,
-		SubsetSize: 16,
-		SubsetFar:  4,
-		SpillFrom:  0.7,
-		FarFactor:  1.3,
+		Node:             node,
+		Zone:             zone,
+		SubsetSize:       16,
+		SubsetOtherZones: 4,
+		SpillUtilization: 0.7,
+		CrossZoneFactor:  1.3,
 
-		FarKilobyte: 50 * time.Millisecond,
+		CrossZoneKilobyte: 50 * time.Millisecond,
 
-		TargetPart:    0.5,
-		CallFarFactor: 4,
+		TargetFraction:      0.5,
+		CallCrossZoneFactor: 4,
 
-		SlowStart:    5 * time.Second,
-		Failures:     3,
-		EjectionTime: 2 * time.Second,
+		SlowStart:       5 * time.Second,
+		FailuresToEject: 3,
+		EjectionTime:    2 * time.Second,
 
-		UnconfirmedEjection: 10 * time.Second,
+		UnconfirmedEjectionTime: 10 * time.Second,
 
-		SheddingTime: 100 * time.Millisecond,
-		BoundedTime:  200 * time.Millisecond,
-		LeavingTime:  time.Second,
-		Fade:         2 * time.Second,
-		FailureCost:  time.Second,
+		SheddingTime:    100 * time.Millisecond,
+		KindLimitedTime: 200 * time.Millisecond,
+		LeavingTime:     time.Second,
+		TimeConstant:    2 * time.Second,
+		FailureCost:     time.Second,
 	}
 }
 
--- a/internal/decide/routing/routing_test.go
+++ b/internal/decide/routing/routing_test.go
@@ -32,8 +32,8 @@
 
 // behaviour is how a model instance answers.
 type behaviour struct {
-	took   time.Duration
-	result routing.Result
+	latency time.Duration
+	result  routing.Result
 	// failEvery is the number of requests of which one fails; 0 for none.
 	failEvery int
 }
@@ -41,19 +41,19 @@
 // answer returns how the instance answers the request with the number.
 func (b behaviour) answer(number int) routing.Sample {
 	if b.failEvery > 0 && number%b.failEvery == 0 {
-		return routing.Sample{Result: routing.Failed, Took: b.took}
+		return routing.Sample{Result: routing.Failed, Latency: b.latency}
 	}
-	return routing.Sample{Result: b.result, Took: b.took}
+	return routing.Sample{Result: b.result, Latency: b.latency}
 }
 
 type pending struct {
-	at       time.Time
+	endsAt   time.Time
 	instance *routing.Instance
 	sample   routing.Sample
 }
 
-// drive sends requests one after the other with the gap between them and returns how many each node got.
-func drive(s *routing.Set, from time.Time, count int, gap time.Duration, nodes map[string]behaviour) map[string]int {
+// sendRequests sends requests one after the other with the gap between them and returns how many each node got.
+func sendRequests(s *routing.Set, from time.Time, count int, gap time.Duration, nodes map[string]behaviour) map[string]int {
 	random := rand.New(rand.NewPCG(1, 1))
 	got := map[string]int{}
 	var open []pending
@@ -62,7 +62,7 @@
 		now = now.Add(gap)
 		var left []pending
 		for _, p := range open {
-			if p.at.After(now) {
+			if p.endsAt.After(now) {
 				left = append(left, p)
 				continue
 			}
@@ -76,7 +76,7 @@
 		b := nodes[i.Member.Node]
 		i.Begin(0)
 		got[i.Member.Node]++
-		open = append(open, pending{now.Add(b.took), i, b.answer(got[i.Member.Node])})
+		open = append(open, pending{now.Add(b.latency), i, b.answer(got[i.Member.Node])})
 	}
 	for _, p := range open {
 		p.instance.End(now, p.sample)
@@ -84,7 +84,7 @@
 	return got
 }
 
-func same(count int, b behaviour) map[string]behaviour {
+func uniform(count int, b behaviour) map[string]behaviour {
 	nodes := map[string]behaviour{}
 	for _, m := range members(count) {
 		nodes[m.Node] = b
@@ -93,10 +93,10 @@
 }
 
 func TestShares(t *testing.T) {
-	good := behaviour{took: 20 * time.Millisecond, result: routing.Good}
-	slow := behaviour{took: 200 * time.Millisecond, result: routing.Good}
-	failing := behaviour{took: time.Millisecond, result: routing.Failed}
-	erring := behaviour{took: time.Millisecond, result: routing.Good, failEvery: 3}
+	good := behaviour{latency: 20 * time.Millisecond, result: routing.Good}
+	slow := behaviour{latency: 200 * time.Millisecond, result: routing.Good}
+	failing := behaviour{latency: time.Millisecond, result: routing.Failed}
+	erring := behaviour{latency: time.Millisecond, result: routing.Good, failEvery: 3}
 	for name, test := range map[string]struct {
 		instances int
 		changed   behaviour
@@ -112,11 +112,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			nodes := same(test.instances, good)
+			nodes := uniform(test.instances, good)
 			nodes["node_0"] = test.changed
 			s := newSet(test.instances)
-			drive(s, start, 1000, test.gap, nodes)
-			part := float64(drive(s, start.Add(time.Minute), 4000, test.gap, nodes)["node_0"]) / 4000
+			sendRequests(s, start, 1000, test.gap, nodes)
+			part := float64(sendRequests(s, start.Add(time.Minute), 4000, test.gap, nodes)["node_0"]) / 4000
 			if part < test.least || part > test.most {
 				t.Errorf("node_0 got %.3f of the requests, not %.3f to %.3f", part, test.least, test.most)
 			}
@@ -127,7 +127,7 @@
 
 func TestNeverEjectsAll(t *testing.T) {
 	is := is.New(t)
-	got := drive(newSet(3), start, 300, 10*time.Millisecond, same(3, behaviour{took: time.Millisecond, result: routing.Failed}))
+	got := sendRequests(newSet(3), start, 300, 10*time.Millisecond, uniform(3, behaviour{latency: time.Millisecond, result: routing.Failed}))
 	total := 0
 	for _, count := range got {
 		total += count
@@ -144,7 +144,7 @@
 			s.Find(node).End(start, routing.Sample{Result: routing.Failed})
 		}
 	}
-	got := drive(s, start, 100, 10*time.Millisecond, same(3, behaviour{took: time.Millisecond, result: routing.Good}))
+	got := sendRequests(s, start, 100, 10*time.Millisecond, uniform(3, behaviour{latency: time.Millisecond, result: routing.Good}))
 	is.Equal(got["node_2"], 100)
 }
 
@@ -152,15 +152,15 @@
 func TestLostAreAvoided(t *testing.T) {
 	is := is.New(t)
 	s := newSet(3)
-	nodes := same(3, behaviour{took: time.Millisecond, result: routing.Good})
-	drive(s, start, 100, 10*time.Millisecond, nodes)
-	s.Find("node_0").Lost = true
-	is.Equal(drive(s, start.Add(time.Second), 100, 10*time.Millisecond, nodes)["node_0"], 0)
-	s.Find("node_1").Lost, s.Find("node_2").Lost = true, true
-	got := drive(s, start.Add(2*time.Second), 100, 10*time.Millisecond, nodes)
+	nodes := uniform(3, behaviour{latency: time.Millisecond, result: routing.Good})
+	sendRequests(s, start, 100, 10*time.Millisecond, nodes)
+	s.Find("node_0").Unreachable = true
+	is.Equal(sendRequests(s, start.Add(time.Second), 100, 10*time.Millisecond, nodes)["node_0"], 0)
+	s.Find("node_1").Unreachable, s.Find("node_2").Unreachable = true, true
+	got := sendRequests(s, start.Add(2*time.Second), 100, 10*time.Millisecond, nodes)
 	is.Equal(got["node_0"]+got["node_1"]+got["node_2"], 100) // somebody is tried
-	s.Find("node_0").Lost = false
-	is.Equal(drive(s, start.Add(3*time.Second), 100, 10*time.Millisecond, nodes)["node_0"], 100)
+	s.Find("node_0").Unreachable = false
+	is.Equal(sendRequests(s, start.Add(3*time.Second), 100, 10*time.Millisecond, nodes)["node_0"], 100)
 }
 
 func TestStatsShowTheEvidence(t *testing.T) {
@@ -174,14 +174,14 @@
 	i.End(start, routing.Sample{Result: routing.Shed, Rank: 5, Reason: "overload"})
 	stats := i.Stats(start)
 	is.Equal(stats.Ejection, routing.Ejection{Reason: routing.FailuresInARow, Failures: 3, LastFailure: "peer_silent", At: start})
-	is.Equal(stats.LastShed, routing.ShedEvidence{Reason: routing.ShedReply, Told: "overload", At: start})
+	is.Equal(stats.LastShed, routing.ShedEvidence{Reason: routing.ShedReply, InstanceReason: "overload", At: start})
 }
 
 func TestFailingLosesThePreferenceOfItsZone(t *testing.T) {
 	is := is.New(t)
 	s := newSet(3)
 	for _, result := range []routing.Result{routing.Failed, routing.Failed, routing.Good} {
-		s.Find("node_0").End(start, routing.Sample{Result: result, Took: time.Millisecond})
+		s.Find("node_0").End(start, routing.Sample{Result: result, Latency: time.Millisecond})
 	}
 	i, ok := s.Choose(start, rand.New(rand.NewPCG(1, 1)), routing.Request{})
 	is.True(ok)
@@ -191,23 +191,23 @@
 func TestEjectionEnds(t *testing.T) {
 	is := is.New(t)
 	s := newSet(9)
-	nodes := same(9, behaviour{took: 20 * time.Millisecond, result: routing.Good})
-	nodes["node_0"] = behaviour{took: time.Millisecond, result: routing.Failed}
-	drive(s, start, 1000, 5*time.Millisecond, nodes)
+	nodes := uniform(9, behaviour{latency: 20 * time.Millisecond, result: routing.Good})
+	nodes["node_0"] = behaviour{latency: time.Millisecond, result: routing.Failed}
+	sendRequests(s, start, 1000, 5*time.Millisecond, nodes)
 	nodes["node_0"] = nodes["node_3"]
 	later := start.Add(10 * time.Second)
-	drive(s, later, 1000, 5*time.Millisecond, nodes)
-	is.True(drive(s, later.Add(5*time.Second), 1000, 5*time.Millisecond, nodes)["node_0"] > 250) // of three in the zone
+	sendRequests(s, later, 1000, 5*time.Millisecond, nodes)
+	is.True(sendRequests(s, later.Add(5*time.Second), 1000, 5*time.Millisecond, nodes)["node_0"] > 250) // of three in the zone
 }
 
 func TestNewInstanceStartsSlowly(t *testing.T) {
 	is := is.New(t)
-	nodes := same(9, behaviour{took: 20 * time.Millisecond, result: routing.Good})
+	nodes := uniform(9, behaviour{latency: 20 * time.Millisecond, result: routing.Good})
 	s := newSet(6)
-	drive(s, start, 500, 2*time.Millisecond, nodes)
+	sendRequests(s, start, 500, 2*time.Millisecond, nodes)
 	s.Update(start.Add(time.Second), members(9))
-	first := drive(s, start.Add(time.Second), 500, 2*time.Millisecond, nodes)
-	last := drive(s, start.Add(8*time.Second), 500, 2*time.Millisecond, nodes)
+	first := sendRequests(s, start.Add(time.Second), 500, 2*time.Millisecond, nodes)
+	last := sendRequests(s, start.Add(8*time.Second), 500, 2*time.Millisecond, nodes)
 	is.True(first["node_6"] < first["node_0"]/2)
 	is.True(last["node_6"] > last["node_0"]/2)
 }
@@ -255,7 +255,7 @@
 				kept++
 			}
 		}
-		is.Equal(far, config.SubsetFar)
+		is.Equal(far, config.SubsetOtherZones)
 		is.True(kept >= config.SubsetSize-1) // one that leaves changes no more than its own place
 	}
 	is.Equal(len(users), instances) // none is left without work
@@ -270,7 +270,7 @@
 			for b.Loop() {
 				i, _ := s.Choose(start, random, routing.Request{Rank: 3})
 				i.Begin(3)
-				i.End(start, routing.Sample{Result: routing.Good, Took: time.Millisecond, Rank: 3})
+				i.End(start, routing.Sample{Result: routing.Good, Latency: time.Millisecond, Rank: 3})
 			}
 		})
 	}
--- a/internal/decide/routing/set.go
+++ b/internal/decide/routing/set.go
@@ -10,9 +10,9 @@
 	config    Config
 	instances []*Instance
 	byNode    map[string]*Instance
-	started   bool
+	populated bool
 	// sizes are those of requests with their answers.
-	sizes kindMeans
+	sizes kindAverages
 	// tiers holds the tier of each instance while one choice is made.
 	tiers []tier
 }
@@ -30,7 +30,7 @@
 	for _, m := range chosen {
 		i, ok := s.byNode[m.Node]
 		if !ok {
-			i = s.join(now, m)
+			i = s.newInstance(now, m)
 		}
 		i.Member = m
 		byNode[m.Node] = i
@@ -38,14 +38,14 @@
 	}
 	s.instances, s.byNode = instances, byNode
 	s.tiers = make([]tier, len(instances))
-	s.started = s.started || len(instances) > 0
+	s.populated = s.populated || len(instances) > 0
 }
 
-// join returns a new instance, which starts slowly unless all others are new too.
-func (s *Set) join(now time.Time, m Member) *Instance {
-	i := &Instance{Member: m, config: &s.config, sizes: &s.sizes, farShare: kindMeans{cautious: true}}
-	if s.started {
-		i.joined = now
+// newInstance returns a new instance, which starts slowly unless all others are new too.
+func (s *Set) newInstance(now time.Time, m Member) *Instance {
+	i := &Instance{Member: m, config: &s.config, sizes: &s.sizes, crossZoneFraction: kindAverages{startAtZero: true}}
+	if s.populated {
+		i.joinedAt = now
 	}
 	return i
 }
@@ -64,49 +64,49 @@
 type tier int
 
 const (
-	// near are the healthy instances of the own zone that seldom fail.
-	near tier = iota
-	// nearBounded are those of the own zone that lately had no room for the kind. They may have again: a place is free as soon as
+	// local are the healthy instances of the own zone that seldom fail.
+	local tier = iota
+	// localKindLimited are those of the own zone that lately had no room for the kind. They may have again: a place is free as soon as
 	// one request has ended.
-	nearBounded
+	localKindLimited
 	// healthy are all that are neither ejected nor shedding.
 	healthy
-	// alive may be shedding.
-	alive
+	// reachable may be shedding.
+	reachable
 	// untried are all: where every one is ejected, none is.
 	untried
-	tiers
+	tierCount
 )
 
 // Choose picks an instance. It reports false only where there is none that was not tried.
 func (s *Set) Choose(now time.Time, random Source, r Request) (*Instance, bool) {
-	c := s.survey(now, r)
-	for t := near; t < tiers; t++ {
-		chosen := s.pick(now, random, r, func(_ *Instance, own tier) bool { return own <= t })
+	summary := s.classifyInstances(now, r)
+	for t := local; t < tierCount; t++ {
+		chosen := s.pick(now, random, r, func(_ *Instance, instanceTier tier) bool { return instanceTier <= t })
 		if chosen == nil {
 			continue
 		}
-		if t == near {
-			chosen = s.orElsewhere(now, random, r, chosen, c)
+		if t == local {
+			chosen = s.considerOtherZones(now, random, r, chosen, summary)
 		}
 		return chosen, true
 	}
 	return nil, false
 }
 
-// orElsewhere returns an instance of another availability zone where it is clearly better than the one of the own, and that one else.
-func (s *Set) orElsewhere(now time.Time, random Source, r Request, own *Instance, c survey) *Instance {
-	if c.elsewhere == 0 {
+// considerOtherZones returns an instance of another availability zone where it is clearly better than the one of the own, and that one else.
+func (s *Set) considerOtherZones(now time.Time, random Source, r Request, own *Instance, summary zoneSummary) *Instance {
+	if summary.healthyElsewhere == 0 {
 		return own
 	}
-	if other := s.crossesLess(now, random, r, own); other != nil {
+	if other := s.pickFewerCrossZoneBytes(now, random, r, own); other != nil {
 		return other
 	}
 	switch {
-	case c.isFull(s.config.SpillFrom):
+	case summary.isFull(s.config.SpillUtilization):
 		return s.spill(now, random, r, own)
 	case s.isSlow(r, own):
-		return s.quicker(now, random, r, own)
+		return s.pickFaster(now, random, r, own)
 	}
 	return own
 }
@@ -114,40 +114,40 @@
 // spill returns an instance of another availability zone where it is clearly cheaper than the one of the own, and that
 // one else.
 func (s *Set) spill(now time.Time, random Source, r Request, own *Instance) *Instance {
-	far := s.farMarkup(now, r)
-	other := s.pickElsewhere(now, random, r, func(i *Instance) bool { return i.isCheaper(now, r, own, far) })
+	crossZone := s.crossZonePenalty(now, r)
+	other := s.pickOtherZone(now, random, r, func(i *Instance) bool { return i.isCheaper(now, r, own, crossZone) })
 	if other == nil {
 		return own
 	}
 	return other
 }
 
-// farMarkup returns what makes the time at another zone's instance count for more.
-func (s *Set) farMarkup(now time.Time, r Request) markup {
-	factor := s.config.FarFactor
+// crossZonePenalty returns what makes the time at another zone's instance count for more.
+func (s *Set) crossZonePenalty(now time.Time, r Request) penalty {
+	factor := s.config.CrossZoneFactor
 	if r.IsCall {
-		factor = s.config.CallFarFactor
+		factor = s.config.CallCrossZoneFactor
 	}
 	const kilobyte = 1000 // bytes
-	size := s.sizes.of(now, r.Kind) / kilobyte
-	return markup{factor: factor, extra: time.Duration(size * float64(s.config.FarKilobyte))}
+	size := s.sizes.get(now, r.Kind) / kilobyte
+	return penalty{factor: factor, extra: time.Duration(size * float64(s.config.CrossZoneKilobyte))}
 }
 
 // isSlow reports whether the instance takes so long on average that many answers miss the request's target.
 func (s *Set) isSlow(r Request, i *Instance) bool {
-	return !r.IsCall && float64(i.mean(r)) > s.config.TargetPart*float64(r.Target) && r.Target > 0
+	return !r.IsCall && float64(i.averageLatency(r)) > s.config.TargetFraction*float64(r.Target) && r.Target > 0
 }
 
-// quicker returns an instance of another availability zone that takes clearly less on average, and the one of the own
+// pickFaster returns an instance of another availability zone that takes clearly less on average, and the one of the own
 // zone else. Now and then one is tried of which nothing is known.
-func (s *Set) quicker(now time.Time, random Source, r Request, own *Instance) *Instance {
-	far := s.farMarkup(now, r)
-	other := s.pickElsewhere(now, random, r, func(i *Instance) bool {
-		mean := i.mean(r)
-		if mean == 0 {
-			return random.Float64() < exploredPart
+func (s *Set) pickFaster(now time.Time, random Source, r Request, own *Instance) *Instance {
+	crossZone := s.crossZonePenalty(now, r)
+	other := s.pickOtherZone(now, random, r, func(i *Instance) bool {
+		average := i.averageLatency(r)
+		if average == 0 {
+			return random.Float64() < exploreFraction
 		}
-		return far.of(float64(mean)) < float64(own.mean(r))
+		return crossZone.apply(float64(average)) < float64(own.averageLatency(r))
 	})
 	if other == nil {
 		return own
@@ -155,80 +155,80 @@
 	return other
 }
 
-// exploredPart is the part of such requests that goes to an instance of which nothing is known.
-const exploredPart = 0.05
+// exploreFraction is the part of such requests that goes to an instance of which nothing is known.
+const exploreFraction = 0.05
 
-// survey sums up one look at the instances.
-type survey struct {
-	// elsewhere counts the healthy instances of other availability zones.
-	elsewhere    int
-	nearAhead    float64
-	nearCapacity float64
+// zoneSummary sums up one look at the instances.
+type zoneSummary struct {
+	// healthyElsewhere counts the healthy instances of other availability zones.
+	healthyElsewhere int
+	localAhead       float64
+	localCapacity    float64
 }
 
-func (s *Set) survey(now time.Time, r Request) survey {
-	var c survey
-	for number, i := range s.instances {
-		own := s.tierOf(now, r, i)
-		s.tiers[number] = own
+func (s *Set) classifyInstances(now time.Time, r Request) zoneSummary {
+	var summary zoneSummary
+	for index, i := range s.instances {
+		instanceTier := s.tierOf(now, r, i)
+		s.tiers[index] = instanceTier
 		switch {
-		case own == near:
-			c.nearAhead += i.ahead(r.Rank)
-			c.nearCapacity += i.capacity(now)
-		case own == healthy && i.Member.Zone != s.config.Zone:
-			c.elsewhere++
+		case instanceTier == local:
+			summary.localAhead += i.requestsAhead(r.Rank)
+			summary.localCapacity += i.capacity(now)
+		case instanceTier == healthy && i.Member.Zone != s.config.Zone:
+			summary.healthyElsewhere++
 		}
 	}
-	return c
+	return summary
 }
 
 // tierOf returns the narrowest tier that holds the instance.
 func (s *Set) tierOf(now time.Time, r Request, i *Instance) tier {
 	switch {
 	case r.hasTried(i.Member.Node):
-		return tiers
-	case i.Lost || i.isEjected(now):
+		return tierCount
+	case i.Unreachable || i.isEjected(now):
 		return untried
 	case i.sheds(now, r.Rank):
-		return alive
-	case i.isBounded(now, r):
-		return s.boundedTier(r, i)
+		return reachable
+	case i.isKindLimited(now, r):
+		return s.kindLimitedTier(r, i)
 	case i.Member.Zone != s.config.Zone || i.isFailing(now):
 		return healthy
 	}
-	return near
+	return local
 }
 
-// boundedTier returns the tier of an instance that lately had no room for the kind. One of another zone isn't asked again by a
+// kindLimitedTier returns the tier of an instance that lately had no room for the kind. One of another zone isn't asked again by a
 // request that was refused already.
-func (s *Set) boundedTier(r Request, i *Instance) tier {
+func (s *Set) kindLimitedTier(r Request, i *Instance) tier {
 	switch {
 	case i.Member.Zone == s.config.Zone:
-		return nearBounded
+		return localKindLimited
 	case len(r.Tried) > 0:
-		return tiers
+		return tierCount
 	}
-	return alive
+	return reachable
 }
 
-// HasNear reports whether an instance of the own zone takes work.
-func (s *Set) HasNear(now time.Time) bool {
+// HasLocal reports whether an instance of the own zone takes work.
+func (s *Set) HasLocal(now time.Time) bool {
 	return slices.ContainsFunc(s.instances, func(i *Instance) bool {
-		return i.Member.Zone == s.config.Zone && i.takesWork(now)
+		return i.Member.Zone == s.config.Zone && i.acceptsRequests(now)
 	})
 }
 
 // isFull reports whether the own zone is used so far that others are worth a look.
-func (c *survey) isFull(spillFrom float64) bool {
-	return c.nearAhead+1 > spillFrom*c.nearCapacity
+func (z *zoneSummary) isFull(spillFrom float64) bool {
+	return z.localAhead+1 > spillFrom*z.localCapacity
 }
 
 // pick takes two different ones of the instances that fit at random and returns the cheaper for the request, or nil where none fits.
 func (s *Set) pick(now time.Time, random Source, r Request, fits func(i *Instance, own tier) bool) *Instance {
 	var picked [2]*Instance
 	found := 0
-	for number, i := range s.instances {
-		if !fits(i, s.tiers[number]) {
+	for index, i := range s.instances {
+		if !fits(i, s.tiers[index]) {
 			continue
 		}
 		found++
@@ -241,15 +241,15 @@
 		}
 	}
 	a, b := picked[0], picked[1]
-	if b != nil && (b.isCheaper(now, r, a, noMarkup) || !a.isCheaper(now, r, b, noMarkup) && random.IntN(len(picked)) == 0) {
+	if b != nil && (b.isCheaper(now, r, a, noPenalty) || !a.isCheaper(now, r, b, noPenalty) && random.IntN(len(picked)) == 0) {
 		return b
 	}
 	return a
 }
 
-// pickElsewhere is pick among the healthy instances of other availability zones.
-func (s *Set) pickElsewhere(now time.Time, random Source, r Request, fits func(*Instance) bool) *Instance {
-	return s.pick(now, random, r, func(i *Instance, own tier) bool {
-		return own <= healthy && i.Member.Zone != s.config.Zone && fits(i)
+// pickOtherZone is pick among the healthy instances of other availability zones.
+func (s *Set) pickOtherZone(now time.Time, random Source, r Request, fits func(*Instance) bool) *Instance {
+	return s.pick(now, random, r, func(i *Instance, instanceTier tier) bool {
+		return instanceTier <= healthy && i.Member.Zone != s.config.Zone && fits(i)
 	})
 }
--- a/internal/decide/routing/stats.go
+++ b/internal/decide/routing/stats.go
@@ -33,9 +33,9 @@
 // ShedEvidence is what an instance last turned away. The zero ShedEvidence is nothing.
 type ShedEvidence struct {
 	Reason Reason `json:"reason"`
-	// Told is the reason that the instance gave.
-	Told string    `json:"told"`
-	At   time.Time `json:"at"`
+	// InstanceReason is the reason that the instance gave.
+	InstanceReason string    `json:"told"`
+	At             time.Time `json:"at"`
 }
 
 // Stats are what is known of one instance, for the dump. Times are in milliseconds.
@@ -48,28 +48,28 @@
 	Limit  int `json:"limit"`
 	Queued int `json:"queued"`
 	// Failures in a row, and for how long the instance is still passed over for them.
-	Failures    int      `json:"failures"`
-	EjectedLeft int64    `json:"ejected_left_ms"`
-	Ejection    Ejection `json:"ejection"`
+	Failures          int      `json:"failures"`
+	EjectionRemaining int64    `json:"ejected_left_ms"`
+	Ejection          Ejection `json:"ejection"`
 	// SheddingRank is the rank that the instance shed last, and ShedLeft for how long others of it are still kept away.
-	SheddingRank int          `json:"shedding_rank"`
-	ShedLeft     int64        `json:"shed_left_ms"`
-	LastShed     ShedEvidence `json:"last_shed"`
+	SheddingRank  int          `json:"shedding_rank"`
+	ShedRemaining int64        `json:"shed_left_ms"`
+	LastShed      ShedEvidence `json:"last_shed"`
 }
 
 // Stats returns what is known of the instance.
 func (i *Instance) Stats(now time.Time) Stats {
 	return Stats{
-		InFlight:     i.onTheWay(admission.Ranks - 1),
-		Latency:      i.latencies.last().Milliseconds(),
-		ErrorRate:    i.errorRate(now),
-		Limit:        i.load.Limit,
-		Queued:       i.load.Queued,
-		Failures:     i.failures,
-		EjectedLeft:  max(0, i.ejectedUntil.Sub(now).Milliseconds()),
-		Ejection:     i.ejection,
-		SheddingRank: i.sheddingRank,
-		ShedLeft:     max(0, i.shedUntil.Sub(now).Milliseconds()),
-		LastShed:     i.lastShed,
+		InFlight:          i.inFlightUpTo(admission.Ranks - 1),
+		Latency:           i.latencies.latest().Milliseconds(),
+		ErrorRate:         i.errorRate(now),
+		Limit:             i.load.Limit,
+		Queued:            i.load.Queued,
+		Failures:          i.failures,
+		EjectionRemaining: max(0, i.ejectedUntil.Sub(now).Milliseconds()),
+		Ejection:          i.ejection,
+		SheddingRank:      i.sheddingRank,
+		ShedRemaining:     max(0, i.shedUntil.Sub(now).Milliseconds()),
+		LastShed:          i.lastShed,
 	}
 }
--- a/internal/decide/routing/subset.go
+++ b/internal/decide/routing/subset.go
@@ -13,28 +13,28 @@
 	if len(members) <= config.SubsetSize {
 		return members
 	}
-	var inZone, others []weighed
+	var inZone, others []hashedMember
 	for _, m := range members {
-		w := weighed{member: m, weight: xxhash.Sum64String(config.Node + "/" + m.Node)}
+		w := hashedMember{member: m, hash: xxhash.Sum64String(config.Node + "/" + m.Node)}
 		if m.Zone == config.Zone {
 			inZone = append(inZone, w)
 		} else {
 			others = append(others, w)
 		}
 	}
-	far := min(len(others), max(config.SubsetFar, config.SubsetSize-len(inZone)))
+	otherZones := min(len(others), max(config.SubsetOtherZones, config.SubsetSize-len(inZone)))
 	chosen := make([]Member, 0, config.SubsetSize)
-	chosen = appendHighest(chosen, inZone, config.SubsetSize-far)
-	return appendHighest(chosen, others, far)
+	chosen = appendHighest(chosen, inZone, config.SubsetSize-otherZones)
+	return appendHighest(chosen, others, otherZones)
 }
 
-type weighed struct {
+type hashedMember struct {
 	member Member
-	weight uint64
+	hash   uint64
 }
 
-func appendHighest(chosen []Member, candidates []weighed, count int) []Member {
-	slices.SortFunc(candidates, func(a, b weighed) int { return cmp.Compare(b.weight, a.weight) })
+func appendHighest(chosen []Member, candidates []hashedMember, count int) []Member {
+	slices.SortFunc(candidates, func(a, b hashedMember) int { return cmp.Compare(b.hash, a.hash) })
 	for _, w := range candidates[:min(count, len(candidates))] {
 		chosen = append(chosen, w.member)
 	}
--- a/internal/decide/routing/target_test.go
+++ b/internal/decide/routing/target_test.go
@@ -42,7 +42,7 @@
 					took = 150 * time.Millisecond
 				}
 				i.Begin(0)
-				i.End(now, routing.Sample{Result: routing.Good, Took: took, Kind: test.request.Kind})
+				i.End(now, routing.Sample{Result: routing.Good, Latency: took, Kind: test.request.Kind})
 			}
 			is.True(far >= test.least)
 			is.True(far <= test.most)
--- a/internal/decide/throttle/stats.go
+++ b/internal/decide/throttle/stats.go
@@ -7,18 +7,18 @@
 
 // The reasons.
 const (
-	AdmitsAll      Reason = "admits_all"
-	AcceptedIsLess Reason = "accepted_is_less"
-	RefusedRate    Reason = "above_accepted_rate"
-	RefusedResent  Reason = "resent"
+	AdmitsAll        Reason = "admits_all"
+	AcceptedIsLess   Reason = "accepted_is_less"
+	RefusedAboveRate Reason = "above_accepted_rate"
+	RefusedResent    Reason = "resent"
 )
 
 // Reasons is the catalogue of the reasons.
 var Reasons = map[Reason]string{
-	AdmitsAll:      "No more is offered than was lately accepted down the chains, with headroom.",
-	AcceptedIsLess: "Requests were refused down their chains, and more is offered than was lately accepted, with headroom.",
-	RefusedRate:    "The request was one of those above what was lately accepted, and its caller above its equal part.",
-	RefusedResent:  "The caller sent the request again, and the part for such requests is used up.",
+	AdmitsAll:        "No more is offered than was lately accepted down the chains, with headroom.",
+	AcceptedIsLess:   "Requests were refused down their chains, and more is offered than was lately accepted, with headroom.",
+	RefusedAboveRate: "The request was one of those above what was lately accepted, and its caller above its equal part.",
+	RefusedResent:    "The caller sent the request again, and the part for such requests is used up.",
 }
 
 // Refusal is a request that a Throttle refused itself. The zero Refusal is none.
@@ -45,15 +45,15 @@
 
 // Stats returns what the throttle goes by.
 func (t *Throttle) Stats(now time.Time) Stats {
-	t.fade(now)
+	t.decay(now)
 	s := Stats{
 		Reason:       AdmitsAll,
-		RefusedShare: t.refusal(now),
+		RefusedShare: t.refusalRatio(now),
 		Accepted:     t.accepted,
 		Peak:         t.peak,
-		RefusedBelow: t.refused,
-		RefusedHere:  t.local,
-		LastBelow:    t.refusedAt,
+		RefusedBelow: t.refusedBelow,
+		RefusedHere:  t.refusedHere,
+		LastBelow:    t.refusedBelowAt,
 		LastHere:     t.lastRefusal,
 	}
 	if s.RefusedShare > 0 {
--- a/internal/decide/throttle/stats_test.go
+++ b/internal/decide/throttle/stats_test.go
@@ -33,7 +33,7 @@
 		} else {
 			below = now
 		}
-		throttled.Learn(now, result)
+		throttled.Observe(now, result)
 	}
 	is.True(refused)
 	s := throttled.Stats(now)
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -45,26 +45,26 @@
 
 // Config sets a Throttle up.
 type Config struct {
-	// Window is the time constant with which counts fade.
-	Window time.Duration
-	// PeakLife is the time constant with which the highest accepted rate fades.
-	PeakLife time.Duration
+	// TimeConstant is the time constant with which counts fade.
+	TimeConstant time.Duration
+	// PeakTimeConstant is the time constant with which the highest accepted rate fades.
+	PeakTimeConstant time.Duration
 	// Headroom is the admitted rate over the accepted one just after a request was refused. It grows by HeadroomStep
 	// with each accepted request, but at most once in StepTime, up to MaxHeadroom, until the next one is refused.
 	Headroom     float64
 	HeadroomStep float64
-	StepTime     time.Duration
+	StepInterval time.Duration
 	MaxHeadroom  float64
-	// ProbeShare is the part of the requests that is admitted in any case, and ProbeEvery the time without an
+	// ProbeRatio is the part of the requests that is admitted in any case, and ProbeEvery the time without an
 	// admitted request after which one is.
-	ProbeShare float64
-	ProbeEvery time.Duration
-	// ResentShare is the part of the accepted rate that requests sent again get while some are refused, even where new
+	ProbeRatio    float64
+	ProbeInterval time.Duration
+	// ResentRatio is the part of the accepted rate that requests sent again get while some are refused, even where new
 	// ones would take it all.
-	ResentShare float64
-	// FewRequests is how many in a window tell too little about the rate that is accepted. A node that sees fewer learns which
+	ResentRatio float64
+	// LowRateRequests is how many in a window tell too little about the rate that is accepted. A node that sees fewer learns which
 	// part of them is accepted instead; 0 for none.
-	FewRequests float64
+	LowRateRequests float64
 	// MaxCallers bounds the callers that are told apart; the others count as one.
 	MaxCallers int
 	// MinRetryAfter and MaxRetryAfter bound what refused callers are told.
@@ -74,19 +74,19 @@
 
 // DefaultConfig holds where nothing else is set.
 var DefaultConfig = Config{
-	Window:        250 * time.Millisecond,
-	PeakLife:      1500 * time.Millisecond,
-	Headroom:      1.05,
-	HeadroomStep:  0.04,
-	StepTime:      15 * time.Millisecond,
-	MaxHeadroom:   3,
-	ProbeShare:    0.01,
-	ProbeEvery:    500 * time.Millisecond,
-	ResentShare:   0.2,
-	FewRequests:   6,
-	MaxCallers:    256,
-	MinRetryAfter: 100 * time.Millisecond,
-	MaxRetryAfter: 5 * time.Second,
+	TimeConstant:     250 * time.Millisecond,
+	PeakTimeConstant: 1500 * time.Millisecond,
+	Headroom:         1.05,
+	HeadroomStep:     0.04,
+	StepInterval:     15 * time.Millisecond,
+	MaxHeadroom:      3,
+	ProbeRatio:       0.01,
+	ProbeInterval:    500 * time.Millisecond,
+	ResentRatio:      0.2,
+	LowRateRequests:  6,
+	MaxCallers:       256,
+	MinRetryAfter:    100 * time.Millisecond,
+	MaxRetryAfter:    5 * time.Second,
 }
 
 // Offer is a root request that asks to be admitted.
@@ -107,26 +107,26 @@
 // Throttle watches the root requests of one kind and rank.
 type Throttle struct {
 	config Config
-	// last is when the counts were last faded.
-	last time.Time
+	// decayedAt is when the counts were last faded.
+	decayedAt time.Time
 
 	accepted float64
 	// peak is the highest count of accepted requests, fading slowly: chance refusals at a lower rate don't lower it.
-	peak    float64
-	refused float64
-	// local counts the requests that the throttle refused itself.
-	local float64
-	// fresh and resent count the new requests that were offered, and those sent again.
-	fresh   float64
-	resent  float64
-	callers map[string]float64
-	// few decides while there are few requests.
-	few sparse
+	peak         float64
+	refusedBelow float64
+	// refusedHere counts the requests that the throttle refused itself.
+	refusedHere float64
+	// newRequests and resent count the new requests that were offered, and those sent again.
+	newRequests float64
+	resent      float64
+	callers     map[string]float64
+	// lowRate decides while there are few requests.
+	lowRate admissionRatio
 
-	// calm counts the accepted requests since the last refused one, at refusedAt.
-	calm       float64
-	refusedAt  time.Time
-	admittedAt time.Time
+	// acceptedSinceRefusal counts the accepted requests since the last refused one, at refusedAt.
+	acceptedSinceRefusal float64
+	refusedBelowAt       time.Time
+	admittedAt           time.Time
 	// lastRefusal is the newest request that the throttle refused itself.
 	lastRefusal Refusal
 }
@@ -141,116 +141,116 @@
 
 // Offer decides on one request.
 func (t *Throttle) Offer(now time.Time, random Source, o Offer) Verdict {
-	t.fade(now)
-	own := t.count(o.Caller)
+	t.decay(now)
+	callerCount := t.countCaller(o.Caller)
 	if o.Resent {
 		t.resent++
 	} else {
-		t.fresh++
+		t.newRequests++
 	}
-	if t.isFew() {
-		return t.offerFew(now, random)
+	if t.isLowRate() {
+		return t.offerAtLowRate(now, random)
 	}
-	t.few = sparse{} // what a rush showed says nothing about the few requests after it
-	part := t.accepted / float64(len(t.callers))
-	refusal := t.refusal(now)
+	t.lowRate = admissionRatio{} // what a rush showed says nothing about the few requests after it
+	equalShare := t.accepted / float64(len(t.callers))
+	refusalRatio := t.refusalRatio(now)
 	switch {
-	case now.Sub(t.admittedAt) >= t.config.ProbeEvery || random.Float64() < t.config.ProbeShare:
-	case own <= part:
-	case o.Resent && t.refused > spared && random.Float64() < t.resentPart(now)/t.resent:
-	case o.Resent && t.refused > spared:
+	case now.Sub(t.admittedAt) >= t.config.ProbeInterval || random.Float64() < t.config.ProbeRatio:
+	case callerCount <= equalShare:
+	case o.Resent && t.refusedBelow > unthrottledRequests && random.Float64() < t.maxResent(now)/t.resent:
+	case o.Resent && t.refusedBelow > unthrottledRequests:
 		// Not counted, so that requests sent again don't take the place of new ones.
 		t.lastRefusal = Refusal{Reason: RefusedResent, At: now}
 		return Verdict{RetryAfter: t.retryAfter(random)}
-	case refusal == 0:
-	case random.Float64() < min(refusal, 1-part/own):
-		t.local++
-		t.lastRefusal = Refusal{Reason: RefusedRate, At: now}
+	case refusalRatio == 0:
+	case random.Float64() < min(refusalRatio, 1-equalShare/callerCount):
+		t.refusedHere++
+		t.lastRefusal = Refusal{Reason: RefusedAboveRate, At: now}
 		return Verdict{RetryAfter: t.retryAfter(random)}
 	}
 	t.admittedAt = now
 	return Verdict{Admitted: true}
 }
 
-// isFew reports whether so few requests came lately that they tell little about the rate that is accepted.
-func (t *Throttle) isFew() bool { return t.fresh+t.resent < t.config.FewRequests }
+// isLowRate reports whether so few requests came lately that they tell little about the rate that is accepted.
+func (t *Throttle) isLowRate() bool { return t.newRequests+t.resent < t.config.LowRateRequests }
 
-// offerFew decides on one of few requests.
-func (t *Throttle) offerFew(now time.Time, random Source) Verdict {
-	if random.Float64() < t.few.part(now) {
+// offerAtLowRate decides on one of few requests.
+func (t *Throttle) offerAtLowRate(now time.Time, random Source) Verdict {
+	if random.Float64() < t.lowRate.value(now) {
 		t.admittedAt = now
 		return Verdict{Admitted: true}
 	}
-	t.local++
-	t.lastRefusal = Refusal{Reason: RefusedRate, At: now}
+	t.refusedHere++
+	t.lastRefusal = Refusal{Reason: RefusedAboveRate, At: now}
 	return Verdict{RetryAfter: t.retryAfter(random)}
 }
 
-// Learn takes in what became of an admitted request.
-func (t *Throttle) Learn(now time.Time, r Result) {
-	t.fade(now)
-	if t.isFew() {
-		t.few.learn(now, r)
+// Observe takes in what became of an admitted request.
+func (t *Throttle) Observe(now time.Time, r Result) {
+	t.decay(now)
+	if t.isLowRate() {
+		t.lowRate.observe(now, r)
 	}
 	switch r {
 	case Accepted:
 		t.accepted++
 		t.peak = max(t.peak, t.accepted)
-		t.calm++
+		t.acceptedSinceRefusal++
 	case Refused:
-		t.refused++
-		t.calm = 0
-		t.refusedAt = now
+		t.refusedBelow++
+		t.acceptedSinceRefusal = 0
+		t.refusedBelowAt = now
 	}
 }
 
-// Throttling reports whether requests are being refused.
-func (t *Throttle) Throttling(now time.Time) bool {
-	t.fade(now)
-	return t.refusal(now) > 0
+// IsThrottling reports whether requests are being refused.
+func (t *Throttle) IsThrottling(now time.Time) bool {
+	t.decay(now)
+	return t.refusalRatio(now) > 0
 }
 
-// Idle reports whether nothing was counted lately, so that the throttle may be forgotten.
-func (t *Throttle) Idle(now time.Time) bool {
-	t.fade(now)
-	return t.accepted+t.refused+t.local+float64(len(t.callers)) < faded
+// IsIdle reports whether nothing was counted lately, so that the throttle may be forgotten.
+func (t *Throttle) IsIdle(now time.Time) bool {
+	t.decay(now)
+	return t.accepted+t.refusedBelow+t.refusedHere+float64(len(t.callers)) < negligibleCount
 }
 
-// faded is the count below which nothing is left of one request.
-const faded = 0.05
+// negligibleCount is the count below which nothing is left of one request.
+const negligibleCount = 0.05
 
-// spared is how many requests in a window are not throttled, so that few requests can't stop each other.
-const spared = 1
+// unthrottledRequests is how many requests in a window are not throttled, so that few requests can't stop each other.
+const unthrottledRequests = 1
 
-// refusal is the part of the requests to refuse.
-func (t *Throttle) refusal(now time.Time) float64 {
-	offered := t.accepted + t.refused + t.local
+// refusalRatio is the part of the requests to refuse.
+func (t *Throttle) refusalRatio(now time.Time) float64 {
+	offered := t.accepted + t.refusedBelow + t.refusedHere
 	if offered == 0 {
 		return 0
 	}
-	return max(0, (offered-spared-t.admissible(now))/offered)
+	return max(0, (offered-unthrottledRequests-t.maxAdmitted(now))/offered)
 }
 
-// admissible is how many requests may be admitted in the time that the counts hold.
-func (t *Throttle) admissible(now time.Time) float64 {
-	steps := min(t.calm, float64(now.Sub(t.refusedAt))/float64(t.config.StepTime))
+// maxAdmitted is how many requests may be admitted in the time that the counts hold.
+func (t *Throttle) maxAdmitted(now time.Time) float64 {
+	steps := min(t.acceptedSinceRefusal, float64(now.Sub(t.refusedBelowAt))/float64(t.config.StepInterval))
 	return min(t.config.Headroom+t.config.HeadroomStep*steps, t.config.MaxHeadroom) * t.peak
 }
 
-// resentPart is how many of these may be requests sent again: a bounded part, and what new ones leave.
-func (t *Throttle) resentPart(now time.Time) float64 {
-	return max(t.config.ResentShare*t.accepted, t.admissible(now)-t.fresh)
+// maxResent is how many of these may be requests sent again: a bounded part, and what new ones leave.
+func (t *Throttle) maxResent(now time.Time) float64 {
+	return max(t.config.ResentRatio*t.accepted, t.maxAdmitted(now)-t.newRequests)
 }
 
 func (t *Throttle) retryAfter(random Source) time.Duration {
-	offered := t.accepted + t.refused + t.local
-	wait := time.Duration(float64(t.config.Window) * offered / (t.accepted + 1))
+	offered := t.accepted + t.refusedBelow + t.refusedHere
+	wait := time.Duration(float64(t.config.TimeConstant) * offered / (t.accepted + 1))
 	wait = min(max(wait, t.config.MinRetryAfter), t.config.MaxRetryAfter)
 	return time.Duration(float64(wait) * (0.5 + random.Float64()))
 }
 
-// count adds one request of the caller and returns its count.
-func (t *Throttle) count(caller string) float64 {
+// countCaller adds one request of the caller and returns its count.
+func (t *Throttle) countCaller(caller string) float64 {
 	if _, ok := t.callers[caller]; !ok && len(t.callers) >= t.config.MaxCallers {
 		caller = otherCallers
 	}
@@ -258,28 +258,28 @@
 	return t.callers[caller]
 }
 
-// fadeStep is the shortest time after which counts are renewed.
-const fadeStep = 5 * time.Millisecond
+// minDecayInterval is the shortest time after which counts are renewed.
+const minDecayInterval = 5 * time.Millisecond
 
-func (t *Throttle) fade(now time.Time) {
-	if t.last.IsZero() {
-		t.last = now
+func (t *Throttle) decay(now time.Time) {
+	if t.decayedAt.IsZero() {
+		t.decayedAt = now
 		return
 	}
-	passed := now.Sub(t.last)
-	if passed < fadeStep {
+	passed := now.Sub(t.decayedAt)
+	if passed < minDecayInterval {
 		return
 	}
-	t.last = now
-	factor := math.Exp(-float64(passed) / float64(t.config.Window))
+	t.decayedAt = now
+	factor := math.Exp(-float64(passed) / float64(t.config.TimeConstant))
 	t.accepted *= factor
-	t.peak = max(t.accepted, t.peak*math.Exp(-float64(passed)/float64(t.config.PeakLife)))
-	t.refused *= factor
-	t.local *= factor
-	t.fresh *= factor
+	t.peak = max(t.accepted, t.peak*math.Exp(-float64(passed)/float64(t.config.PeakTimeConstant)))
+	t.refusedBelow *= factor
+	t.refusedHere *= factor
+	t.newRequests *= factor
 	t.resent *= factor
 	for caller, count := range t.callers {
-		if count*factor < faded {
+		if count*factor < negligibleCount {
 			delete(t.callers, caller)
 			continue
 		}
--- a/internal/decide/throttle/throttle_test.go
+++ b/internal/decide/throttle/throttle_test.go
@@ -13,8 +13,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/throttle"
 )
 
-// capacity is a model of all that lies behind the entry: it accepts so many requests a second and answers late.
-type capacity struct {
+// downstream is a model of all that lies behind the entry: it accepts so many requests a second and answers late.
+type downstream struct {
 	perSecond float64
 	// refuseEvery is the number of requests of which one is refused whatever the rate; 0 for none.
 	refuseEvery int
@@ -33,7 +33,7 @@
 	delay = 60 * time.Millisecond
 )
 
-func (c *capacity) take(now time.Time) bool {
+func (c *downstream) take(now time.Time) bool {
 	result := throttle.Refused
 	c.taken++
 	if c.tokens >= 1 && (c.refuseEvery == 0 || c.taken%c.refuseEvery > 0) {
@@ -44,10 +44,10 @@
 	return result == throttle.Accepted
 }
 
-func (c *capacity) advance(now time.Time, t *throttle.Throttle) {
+func (c *downstream) advance(now time.Time, t *throttle.Throttle) {
 	c.tokens = min(c.tokens+c.perSecond*step.Seconds(), 10)
 	for len(c.pending) > 0 && !now.Before(c.pending[0].at) {
-		t.Learn(now, c.pending[0].result)
+		t.Observe(now, c.pending[0].result)
 		c.pending = c.pending[1:]
 	}
 }
@@ -60,7 +60,7 @@
 }
 
 // drive offers each source's requests, in whole numbers a millisecond step, for the time.
-func drive(t *throttle.Throttle, c *capacity, start time.Time, d time.Duration, sources map[string]source) map[string]counts {
+func drive(t *throttle.Throttle, c *downstream, start time.Time, d time.Duration, sources map[string]source) map[string]counts {
 	random := rand.New(rand.NewPCG(1, 1))
 	sums := map[string]counts{}
 	for now := start; now.Before(start.Add(d)); now = now.Add(step) {
@@ -93,7 +93,7 @@
 	for _, perSecond := range []float64{40, 100, 300} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			is := is.New(t)
-			th, c := throttle.New(throttle.DefaultConfig), &capacity{perSecond: perSecond}
+			th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: perSecond}
 			drive(th, c, start, time.Second, map[string]source{"a": {perSecond: 900}})
 			sum := drive(th, c, start.Add(time.Second), 4*time.Second, map[string]source{"a": {perSecond: 900}})["a"]
 			is.True(float64(sum.good) >= 0.9*4*perSecond)     // goodput stays near what can be done
@@ -115,7 +115,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := &capacity{perSecond: test.perSecond}
+			c := &downstream{perSecond: test.perSecond}
 			nodes := make([]*throttle.Throttle, test.nodes)
 			for i := range nodes {
 				nodes[i] = throttle.New(throttle.DefaultConfig)
@@ -130,7 +130,7 @@
 }
 
 // driveAll offers each node's requests of one caller for the time.
-func driveAll(nodes []*throttle.Throttle, c *capacity, start time.Time, d time.Duration, perSecond float64) counts {
+func driveAll(nodes []*throttle.Throttle, c *downstream, start time.Time, d time.Duration, perSecond float64) counts {
 	random := rand.New(rand.NewPCG(1, 1))
 	var sum counts
 	var senders []*throttle.Throttle
@@ -138,7 +138,7 @@
 	for now := start; now.Before(start.Add(d)); now = now.Add(step) {
 		c.tokens = min(c.tokens+c.perSecond*step.Seconds(), 10)
 		for len(c.pending) > 0 && !now.Before(c.pending[0].at) {
-			senders[0].Learn(now, c.pending[0].result)
+			senders[0].Observe(now, c.pending[0].result)
 			c.pending, senders = c.pending[1:], senders[1:]
 		}
 		for _, node := range nodes {
@@ -161,7 +161,7 @@
 
 func TestChanceRefusalsDoNotThrottle(t *testing.T) {
 	is := is.New(t)
-	th, c := throttle.New(throttle.DefaultConfig), &capacity{perSecond: 1000, refuseEvery: 10}
+	th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: 1000, refuseEvery: 10}
 	sum := drive(th, c, start, 10*time.Second, map[string]source{"a": {perSecond: 400}})["a"]
 	canBeDone := 0.9 * float64(sum.offered)
 	is.True(float64(sum.good) >= 0.9*canBeDone)
@@ -169,7 +169,7 @@
 
 func TestRecovers(t *testing.T) {
 	is := is.New(t)
-	th, c := throttle.New(throttle.DefaultConfig), &capacity{perSecond: 5}
+	th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: 5}
 	drive(th, c, start, 5*time.Second, map[string]source{"a": {perSecond: 500}})
 	c.perSecond = 1000
 	drive(th, c, start.Add(5*time.Second), 2*time.Second, map[string]source{"a": {perSecond: 500}})
@@ -186,7 +186,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			th, c := throttle.New(throttle.DefaultConfig), &capacity{perSecond: 40}
+			th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: 40}
 			drive(th, c, start, 3*time.Second, map[string]source{"crowd": {perSecond: 200}})
 			after := start.Add(3*time.Second + rest)
 			sum := drive(th, c, after, 2*time.Second, map[string]source{"later": {perSecond: perSecond}})["later"]
@@ -197,7 +197,7 @@
 
 func TestSparesCallersThatSendLittle(t *testing.T) {
 	is := is.New(t)
-	th, c := throttle.New(throttle.DefaultConfig), &capacity{perSecond: 100}
+	th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: 100}
 	sources := map[string]source{"heavy": {perSecond: 800}, "light": {perSecond: 30}}
 	drive(th, c, start, time.Second, sources)
 	light := drive(th, c, start.Add(time.Second), 4*time.Second, sources)["light"]
@@ -206,7 +206,7 @@
 
 func TestBoundsResends(t *testing.T) {
 	is := is.New(t)
-	th, c := throttle.New(throttle.DefaultConfig), &capacity{perSecond: 100}
+	th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: 100}
 	sources := map[string]source{"first": {perSecond: 200}, "resent": {perSecond: 700, resent: true}}
 	drive(th, c, start, time.Second, sources)
 	sums := drive(th, c, start.Add(time.Second), 4*time.Second, sources)
@@ -224,7 +224,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			th, c := throttle.New(throttle.DefaultConfig), &capacity{perSecond: 100}
+			th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: 100}
 			drive(th, c, start, time.Second, sources)
 			sums := drive(th, c, start.Add(time.Second), 4*time.Second, sources)
 			good, admitted := sums["first"].good+sums["resent"].good, sums["first"].admitted+sums["resent"].admitted
--- a/internal/decide/trees/trees.go
+++ b/internal/decide/trees/trees.go
@@ -26,46 +26,46 @@
 type Config struct {
 	// Initial is the bound of a kind of which nothing is known, or InitialPart of the slots where that is more. Min is the
 	// least and Max the highest bound.
-	Initial, InitialPart, Min, Max float64
-	// Wait is the part of its time that the calls of a request should stand in queues.
-	Wait float64
+	Initial, InitialSlotRatio, Min, Max float64
+	// TargetDelayRatio is the part of its time that the calls of a request should stand in queues.
+	TargetDelayRatio float64
 	// IdleGrowth is how much further the bound goes while calls don't wait at all, as a part of it.
 	IdleGrowth float64
 	// Headroom is how many requests more than a request tells the bound goes for.
 	Headroom float64
-	// SpilledPart is the part of the bound up to which requests may run that another availability zone had no room for.
-	SpilledPart float64
+	// SpilledRatio is the part of the bound up to which requests may run that another availability zone had no room for.
+	SpilledRatio float64
 	// Gain is the part of the way that the bound goes while as many requests end as it holds, and RegainGain the same on the way back
 	// to what lately went well.
-	Gain, RegainGain float64
-	// UsedTime is how long ago the bound was reached at most for it to count as used.
-	UsedTime time.Duration
+	Gain, RecoveryGain float64
+	// UsedTimeout is how long ago the bound was reached at most for it to count as used.
+	UsedTimeout time.Duration
 }
 
 // DefaultConfig holds where nothing else is set.
 var DefaultConfig = Config{
 	Initial: 16,
 
-	InitialPart: 0.25,
+	InitialSlotRatio: 0.25,
 
-	Min:        2,
-	Max:        1000,
-	Wait:       0.15,
-	IdleGrowth: 0.6,
-	Headroom:   1,
+	Min:              2,
+	Max:              1000,
+	TargetDelayRatio: 0.15,
+	IdleGrowth:       0.6,
+	Headroom:         1,
 
-	SpilledPart: 0.8,
+	SpilledRatio: 0.8,
 
-	Gain:       1,
-	RegainGain: 4,
-	UsedTime:   150 * time.Millisecond,
+	Gain:         1,
+	RecoveryGain: 4,
+	UsedTimeout:  150 * time.Millisecond,
 }
 
 // Sample is what a finished request showed.
 type Sample struct {
-	Took time.Duration
-	// Waited is how long its calls, and those below them, stood in queues.
-	Waited time.Duration
+	Duration time.Duration
+	// QueueingDelay is how long its calls, and those below them, stood in queues.
+	QueueingDelay time.Duration
 	// Calls is how many calls it made itself.
 	Calls int
 	// Refused says that one of its calls was turned away for want of room.
@@ -94,16 +94,16 @@
 type limit struct {
 	value    float64
 	inFlight int
-	// seen says that a request of the kind has ended, and calls that one made calls. Until then the kind is bounded: a flood
+	// observed says that a request of the kind has ended, and calls that one made calls. Until then the kind is bounded: a flood
 	// may come first.
-	seen  bool
-	calls bool
-	// took is the recent time of a request, and share the recent part of it that calls stood in queues.
-	took  time.Duration
-	share float64
+	observed   bool
+	makesCalls bool
+	// duration is the recent time of a request, and share the recent part of it that calls stood in queues.
+	duration   time.Duration
+	delayRatio float64
 	// endedAt is when a request ended last, and proven how many ran at once lately while their calls waited as little as they should.
-	endedAt time.Time
-	proven  float64
+	endedAt        time.Time
+	provenInFlight float64
 	// usedAt is when the bound was last reached.
 	usedAt time.Time
 }
@@ -111,23 +111,23 @@
 const (
 	// sampleWeight is the least weight of one request in the recent values, and sampleTime the time in which most of what was is
 	// forgotten.
-	sampleWeight = 0.2
-	sampleTime   = 200 * time.Millisecond
-	// disproof is how many times as long as they should calls wait where too many requests run.
-	disproof = 2
-	// provenTime is the time in which most of what went well is forgotten.
-	provenTime = time.Minute
-	// idleShare is the part of the time below which calls don't wait at all.
-	idleShare = 0.03
-	// refusedShare is the part of its time that a request with a call that was turned away counts as having waited.
-	refusedShare = 0.5
+	sampleWeight       = 0.2
+	sampleTimeConstant = 200 * time.Millisecond
+	// disproofFactor is how many times as long as they should calls wait where too many requests run.
+	disproofFactor = 2
+	// provenTimeConstant is the time in which most of what went well is forgotten.
+	provenTimeConstant = time.Minute
+	// negligibleDelayRatio is the part of the time below which calls don't wait at all.
+	negligibleDelayRatio = 0.03
+	// refusedDelayRatio is the part of its time that a request with a call that was turned away counts as having waited.
+	refusedDelayRatio = 0.5
 )
 
 // Start is a request that has started.
 type Start struct {
 	kind string
-	// beside is how many of its kind ran then, with it.
-	beside int
+	// inFlight is how many of its kind ran then, with it.
+	inFlight int
 }
 
 // Offer is a request that asks to start.
@@ -141,18 +141,18 @@
 // spilled over from another zone would only take the place of one that costs no bytes between zones.
 func (l *Limits) Begin(now time.Time, o Offer) (Start, bool) {
 	k := l.kind(o.Kind)
-	bound := k.value
+	inFlightLimit := k.value
 	if o.Spilled {
-		bound *= l.config.SpilledPart
+		inFlightLimit *= l.config.SpilledRatio
 	}
-	if float64(k.inFlight+1) >= bound {
+	if float64(k.inFlight+1) >= inFlightLimit {
 		k.usedAt = now
 	}
-	if (k.calls || !k.seen) && float64(k.inFlight+1) > bound {
+	if (k.makesCalls || !k.observed) && float64(k.inFlight+1) > inFlightLimit {
 		return Start{}, false
 	}
 	k.inFlight++
-	return Start{kind: o.Kind, beside: k.inFlight}, true
+	return Start{kind: o.Kind, inFlight: k.inFlight}, true
 }
 
 // Cancel takes back a Begin whose request did not start.
@@ -163,83 +163,83 @@
 // End takes in how a request ended.
 func (l *Limits) End(now time.Time, start Start, s Sample) {
 	k := l.kind(start.kind)
-	beside := float64(start.beside+k.inFlight) / 2
+	inFlight := float64(start.inFlight+k.inFlight) / 2
 	k.inFlight--
-	k.seen = true
-	if s.Calls == 0 || s.Took <= 0 {
+	k.observed = true
+	if s.Calls == 0 || s.Duration <= 0 {
 		return
 	}
-	k.calls = true
-	weight := max(sampleWeight, 1-fade(now, k.endedAt, sampleTime))
-	k.took += time.Duration(weight * float64(s.Took-k.took))
-	share := min(float64(s.Waited)/float64(s.Took), 1)
+	k.makesCalls = true
+	weight := max(sampleWeight, 1-decay(now, k.endedAt, sampleTimeConstant))
+	k.duration += time.Duration(weight * float64(s.Duration-k.duration))
+	delayRatio := min(float64(s.QueueingDelay)/float64(s.Duration), 1)
 	if s.Refused {
-		share = max(share, refusedShare)
+		delayRatio = max(delayRatio, refusedDelayRatio)
 	}
-	k.share += weight * (share - k.share)
-	l.prove(now, k, start.beside, s)
+	k.delayRatio += weight * (delayRatio - k.delayRatio)
+	l.updateProven(now, k, start.inFlight, s)
 	k.endedAt = now
-	if k.share < idleShare && k.value < k.proven {
-		l.move(now, k, k.proven, l.config.RegainGain) // whatever held the calls up is over
+	if k.delayRatio < negligibleDelayRatio && k.value < k.provenInFlight {
+		l.adjust(now, k, k.provenInFlight, l.config.RecoveryGain) // whatever held the calls up is over
 		return
 	}
-	l.move(now, k, beside*l.factor(k, share)+l.config.Headroom, l.config.Gain)
+	l.adjust(now, k, inFlight*l.growthFactor(k, delayRatio)+l.config.Headroom, l.config.Gain)
 }
 
-// prove takes in how many requests ran at once, and whether their calls waited. A call that was turned away by a backend server with room
+// updateProven takes in how many requests ran at once, and whether their calls waited. A call that was turned away by a backend server with room
 // says nothing about that.
-func (l *Limits) prove(now time.Time, k *limit, ran int, s Sample) {
-	k.proven *= fade(now, k.endedAt, provenTime)
-	waited := float64(s.Waited) / float64(s.Took)
+func (l *Limits) updateProven(now time.Time, k *limit, inFlight int, s Sample) {
+	k.provenInFlight *= decay(now, k.endedAt, provenTimeConstant)
+	delayRatio := float64(s.QueueingDelay) / float64(s.Duration)
 	switch {
-	case k.share <= l.config.Wait:
-		k.proven = max(k.proven, float64(ran))
-	case waited > disproof*l.config.Wait:
-		k.proven = min(k.proven, float64(ran))
+	case k.delayRatio <= l.config.TargetDelayRatio:
+		k.provenInFlight = max(k.provenInFlight, float64(inFlight))
+	case delayRatio > disproofFactor*l.config.TargetDelayRatio:
+		k.provenInFlight = min(k.provenInFlight, float64(inFlight))
 	}
 }
 
-// factor returns how many times as many requests may run for calls to wait as they should, where they waited for the share.
+// growthFactor returns how many times as many requests may run for calls to wait as they should, where they waited for the share.
 // While there is no waiting at all it can't be told how far that is, and the answer is a good way up.
-func (l *Limits) factor(k *limit, share float64) float64 {
-	if k.share < idleShare {
+func (l *Limits) growthFactor(k *limit, delayRatio float64) float64 {
+	if k.delayRatio < negligibleDelayRatio {
 		return 1 + l.config.IdleGrowth
 	}
-	return (1 - share) / (1 - l.config.Wait)
+	return (1 - delayRatio) / (1 - l.config.TargetDelayRatio)
 }
 
-// fade returns the part that is left of what was then.
-func fade(now, then time.Time, d time.Duration) float64 {
+// decay returns the part that is left of what was then.
+func decay(now, then time.Time, d time.Duration) float64 {
 	return math.Exp(-float64(now.Sub(then)) / float64(d))
 }
 
-// move takes the bound a part of the way to what a request told, at once where it holds no more than the gain.
-func (l *Limits) move(now time.Time, k *limit, told, gain float64) {
-	if told > k.value && now.Sub(k.usedAt) > l.config.UsedTime {
+// adjust takes the bound a part of the way to what a request told, at once where it holds no more than the gain.
+func (l *Limits) adjust(now time.Time, k *limit, target, gain float64) {
+	if target > k.value && now.Sub(k.usedAt) > l.config.UsedTimeout {
 		return
 	}
-	weight := min(gain/max(k.value, 1), mostWeight)
-	k.value = min(max(k.value+weight*(told-k.value), l.config.Min), l.config.Max)
+	weight := min(gain/max(k.value, 1), maxWeight)
+	k.value = min(max(k.value+weight*(target-k.value), l.config.Min), l.config.Max)
 }
 
-// mostWeight is how far one request may take the bound.
-const mostWeight = 0.5
+// maxWeight is how far one request may take the bound.
+const maxWeight = 0.5
 
 // RetryAfter returns when a request of the kind that was refused may come back: when one of those that run has ended.
 func (l *Limits) RetryAfter(kind string) time.Duration {
-	return l.kind(kind).took / 2
+	return l.kind(kind).duration / 2
 }
 
 // Value returns the bound of the kind, and whether it is in force.
 func (l *Limits) Value(kind string) (float64, bool) {
 	k := l.kind(kind)
-	return k.value, k.calls
+	return k.value, k.makesCalls
 }
 
 // MakesCalls reports whether requests of some kind were seen to make calls.
 func (l *Limits) MakesCalls() bool {
 	for _, k := range l.kinds {
-		if k.calls {
+		if k.makesCalls {
 			return true
 		}
 	}
@@ -249,7 +249,7 @@
 func (l *Limits) kind(name string) *limit {
 	k, known := l.kinds[name]
 	if !known {
-		k = &limit{value: max(l.config.Initial, l.config.InitialPart*l.slots)}
+		k = &limit{value: max(l.config.Initial, l.config.InitialSlotRatio*l.slots)}
 		l.kinds[name] = k
 	}
 	return k
--- a/internal/decide/trees/trees_test.go
+++ b/internal/decide/trees/trees_test.go
@@ -10,27 +10,27 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/trees"
 )
 
-// circle is a closed circle of requests that each make eight calls, one after the other, to a service with few slots.
-type circle struct {
+// closedLoop is a closed circle of requests that each make eight calls, one after the other, to a service with few slots.
+type closedLoop struct {
 	limits *trees.Limits
 	slots  int
 	now    time.Time
-	// running are the requests, by when they started and how far they are.
-	running []*request
-	queue   []*request
-	busy    int
+	// active are the requests, by when they started and how far they are.
+	active []*request
+	queue  []*request
+	busy   int
 
 	done, failed, refused int
 }
 
 type request struct {
-	start   trees.Start
-	started time.Time
-	left    int
-	waited  time.Duration
-	queued  time.Time
-	ends    time.Time
-	calling bool
+	start         trees.Start
+	startedAt     time.Time
+	callsLeft     int
+	queueingDelay time.Duration
+	queuedAt      time.Time
+	endsAt        time.Time
+	calling       bool
 }
 
 const (
@@ -38,12 +38,12 @@
 	callTime = 50 * time.Millisecond
 	ownTime  = 150 * time.Millisecond
 	calls    = 8
-	// patience is how long a request may take; one that is over it has failed.
-	patience = 1200 * time.Millisecond
+	// requestTimeout is how long a request may take; one that is over it has failed.
+	requestTimeout = 1200 * time.Millisecond
 )
 
 // tick moves everything one step on, with so many new requests.
-func (c *circle) tick(arrivals int) {
+func (c *closedLoop) tick(arrivals int) {
 	c.now = c.now.Add(step)
 	for range arrivals {
 		start, ok := c.limits.Begin(c.now, trees.Offer{Kind: "sheet"})
@@ -51,45 +51,45 @@
 			c.refused++
 			continue
 		}
-		c.running = append(c.running, &request{start: start, started: c.now, left: calls, ends: c.now.Add(ownTime)})
+		c.active = append(c.active, &request{start: start, startedAt: c.now, callsLeft: calls, endsAt: c.now.Add(ownTime)})
 	}
 	var still []*request
-	for _, r := range c.running {
+	for _, r := range c.active {
 		if !c.advance(r) {
 			still = append(still, r)
 		}
 	}
-	c.running = still
+	c.active = still
 	for c.busy < c.slots && len(c.queue) > 0 {
 		r := c.queue[0]
 		c.queue = c.queue[1:]
-		r.waited += c.now.Sub(r.queued)
-		r.ends, r.calling = c.now.Add(callTime), true
+		r.queueingDelay += c.now.Sub(r.queuedAt)
+		r.endsAt, r.calling = c.now.Add(callTime), true
 		c.busy++
 	}
 }
 
 // advance reports whether the request has ended.
-func (c *circle) advance(r *request) bool {
-	if r.ends.IsZero() || c.now.Before(r.ends) {
+func (c *closedLoop) advance(r *request) bool {
+	if r.endsAt.IsZero() || c.now.Before(r.endsAt) {
 		return false
 	}
 	if r.calling {
 		c.busy--
 		r.calling = false
 	}
-	took := c.now.Sub(r.started)
-	if r.left == 0 || took > patience {
-		if took > patience {
+	took := c.now.Sub(r.startedAt)
+	if r.callsLeft == 0 || took > requestTimeout {
+		if took > requestTimeout {
 			c.failed++
 		} else {
 			c.done++
 		}
-		c.limits.End(c.now, r.start, trees.Sample{Took: took, Waited: r.waited, Calls: calls})
+		c.limits.End(c.now, r.start, trees.Sample{Duration: took, QueueingDelay: r.queueingDelay, Calls: calls})
 		return true
 	}
-	r.left--
-	r.queued, r.ends = c.now, time.Time{}
+	r.callsLeft--
+	r.queuedAt, r.endsAt = c.now, time.Time{}
 	c.queue = append(c.queue, r)
 	return false
 }
@@ -107,7 +107,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := &circle{limits: trees.NewLimits(test.config), slots: 12, now: time.Now()}
+			c := &closedLoop{limits: trees.NewLimits(test.config), slots: 12, now: time.Now()}
 			const seconds = 10
 			capacity := float64(c.slots) * float64(time.Second) / float64(calls*callTime) * seconds
 			for ms := range seconds * 1000 {
@@ -132,7 +132,7 @@
 	for range 100 {
 		start, ok := limits.Begin(now, trees.Offer{Kind: "browse"})
 		is.True(ok)
-		limits.End(now, start, trees.Sample{Took: time.Second})
+		limits.End(now, start, trees.Sample{Duration: time.Second})
 	}
 	for range 100 {
 		_, ok := limits.Begin(now, trees.Offer{Kind: "browse"})
@@ -149,7 +149,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := &circle{limits: trees.NewLimits(trees.DefaultConfig), slots: 100, now: time.Now()}
+			c := &closedLoop{limits: trees.NewLimits(trees.DefaultConfig), slots: 100, now: time.Now()}
 			every := 1000 / perSecond // milliseconds
 			run := func(d time.Duration) {
 				c.refused = 0
@@ -168,7 +168,7 @@
 			for range 100 {
 				c.now = c.now.Add(80 * time.Millisecond)
 				if start, ok := c.limits.Begin(c.now, trees.Offer{Kind: "sheet"}); ok {
-					c.limits.End(c.now, start, trees.Sample{Took: 100 * time.Millisecond, Calls: 2, Refused: true})
+					c.limits.End(c.now, start, trees.Sample{Duration: 100 * time.Millisecond, Calls: 2, Refused: true})
 				}
 			}
 			run(3 * time.Second)
@@ -189,7 +189,7 @@
 		now = now.Add(200 * time.Millisecond)
 		start, ok := limits.Begin(now, trees.Offer{Kind: "sheet"})
 		is.True(ok)
-		limits.End(now, start, trees.Sample{Took: 100 * time.Millisecond, Waited: 90 * time.Millisecond, Calls: 1})
+		limits.End(now, start, trees.Sample{Duration: 100 * time.Millisecond, QueueingDelay: 90 * time.Millisecond, Calls: 1})
 	}
 	low, _ := limits.Value("sheet")
 	is.True(low < 3)
@@ -201,7 +201,7 @@
 		}
 		ended := (len(running) + 9) / 10 // each takes 100 ms
 		for _, start := range running[:ended] {
-			limits.End(now, start, trees.Sample{Took: 100 * time.Millisecond, Calls: 1})
+			limits.End(now, start, trees.Sample{Duration: 100 * time.Millisecond, Calls: 1})
 		}
 		running = running[ended:]
 	}
@@ -223,7 +223,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			config := trees.DefaultConfig
-			config.Initial, config.SpilledPart = 20, 0.8
+			config.Initial, config.SpilledRatio = 20, 0.8
 			limits := trees.NewLimits(config)
 			now := time.Now()
 			for range test.own {
--- a/internal/lab/capacity/bench_test.go
+++ b/internal/lab/capacity/bench_test.go
@@ -85,7 +85,7 @@
 func BenchmarkSince(b *testing.B) {
 	store := membership.NewRecords()
 	store.Merge(plannedRecords(2)...)
-	last := store.Last()
+	last := store.LastChange()
 	b.ReportAllocs()
 	for b.Loop() {
 		store.Since(last, 1<<20, nil)
--- a/internal/process/local/local.go
+++ b/internal/process/local/local.go
@@ -26,7 +26,7 @@
 	Board    *board.Loop
 	Gate     *backend.Gate
 	Client   *backend.Client
-	Presence *backend.Presence
+	Presence *backend.Liveness
 	Log      *events.Log
 }
 
@@ -35,7 +35,7 @@
 	config Config
 
 	mu   sync.Mutex
-	held announcement.Order
+	held announcement.Position
 }
 
 // New returns a server that has not announced itself.
@@ -51,9 +51,9 @@
 		})
 		return
 	}
-	s.config.Presence.Announced()
+	s.config.Presence.RecordAnnouncement()
 	s.config.Gate.Announce(a.Slots, a.Connections)
-	s.config.Client.SetConnections(a.Connections)
+	s.config.Client.SetMaxConnections(a.Connections)
 	before := s.config.Board.Snapshot().Backend
 	s.config.Board.Do(ctx, func(b *board.Board) {
 		b.Backend = board.Backend{
@@ -82,10 +82,10 @@
 
 // isLate reports whether a later announcement is known, and remembers the announcement where none is.
 func (s *Server) isLate(a backend.Announcement) bool {
-	next := announcement.Order{Instance: a.Instance, Started: a.Started, Sequence: a.Sequence}
+	next := announcement.Position{Instance: a.Instance, Started: a.Started, Sequence: a.Sequence}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if announcement.IsLate(s.held, next) {
+	if announcement.IsStale(s.held, next) {
 		return true
 	}
 	s.held = next
@@ -112,7 +112,7 @@
 func (s *Server) Watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if seen := s.config.Board.Snapshot().Backend; seen.Service != "" {
-			s.note(ctx, s.config.Presence.Look(ctx, seen.Address))
+			s.note(ctx, s.config.Presence.Check(ctx, seen.Address))
 		}
 		pause.For(ctx, lookEvery)
 	}
--- a/internal/process/node/defaults.go
+++ b/internal/process/node/defaults.go
@@ -31,7 +31,7 @@
 func keyTable(s *settings.Settings) outcome.TableConfig {
 	return outcome.TableConfig{
 		Window:   s.Keys.Window,
-		Ahead:    keyAhead,
+		MaxAhead: keyAhead,
 		MaxKeys:  s.Keys.MaxKeys,
 		MaxBytes: s.Keys.MaxBytes,
 	}
@@ -44,7 +44,7 @@
 	return timing
 }
 
-var retryBudget = retry.BudgetConfig{PerSuccess: 0.1, Max: 20}
+var retryBudget = retry.BudgetConfig{EarnRatio: 0.1, Max: 20}
 
 func platformConfig(s *settings.Settings) platform.Config {
 	return platform.Config{URL: s.Platform.URL, Timeout: s.Platform.Timeout, LocalIP: s.Peer.IP()}
--- a/internal/process/node/defaults_test.go
+++ b/internal/process/node/defaults_test.go
@@ -17,7 +17,7 @@
 	flags := flag.NewFlagSet("node", flag.ContinueOnError)
 	s := settings.Register(flags)
 	is.NoErr(s.Parse(flags, []string{"-keys.window", "5m", "-keys.max_keys", "2000", "-keys.max_bytes", "3000000"}))
-	want := outcome.TableConfig{Window: 5 * time.Minute, Ahead: keyAhead, MaxKeys: 2000, MaxBytes: 3_000_000}
+	want := outcome.TableConfig{Window: 5 * time.Minute, MaxAhead: keyAhead, MaxKeys: 2000, MaxBytes: 3_000_000}
 	is.Equal(keyTable(s), want)
 	is.Equal(homesTiming(s).Window, want.Window)
 }
--- a/internal/process/node/drain.go
+++ b/internal/process/node/drain.go
@@ -70,7 +70,7 @@
 	n.work.closing.Store(true)
 	n.loop.Do(ctx, func(b *board.Board) {
 		b.Self.Draining, b.Self.Leaving = true, true
-		if successor, ok := flow.Successor(b); ok {
+		if successor, ok := flow.ChooseSuccessor(b); ok {
 			b.Self.Successor = successor.Node
 		}
 	})
@@ -88,7 +88,7 @@
 		b := n.loop.Snapshot()
 		successor, ok := b.Members.ByNode[b.Self.Successor]
 		if !ok {
-			successor, ok = flow.Successor(b)
+			successor, ok = flow.ChooseSuccessor(b)
 		}
 		if !ok {
 			return
@@ -96,11 +96,11 @@
 		keys, result := n.home.HandOver(ctx, n.peers, successor)
 		fields := events.Fields{"successor": successor.Node, "keys": keys}
 		switch result {
-		case flow.HandoverTaken:
+		case flow.HandoverAccepted:
 			n.config.Log.Emit(events.KeysHandedOver, fields)
 			pause.For(ctx, handoverSettle)
 			return
-		case flow.HandoverUnclear:
+		case flow.HandoverUnknown:
 			n.config.Log.Emit(events.KeysLost, fields)
 			return
 		}
@@ -112,7 +112,7 @@
 func (n *Node) chooseSuccessor(ctx context.Context, refused string) {
 	n.loop.Do(ctx, func(b *board.Board) {
 		b.Self.Successor = ""
-		if next, ok := flow.Successor(b); ok && next.Node != refused {
+		if next, ok := flow.ChooseSuccessor(b); ok && next.Node != refused {
 			b.Self.Successor = next.Node
 		}
 	})
--- a/internal/process/node/health.go
+++ b/internal/process/node/health.go
@@ -50,6 +50,6 @@
 		State:              state.State(),
 		QueuedByRank:       byRank[:],
 		Control:            n.controller.Stats(ctx),
-		ControlConnections: n.controlPool.Open(),
+		ControlConnections: n.controlPool.OpenCounts(),
 	}
 }
--- a/internal/process/node/metrics.go
+++ b/internal/process/node/metrics.go
@@ -40,8 +40,8 @@
 		metrics.Wasted:             int64(received.Wasted),
 		metrics.WastedTime:         int64(received.WastedMicros),
 		metrics.Quarantined:        int64(len(n.quarantine.Entries())),
-		metrics.TrafficConnections: count(n.pool.Open()),
-		metrics.ControlConnections: count(n.controlPool.Open()),
+		metrics.TrafficConnections: count(n.pool.OpenCounts()),
+		metrics.ControlConnections: count(n.controlPool.OpenCounts()),
 	}
 }
 
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -63,7 +63,7 @@
 	controller  *zone.Controller
 	platform    *platform.Client
 	chains      *call.Chains
-	home        *flow.Home
+	home        *flow.KeyOwner
 	homes       *homes.Controller
 	keyed       *flow.KeyedSender
 	peers       *peer.Client
@@ -96,8 +96,8 @@
 // buildReceiver puts together what runs requests on the local backend server.
 func (n *Node) buildReceiver(s *settings.Settings) {
 	n.gate = backend.NewGate(parts.GateConfig(s))
-	presence := backend.NewPresence()
-	n.client = backend.NewClient(backend.ClientConfig{MaxBody: s.Caller.MaxBody, Presence: presence}, n.chains)
+	presence := backend.NewLiveness()
+	n.client = backend.NewClient(backend.ClientConfig{MaxBody: s.Caller.MaxBody, Liveness: presence}, n.chains)
 	n.local = local.New(local.Config{Board: n.loop, Gate: n.gate, Client: n.client, Presence: presence, Log: n.config.Log})
 	n.pool = peer.NewPool(parts.PoolConfig(s))
 	n.controlPool = peer.NewPool(parts.PoolConfig(s))
@@ -109,29 +109,29 @@
 		Log:   n.config.Log,
 	})
 	n.receiver = flow.NewReceiver(flow.ReceiverConfig{
-		Board:      n.loop,
-		Gate:       n.gate,
-		Backend:    n.client,
-		Quarantine: n.quarantine,
-		TurnsAgain: true,
-		Events:     n.limiter,
-		Requests:   n.limiter,
+		Board:       n.loop,
+		Gate:        n.gate,
+		Backend:     n.client,
+		Quarantine:  n.quarantine,
+		RequeueShed: true,
+		Events:      n.limiter,
+		Requests:    n.limiter,
 	})
 }
 
 // buildSender puts together what decides about keys and sends requests to instances.
 func (n *Node) buildSender(s *settings.Settings, self outcome.Node) {
 	budgets := flow.NewBudgets(retryBudget)
-	n.home = flow.NewHome(flow.HomeConfig{
-		Board:    n.loop,
-		Self:     self,
-		Zones:    s.Node.ZoneList(),
-		Local:    n.receiver,
-		Delegate: func(ctx context.Context, r *call.Request) call.Reply { return n.sender.Delegate(ctx, r) },
-		Ask:      n.ask,
-		Budgets:  budgets,
-		Load:     n.gate.Load,
-		Table:    keyTable(s),
+	n.home = flow.NewKeyOwner(flow.KeyOwnerConfig{
+		Board:     n.loop,
+		Self:      self,
+		Zones:     s.Node.ZoneList(),
+		Local:     n.receiver,
+		Delegate:  func(ctx context.Context, r *call.Request) call.Reply { return n.sender.Delegate(ctx, r) },
+		ResolveAt: n.ask,
+		Budgets:   budgets,
+		Load:      n.gate.Load,
+		Table:     keyTable(s),
 	})
 	n.sender = flow.NewSender(flow.SenderConfig{
 		Board:    n.loop,
@@ -143,7 +143,7 @@
 		Events:   n.limiter,
 		Requests: n.limiter,
 	})
-	n.keyed = flow.NewKeyedSender(flow.KeyedConfig{
+	n.keyed = flow.NewKeyedSender(flow.KeyedSenderConfig{
 		Board:  n.loop,
 		Sender: n.sender,
 		Zones:  s.Node.ZoneList(),
@@ -284,7 +284,7 @@
 		n.config.Log.Emit(events.NodeFailed, events.Fields{"error": err.Error()})
 		return
 	}
-	handler := peer.SealHandler(parts.CountRPCs(&n.work.inFlight, mux), nil)
+	handler := peer.NewHandler(parts.CountRPCs(&n.work.inFlight, mux), nil)
 	server := drpcserver.NewWithOptions(handler, parts.PeerServerOptions(n.config.Settings, n.limiter))
 	_ = server.Serve(ctx, n.listeners.peer)
 }
@@ -338,7 +338,7 @@
 			return false
 		}
 		for _, m := range shard.Last().Members {
-			if !flow.KnowsHome(b, m.Node) {
+			if !flow.KnowsOwner(b, m.Node) {
 				return false
 			}
 		}
@@ -347,6 +347,6 @@
 }
 
 // ask asks another node about an attempt or a key.
-func (n *Node) ask(ctx context.Context, address string, q peer.Question) (peer.Resolution, error) {
+func (n *Node) ask(ctx context.Context, address string, q peer.ResolveQuery) (peer.Resolution, error) {
 	return n.peers.Resolve(ctx, address, q, controlTimeout)
 }
--- a/internal/process/node/table.go
+++ b/internal/process/node/table.go
@@ -150,10 +150,10 @@
 	for _, node := range slices.Sorted(maps.Keys(d.Sender.Instances)) {
 		i := d.Sender.Instances[node]
 		if e := i.Ejection; e.Reason != "" {
-			t.Row(node, e.Reason, fmt.Sprintf("%d failures, last %s", e.Failures, e.LastFailure), ago(now, e.At), milliseconds(i.EjectedLeft))
+			t.Row(node, e.Reason, fmt.Sprintf("%d failures, last %s", e.Failures, e.LastFailure), ago(now, e.At), milliseconds(i.EjectionRemaining))
 		}
 		if e := i.LastShed; e.Reason != "" {
-			t.Row(node, e.Reason, fmt.Sprintf("rank %d, %s", i.SheddingRank, e.Told), ago(now, e.At), milliseconds(i.ShedLeft))
+			t.Row(node, e.Reason, fmt.Sprintf("rank %d, %s", i.SheddingRank, e.InstanceReason), ago(now, e.At), milliseconds(i.ShedRemaining))
 		}
 	}
 }
@@ -172,7 +172,7 @@
 	for _, node := range slices.Sorted(maps.Keys(d.Sender.Instances)) {
 		i := d.Sender.Instances[node]
 		t.Row(node, i.InFlight, milliseconds(i.Latency), fmt.Sprintf("%.2f", i.ErrorRate), i.Limit, i.Failures,
-			milliseconds(i.EjectedLeft), i.SheddingRank, milliseconds(i.ShedLeft))
+			milliseconds(i.EjectionRemaining), i.SheddingRank, milliseconds(i.ShedRemaining))
 	}
 }
 
@@ -206,7 +206,7 @@
 
 // stateOf returns the member's state as the table shows it.
 func stateOf(m membership.Member) string {
-	if m.State == membership.Up && m.Lost {
+	if m.State == membership.Up && m.BackendLost {
 		return "backend lost"
 	}
 	return string(m.State)
--- a/internal/process/parts/state.go
+++ b/internal/process/parts/state.go
@@ -46,7 +46,7 @@
 		Gate:        s.Gate.Stats(),
 		Receiver:    s.Receiver.Stats(),
 		Sender:      s.Sender.Stats(time.Now()),
-		Connections: s.Pool.Open(),
+		Connections: s.Pool.OpenCounts(),
 		Quarantine:  s.Quarantine.Entries(),
 	}
 }
--- a/internal/process/routed/routed.go
+++ b/internal/process/routed/routed.go
@@ -83,13 +83,13 @@
 	gate     *backend.Gate
 	pool     *peer.Pool
 	peers    *peer.Client
-	packer   *peer.Packer
+	packer   *peer.Compressor
 	local    *local.Server
 	receiver *flow.Receiver
-	fenced   *flow.Fenced
+	fenced   *flow.FencedRunner
 	sender   *flow.Sender
 	chains   *call.Chains
-	reach    *flow.Reach
+	reach    *flow.ReachabilityMonitor
 	members  *members.Controller
 	routes   *routesFollower
 	// quarantine keeps away requests that crash backend servers.
@@ -117,15 +117,15 @@
 const fleetRetries = 36
 
 // retryBudget is that of one node for one service.
-var retryBudget = retry.BudgetConfig{PerSuccess: 0.05, Max: 3}
+var retryBudget = retry.BudgetConfig{EarnRatio: 0.05, Max: 3}
 
 // turnBudget bounds the further turns of what a backend server shed, as a part of the requests for it.
-var turnBudget = retry.BudgetConfig{PerSuccess: 0.08, Max: 4}
+var turnBudget = retry.BudgetConfig{EarnRatio: 0.08, Max: 4}
 
 // New builds a node without starting it.
 func New(config Config) (*Node, error) {
 	s := config.Settings
-	packer, err := peer.NewPacker(config.Adapter.CommonWords...)
+	packer, err := peer.NewCompressor(config.Adapter.CommonWords...)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -154,17 +154,17 @@
 }
 
 func (n *Node) buildReceiver(s *settings.Settings, incarnation uint64) {
-	presence := backend.NewPresence()
+	presence := backend.NewLiveness()
 	gate := parts.GateConfig(s)
 	gate.Limit.Fixed = true
 	n.gate = backend.NewGate(gate)
 	pool := parts.PoolConfig(s)
-	pool.Packer = n.packer
+	pool.Compressor = n.packer
 	n.pool = peer.NewPool(pool)
 	n.peers = peer.NewClient(n.pool, s.Node.Name)
 	client := backend.NewClient(backend.ClientConfig{
 		MaxBody:  s.Caller.MaxBody,
-		Presence: presence,
+		Liveness: presence,
 		Headers:  n.config.Adapter.BackendHeaders,
 	}, n.chains)
 	n.local = local.New(local.Config{Board: n.loop, Gate: n.gate, Client: client, Presence: presence, Log: n.config.Log})
@@ -175,40 +175,40 @@
 		Log:   n.config.Log,
 	})
 	n.receiver = flow.NewReceiver(flow.ReceiverConfig{
-		Board:      n.loop,
-		Gate:       n.gate,
-		Backend:    client,
-		Quarantine: n.quarantine,
-		Trees:      flow.NewTrees(trees.DefaultConfig),
-		TurnsAgain: true,
-		TurnBudget: &turnBudget,
-		Events:     n.limiter,
-		Requests:   n.requests,
+		Board:          n.loop,
+		Gate:           n.gate,
+		Backend:        client,
+		Quarantine:     n.quarantine,
+		CallTreeLimits: flow.NewCallTreeLimits(trees.DefaultConfig),
+		RequeueShed:    true,
+		RequeueBudget:  &turnBudget,
+		Events:         n.limiter,
+		Requests:       n.requests,
 	})
-	n.fenced = flow.NewFenced(n.receiver, incarnation)
+	n.fenced = flow.NewFencedRunner(n.receiver, incarnation)
 }
 
 // throttleConfig returns how root requests are refused at the entry. The nodes beside the backend servers bound them by what
 // their calls wait, and see more of them than one entry does.
 func throttleConfig() throttle.Config {
 	config := throttle.DefaultConfig
-	config.FewRequests = 0
+	config.LowRateRequests = 0
 	return config
 }
 
 func (n *Node) buildSender(s *settings.Settings) {
-	n.reach = flow.NewReach(flow.ReachConfig{Board: n.loop, Peers: n.peers, Log: n.limiter})
+	n.reach = flow.NewReachabilityMonitor(flow.ReachabilityMonitorConfig{Board: n.loop, Peers: n.peers, Log: n.limiter})
 	n.sender = flow.NewSender(flow.SenderConfig{
-		Board:       n.loop,
-		Peers:       n.peers,
-		Receiver:    n.fenced,
-		Budgets:     flow.NewBudgets(retryBudget),
-		Routing:     routing.DefaultConfig(s.Node.Name, s.Node.Zone),
-		Throttle:    throttleConfig(),
-		MaxRefusals: maxRefusals,
-		Reach:       n.reach,
+		Board:        n.loop,
+		Peers:        n.peers,
+		Receiver:     n.fenced,
+		Budgets:      flow.NewBudgets(retryBudget),
+		Routing:      routing.DefaultConfig(s.Node.Name, s.Node.Zone),
+		Throttle:     throttleConfig(),
+		MaxRefusals:  maxRefusals,
+		Reachability: n.reach,
 
-		FleetRetries: fleetRetries,
+		MaxFleetRetries: fleetRetries,
 
 		Events:   n.limiter,
 		Requests: n.requests,
--- a/internal/process/routed/serve.go
+++ b/internal/process/routed/serve.go
@@ -105,7 +105,7 @@
 		n.config.Log.Emit(events.NodeFailed, events.Fields{"error": err.Error()})
 		return
 	}
-	handler := peer.SealHandler(parts.CountRPCs(&n.work.rpcs, mux), n.packer)
+	handler := peer.NewHandler(parts.CountRPCs(&n.work.rpcs, mux), n.packer)
 	server := drpcserver.NewWithOptions(handler, parts.PeerServerOptions(n.config.Settings, n.limiter))
 	_ = server.Serve(ctx, n.listeners.peer)
 }
--- a/internal/proof/control/reasons_test.go
+++ b/internal/proof/control/reasons_test.go
@@ -45,15 +45,17 @@
 		is.Equal(d.Gate.Sheds[0].ByReason, nil) // nothing urgent was sent
 		is.True(strings.Contains(table(t, d), "\nLIMIT"))
 	}
-	is.True(slices.ContainsFunc(all, func(d node.Dump) bool { return strings.Contains(table(t, d), string(throttle.RefusedRate)) }))
+	is.True(slices.ContainsFunc(all, func(d node.Dump) bool { return strings.Contains(table(t, d), string(throttle.RefusedAboveRate)) }))
 	is.True(slices.ContainsFunc(all, func(d node.Dump) bool { return strings.Contains(table(t, d), string(admission.ShedOverload)) }))
 
 	harness.Eventually(t, healWithin, func() bool {
 		post(t, f.Nodes[0].Caller, "/call/access/bookings", poison)
 		all = dumps(t, f)
-		return slices.ContainsFunc(all, func(d node.Dump) bool { return hasCrash(d, quarantine.SeenHere) && hasCrash(d, quarantine.Told) })
+		return slices.ContainsFunc(all, func(d node.Dump) bool {
+			return hasCrash(d, quarantine.ObservedLocally) && hasCrash(d, quarantine.Reported)
+		})
 	})
-	for _, text := range []string{string(quarantine.Quarantined), string(quarantine.SeenHere), string(quarantine.Told)} {
+	for _, text := range []string{string(quarantine.Quarantined), string(quarantine.ObservedLocally), string(quarantine.Reported)} {
 		is.True(slices.ContainsFunc(all, func(d node.Dump) bool { return strings.Contains(table(t, d), text) }))
 	}
 }
@@ -71,7 +73,7 @@
 // refusedHere reports whether the node's entry says that it refused requests of the kind.
 func refusedHere(d node.Dump, kind string) bool {
 	for _, s := range d.Sender.Throttles {
-		if s.Kind == kind && s.LastHere.Reason == throttle.RefusedRate && !s.LastBelow.IsZero() {
+		if s.Kind == kind && s.LastHere.Reason == throttle.RefusedAboveRate && !s.LastBelow.IsZero() {
 			return true
 		}
 	}
--- a/internal/proof/once/outcome_test.go
+++ b/internal/proof/once/outcome_test.go
@@ -42,7 +42,7 @@
 	for {
 		key := uuid.Must(uuid.NewV7()).String()
 		shard := dump.Board.Homes.Shards[outcome.ShardOf(zones, key)]
-		if home, ok := shard.Home("bookings", key, time.Now().UnixMilli()); ok && home.Name != n.Name {
+		if home, ok := shard.Owner("bookings", key, time.Now().UnixMilli()); ok && home.Name != n.Name {
 			return key, home.Name
 		}
 	}
--- a/internal/proof/once/zone_test.go
+++ b/internal/proof/once/zone_test.go
@@ -76,9 +76,9 @@
 	harness.Eventually(t, 10*time.Second, func() bool {
 		s := book(f.Nodes[0], "", "a wash")
 		told, _ = outcome.ParseKey(s.Key)
-		return s.Outcome == "ran" && zones[told.Home.Name] == f.Nodes[0].Zone
+		return s.Outcome == "ran" && zones[told.Owner.Name] == f.Nodes[0].Zone
 	})
-	key := outcome.Mint(told.Home, uuid.Must(uuid.NewV7()))
+	key := outcome.Mint(told.Owner, uuid.Must(uuid.NewV7()))
 	for _, n := range f.Nodes {
 		s := book(n, key, "another wash")
 		if n.Zone == f.Nodes[0].Zone {
@@ -104,5 +104,5 @@
 			within++
 		}
 	}
-	return within * (len(f.Nodes) - within) * routing.DefaultConfig("", "").Failures
+	return within * (len(f.Nodes) - within) * routing.DefaultConfig("", "").FailuresToEject
 }
--- a/internal/proof/recovery/recovery_test.go
+++ b/internal/proof/recovery/recovery_test.go
@@ -159,7 +159,7 @@
 			t.Errorf("dump of %s: %v", n.Name, err)
 		}
 		for _, i := range dump.Sender.Instances {
-			if i.EjectedLeft > 0 {
+			if i.EjectionRemaining > 0 {
 				return true
 			}
 		}
@@ -235,7 +235,7 @@
 		is.Equal(len(dump.Quarantine), 0) // slow work and failures are no crashes
 		is.Equal(n.Server.Busy(), 0)
 		for name, i := range dump.Sender.Instances {
-			if i.EjectedLeft > 0 || i.ShedLeft > 0 || i.InFlight > 0 {
+			if i.EjectionRemaining > 0 || i.ShedRemaining > 0 || i.InFlight > 0 {
 				t.Errorf("%s still holds against %s: %+v", n.Name, name, i)
 			}
 		}
--- a/internal/traffic/backend/client.go
+++ b/internal/traffic/backend/client.go
@@ -59,8 +59,8 @@
 	Headers Headers
 	// MaxBody bounds the body of an answer, in bytes.
 	MaxBody int64
-	// Presence learns whether the backend server answers or refuses connections; nil for nobody.
-	Presence *Presence
+	// Liveness learns whether the backend server answers or refuses connections; nil for nobody.
+	Liveness *Liveness
 }
 
 // Client runs requests on the local backend server.
@@ -70,8 +70,8 @@
 	transport transport
 	tokens    atomic.Uint64
 
-	mu          sync.Mutex
-	connections int
+	mu             sync.Mutex
+	maxConnections int
 }
 
 // NewClient returns a client that enters each running request in chains.
@@ -80,37 +80,37 @@
 		config.Headers = DefaultHeaders
 	}
 	c := &Client{config: config, chains: chains}
-	c.SetConnections(defaultConnections)
+	c.SetMaxConnections(defaultMaxConnections)
 	return c
 }
 
-// defaultConnections holds until the backend server has announced how many it gives.
-const defaultConnections = 64
+// defaultMaxConnections holds until the backend server has announced how many it gives.
+const defaultMaxConnections = 64
 
-// SetConnections bounds the connections to the backend server.
-func (c *Client) SetConnections(connections int) {
+// SetMaxConnections bounds the connections to the backend server.
+func (c *Client) SetMaxConnections(connections int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if connections <= 0 || connections == c.connections {
+	if connections <= 0 || connections == c.maxConnections {
 		return
 	}
-	c.connections = connections
-	c.transport.setMost(connections)
+	c.maxConnections = connections
+	c.transport.setLimit(connections)
 }
 
 // Result is what running a request told about the backend server.
 type Result struct {
 	Reply call.Reply
-	// Took is the time without the calls down the chain.
-	Took time.Duration
-	// Held is the whole time for which the request held its slot.
-	Held time.Duration
+	// ServiceTime is the time without the calls down the chain.
+	ServiceTime time.Duration
+	// HoldTime is the whole time for which the request held its slot.
+	HoldTime time.Duration
 	// Overloaded says that the backend server itself shed the request. A 503 after calls down the chain isn't its own.
 	Overloaded bool
-	// Broken says that the connection broke after the request was sent.
-	Broken bool
-	// Below is what the calls that the backend server made for the request came to.
-	Below call.Below
+	// ConnectionBroken says that the connection broke after the request was sent.
+	ConnectionBroken bool
+	// Downstream is what the calls that the backend server made for the request came to.
+	Downstream call.Below
 }
 
 // Target is the backend server that is to run a request.
@@ -128,15 +128,15 @@
 	start := time.Now()
 	reply, err := c.exchange(ctx, target, r, token)
 	end := time.Now()
-	below := chain.ChildTime(end)
-	result := Result{Reply: reply, Took: end.Sub(start) - below, Held: end.Sub(start), Below: chain.Below(end)}
+	childTime := chain.ChildTime(end)
+	result := Result{Reply: reply, ServiceTime: end.Sub(start) - childTime, HoldTime: end.Sub(start), Downstream: chain.Below(end)}
 	if err != nil {
 		result.Reply = failedReply(ctx, err)
-		result.Broken = ctx.Err() == nil && err.sent && !errors.Is(err.cause, errAnswerTooLarge)
+		result.ConnectionBroken = ctx.Err() == nil && err.sent && !errors.Is(err.cause, errResponseTooLarge)
 	}
-	result.Overloaded = err == nil && isOverloaded(&result.Reply) && below == 0
+	result.Overloaded = err == nil && isOverloaded(&result.Reply) && childTime == 0
 	chain.Settle(&result.Reply)
-	result.Reply.Waited, result.Reply.FarBytes = result.Below.Waited, result.Below.FarBytes
+	result.Reply.Waited, result.Reply.FarBytes = result.Downstream.Waited, result.Downstream.FarBytes
 	return result
 }
 
@@ -160,8 +160,8 @@
 	errUnsigned = errors.New("the answer bears no signature")
 )
 
-// errAnswerTooLarge says that the backend server ran the request, but that its answer can't be passed on.
-var errAnswerTooLarge = errors.New("answer is too large")
+// errResponseTooLarge says that the backend server ran the request, but that its answer can't be passed on.
+var errResponseTooLarge = errors.New("answer is too large")
 
 // exchangeError is a failed exchange with the backend server.
 type exchangeError struct {
@@ -179,88 +179,88 @@
 	if err != nil {
 		return call.Reply{}, &exchangeError{cause: err}
 	}
-	kept, err := c.transport.take(ctx, target.Address)
+	conn, err := c.transport.get(ctx, target.Address)
 	if err != nil {
-		c.config.Presence.noteError(ctx, err)
+		c.config.Liveness.recordError(ctx, err)
 		return call.Reply{}, &exchangeError{cause: err}
 	}
-	release := context.AfterFunc(ctx, func() { _ = kept.SetDeadline(time.Now()) })
-	reply, response, err := c.converse(kept, request, r)
-	inTime := release()
+	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Now()) })
+	reply, response, err := c.roundTrip(conn, request, r)
+	notCanceled := stop()
 	if err != nil {
-		_ = kept.Close()
+		_ = conn.Close()
 		if response == nil {
-			c.config.Presence.noteError(ctx, err)
+			c.config.Liveness.recordError(ctx, err)
 		}
 		return call.Reply{}, &exchangeError{sent: true, cause: err}
 	}
-	if inTime && kept.mayServe(time.Now(), response) {
-		c.transport.put(target.Address, kept)
+	if notCanceled && conn.prepareReuse(time.Now(), response) {
+		c.transport.put(target.Address, conn)
 	} else {
-		_ = kept.Close()
+		_ = conn.Close()
 	}
 	return reply, nil
 }
 
-// maxStray is how many answers to earlier requests are passed over.
-const maxStray = 2
+// maxStaleResponses is how many answers to earlier requests are passed over.
+const maxStaleResponses = 2
 
-// converse sends the request on the connection and returns the answer, with its head where one came. An answer that comes late, to a
+// roundTrip sends the request on the connection and returns the answer, with its head where one came. An answer that comes late, to a
 // request before, is passed over.
-func (c *Client) converse(kept *keptConn, request *http.Request, r *call.Request) (call.Reply, *http.Response, error) {
-	if err := kept.send(&c.transport, request); err != nil {
+func (c *Client) roundTrip(conn *persistentConn, request *http.Request, r *call.Request) (call.Reply, *http.Response, error) {
+	if err := conn.send(&c.transport, request); err != nil {
 		return call.Reply{}, nil, err
 	}
-	for strays := 0; ; strays++ {
-		response, err := kept.receive(request)
+	for staleCount := 0; ; staleCount++ {
+		response, err := conn.receive(request)
 		if err != nil {
 			return call.Reply{}, nil, err
 		}
-		c.config.Presence.noteAnswer()
+		c.config.Liveness.recordResponse()
 		body, err := c.readBody(response)
-		isStray := c.isOthers(r, response)
+		isStale := c.isForOtherRequest(r, response)
 		switch {
-		case isStray && err == nil && kept.used && strays < maxStray:
+		case isStale && err == nil && conn.served && staleCount < maxStaleResponses:
 			continue
-		case isStray:
+		case isStale:
 			err = errOtherRequest
 		case err == nil:
-			err = c.checkSigned(response)
+			err = c.checkSignature(response)
 		}
 		if err != nil {
 			return call.Reply{}, response, err
 		}
-		return c.reply(response, body), response, nil
+		return c.toReply(response, body), response, nil
 	}
 }
 
 func (c *Client) readBody(response *http.Response) ([]byte, error) {
 	defer func() { _ = response.Body.Close() }()
 	if response.ContentLength > c.config.MaxBody {
-		return nil, errAnswerTooLarge
+		return nil, errResponseTooLarge
 	}
 	body, err := ReadBody(response.Body, response.ContentLength, c.config.MaxBody+1)
 	if err == nil && int64(len(body)) > c.config.MaxBody {
-		err = errAnswerTooLarge
+		err = errResponseTooLarge
 	}
 	return body, err
 }
 
 // ReadBody reads a body of the length, or of up to the most bytes where the length isn't known, which is then below 0.
-func ReadBody(body io.Reader, length, most int64) ([]byte, error) {
+func ReadBody(body io.Reader, length, limit int64) ([]byte, error) {
 	if length < 0 {
-		return io.ReadAll(io.LimitReader(body, most))
+		return io.ReadAll(io.LimitReader(body, limit))
 	}
-	whole := make([]byte, min(length, most))
-	_, err := io.ReadFull(body, whole)
-	return whole, err
+	content := make([]byte, min(length, limit))
+	_, err := io.ReadFull(body, content)
+	return content, err
 }
 
-func (c *Client) reply(response *http.Response, body []byte) call.Reply {
+func (c *Client) toReply(response *http.Response, body []byte) call.Reply {
 	if c.isNotRun(response) {
 		return call.Refused(call.NotRun, notRunReason(response.StatusCode), 0)
 	}
-	return call.Reply{Outcome: call.Ran, Status: response.StatusCode, Header: keepEndToEnd(response.Header), Body: body}
+	return call.Reply{Outcome: call.Ran, Status: response.StatusCode, Header: removeHopByHop(response.Header), Body: body}
 }
 
 func (c *Client) newRequest(ctx context.Context, target Target, r *call.Request, token string) (*http.Request, error) {
@@ -276,14 +276,14 @@
 	return request, nil
 }
 
-// isOthers reports whether the answer belongs to another request.
-func (c *Client) isOthers(r *call.Request, response *http.Response) bool {
+// isForOtherRequest reports whether the answer belongs to another request.
+func (c *Client) isForOtherRequest(r *call.Request, response *http.Response) bool {
 	name := c.config.Headers.RequestID
 	return name != "" && response.Header.Get(name) != "" && response.Header.Get(name) != r.Header.Get(name)
 }
 
-// checkSigned finds successes that the backend server didn't make.
-func (c *Client) checkSigned(response *http.Response) error {
+// checkSignature finds successes that the backend server didn't make.
+func (c *Client) checkSignature(response *http.Response) error {
 	succeeded := response.StatusCode >= http.StatusOK && response.StatusCode < http.StatusMultipleChoices
 	if name := c.config.Headers.Signature; name != "" && succeeded && response.Header.Get(name) == "" {
 		return errUnsigned
@@ -311,21 +311,21 @@
 	for name, values := range r.Header {
 		request.Header[name] = values
 	}
-	keepEndToEnd(request.Header)
+	removeHopByHop(request.Header)
 	if host := request.Header.Get(hostHeader); host != "" {
 		request.Host = host
 		request.Header.Del(hostHeader)
 	}
 	names := c.config.Headers
-	set(request, names.Chain, token)
-	set(request, names.TimeLeft, strconv.FormatInt(max(time.Until(r.Deadline).Milliseconds(), 1), 10))
-	set(request, names.Rank, strconv.Itoa(r.Root.Rank))
-	set(request, names.Key, r.Key)
-	set(request, names.Instance, target.Instance)
+	setHeader(request, names.Chain, token)
+	setHeader(request, names.TimeLeft, strconv.FormatInt(max(time.Until(r.Deadline).Milliseconds(), 1), 10))
+	setHeader(request, names.Rank, strconv.Itoa(r.Root.Rank))
+	setHeader(request, names.Key, r.Key)
+	setHeader(request, names.Instance, target.Instance)
 }
 
-// set sets a header that has a name and a value.
-func set(request *http.Request, name, value string) {
+// setHeader sets a header that has a name and a value.
+func setHeader(request *http.Request, name, value string) {
 	if name != "" && value != "" {
 		request.Header.Set(name, value)
 	}
@@ -341,7 +341,7 @@
 
 func failureReason(ctx context.Context, err *exchangeError) call.Reason {
 	switch {
-	case errors.Is(err.cause, errAnswerTooLarge):
+	case errors.Is(err.cause, errResponseTooLarge):
 		return call.ReasonAnswerTooLarge
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return call.ReasonDeadline
@@ -359,15 +359,15 @@
 
 // EndToEnd returns a copy of the headers without those that concern one connection only.
 func EndToEnd(h http.Header) http.Header {
-	kept := h.Clone()
-	if kept == nil {
-		kept = http.Header{}
+	result := h.Clone()
+	if result == nil {
+		result = http.Header{}
 	}
-	return keepEndToEnd(kept)
+	return removeHopByHop(result)
 }
 
-// keepEndToEnd takes out the headers that concern one connection only: known ones, and those that Connection names.
-func keepEndToEnd(h http.Header) http.Header {
+// removeHopByHop takes out the headers that concern one connection only: known ones, and those that Connection names.
+func removeHopByHop(h http.Header) http.Header {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			h.Del(strings.TrimSpace(name))
--- a/internal/traffic/backend/client_test.go
+++ b/internal/traffic/backend/client_test.go
@@ -52,7 +52,7 @@
 			r.Header = http.Header{"Break": {"1"}}
 			second := client.Run(t.Context(), backend.Target{Address: address}, r)
 			is.Equal(second.Reply.Outcome, call.Unknown)
-			is.True(second.Broken)
+			is.True(second.ConnectionBroken)
 			is.Equal(received.Load(), int32(1)) // how often the backend server got the request
 		})
 	}
@@ -68,7 +68,7 @@
 	result := newClient().Run(t.Context(), backend.Target{Address: strings.TrimPrefix(server.URL, "http://")}, newRequest(http.MethodGet, "", ""))
 	is.Equal(result.Reply.Reason, call.ReasonAnswerTooLarge)
 	is.Equal(result.Reply.Outcome, call.Unknown) // it ran, but the answer is lost
-	is.True(!result.Broken)
+	is.True(!result.ConnectionBroken)
 }
 
 func TestCancellationReachesBackend(t *testing.T) {
@@ -103,7 +103,7 @@
 	defer server.Close()
 	client, address := newClient(), strings.TrimPrefix(server.URL, "http://")
 	for connections := range 5 {
-		client.SetConnections(connections + 1)
+		client.SetMaxConnections(connections + 1)
 		is.Equal(client.Run(t.Context(), backend.Target{Address: address}, newRequest(http.MethodGet, "", "")).Reply.Status, http.StatusOK)
 	}
 	harness.Eventually(t, 10*time.Second, func() bool { return open.Load() == 1 })
@@ -127,7 +127,7 @@
 	server.Start()
 	defer server.Close()
 	client, address := newClient(), strings.TrimPrefix(server.URL, "http://")
-	client.SetConnections(1)
+	client.SetMaxConnections(1)
 	var group conc.WaitGroup
 	defer group.Wait()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/traffic/backend/connections.go
+++ b/internal/traffic/backend/connections.go
@@ -20,62 +20,62 @@
 	group conc.WaitGroup
 
 	mu      sync.Mutex
-	most    int
+	limit   int
 	address string
-	count   *connectionCount
+	limiter *connectionLimiter
 }
 
-// connectionCount is the connections to one backend server.
-type connectionCount struct {
-	mu   sync.Mutex
-	most int
-	open int
+// connectionLimiter is the connections to one backend server.
+type connectionLimiter struct {
+	mu    sync.Mutex
+	limit int
+	open  int
 	// changed closes when there may be room.
 	changed chan struct{}
 }
 
-func newConnectionCount(most int) *connectionCount {
-	return &connectionCount{most: most, changed: make(chan struct{})}
+func newConnectionLimiter(limit int) *connectionLimiter {
+	return &connectionLimiter{limit: limit, changed: make(chan struct{})}
 }
 
-// setMost bounds the connections from now on. Those that are open stay.
-func (d *dialer) setMost(most int) {
+// setLimit bounds the connections from now on. Those that are open stay.
+func (d *dialer) setLimit(limit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.most = most
-	if d.count != nil {
-		d.count.update(func(c *connectionCount) { c.most = most })
+	d.limit = limit
+	if d.limiter != nil {
+		d.limiter.update(func(c *connectionLimiter) { c.limit = limit })
 	}
 }
 
-// countFor returns the count of the backend server at the address. One at another address counts anew.
-func (d *dialer) countFor(address string) *connectionCount {
+// limiterFor returns the count of the backend server at the address. One at another address counts anew.
+func (d *dialer) limiterFor(address string) *connectionLimiter {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.count == nil || d.address != address {
-		d.address, d.count = address, newConnectionCount(d.most)
+	if d.limiter == nil || d.address != address {
+		d.address, d.limiter = address, newConnectionLimiter(d.limit)
 	}
-	return d.count
+	return d.limiter
 }
 
 // dial waits until there is room for one more connection and makes it.
 func (d *dialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	count := d.countFor(address)
-	if err := count.take(ctx); err != nil {
+	limiter := d.limiterFor(address)
+	if err := limiter.acquire(ctx); err != nil {
 		return nil, err
 	}
-	var plain net.Dialer
-	conn, err := plain.DialContext(ctx, network, address)
+	var netDialer net.Dialer
+	conn, err := netDialer.DialContext(ctx, network, address)
 	if err != nil {
-		count.free()
+		limiter.release()
 		return nil, err
 	}
-	return &connection{Conn: conn, dialer: d, count: count}, nil
+	return &connection{Conn: conn, dialer: d, limiter: limiter}, nil
 }
 
-func (c *connectionCount) take(ctx context.Context) error {
+func (c *connectionLimiter) acquire(ctx context.Context) error {
 	for {
-		changed, ok := c.tryTake()
+		changed, ok := c.tryAcquire()
 		if ok {
 			return nil
 		}
@@ -87,21 +87,21 @@
 	}
 }
 
-func (c *connectionCount) tryTake() (<-chan struct{}, bool) {
+func (c *connectionLimiter) tryAcquire() (<-chan struct{}, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open >= c.most {
+	if c.open >= c.limit {
 		return c.changed, false
 	}
 	c.open++
 	return nil, true
 }
 
-func (c *connectionCount) free() {
-	c.update(func(c *connectionCount) { c.open-- })
+func (c *connectionLimiter) release() {
+	c.update(func(c *connectionLimiter) { c.open-- })
 }
 
-func (c *connectionCount) update(change func(*connectionCount)) {
+func (c *connectionLimiter) update(change func(*connectionLimiter)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(c)
@@ -112,12 +112,12 @@
 // connection is one to the backend server. Closing it returns at once, but it counts until the other end is closed.
 type connection struct {
 	net.Conn
-	dialer *dialer
-	count  *connectionCount
+	dialer  *dialer
+	limiter *connectionLimiter
 
 	closed atomic.Bool
-	// reading is held while bytes are read, so that only one of the user and part reads.
-	reading sync.Mutex
+	// readMu is held while bytes are read, so that only one of the user and part reads.
+	readMu sync.Mutex
 }
 
 // SyscallConn returns the connection as the system knows it.
@@ -131,8 +131,8 @@
 
 // Read reads until the connection is closed at this end.
 func (c *connection) Read(p []byte) (int, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	if c.closed.Load() {
 		return 0, net.ErrClosed
 	}
@@ -145,23 +145,23 @@
 		return net.ErrClosed
 	}
 	err := c.SetDeadline(time.Now()) // ends reads and writes that are waiting
-	c.dialer.group.Go(c.part)
+	c.dialer.group.Go(c.lingerClose)
 	return err
 }
 
-// partTimeout bounds the wait for a backend server that doesn't let go of a connection.
-const partTimeout = 5 * time.Second
+// lingerTimeout bounds the wait for a backend server that doesn't let go of a connection.
+const lingerTimeout = 5 * time.Second
 
-// part tells the backend server that the connection ends, and waits until it has let go of it.
-func (c *connection) part() {
-	defer c.count.free()
+// lingerClose tells the backend server that the connection ends, and waits until it has let go of it.
+func (c *connection) lingerClose() {
+	defer c.limiter.release()
 	defer func() { _ = c.Conn.Close() }()
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		_ = halfCloser.CloseWrite()
 	}
-	if c.SetReadDeadline(time.Now().Add(partTimeout)) == nil {
+	if c.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
 		_, _ = io.Copy(io.Discard, c.Conn)
 	}
 }
--- a/internal/traffic/backend/gate.go
+++ b/internal/traffic/backend/gate.go
@@ -15,60 +15,60 @@
 type Gate struct {
 	mu      sync.Mutex
 	gate    *admission.Gate
-	waiters map[*admission.Ticket]chan answer
-	// waiting is signalled when a request begins to wait.
-	waiting chan struct{}
+	waiters map[*admission.Ticket]chan decision
+	// waitStarted is signalled when a request begins to wait.
+	waitStarted chan struct{}
 }
 
-// answer is the final word on a ticket that waited.
-type answer struct {
+// decision is the final word on a ticket that waited.
+type decision struct {
 	admitted bool
 	refusal  admission.Refusal
 }
 
 // NewGate returns a gate.
 func NewGate(config admission.GateConfig) *Gate {
-	return &Gate{gate: admission.NewGate(config), waiters: map[*admission.Ticket]chan answer{}, waiting: make(chan struct{}, 1)}
+	return &Gate{gate: admission.NewGate(config), waiters: map[*admission.Ticket]chan decision{}, waitStarted: make(chan struct{}, 1)}
 }
 
-// Turn is a slot that a request was given.
-type Turn struct {
+// Slot is a slot that a request was given.
+type Slot struct {
 	// FullAt is the limit, where it was the last slot of it, else 0.
 	FullAt int
 }
 
-// Enter waits for a slot. Without one it returns the reply that refuses the request. Whoever got a slot calls Leave.
-func (g *Gate) Enter(ctx context.Context, r *call.Request, share int) (Turn, call.Reply, bool) {
+// Acquire waits for a slot. Without one it returns the reply that refuses the request. Whoever got a slot calls Leave.
+func (g *Gate) Acquire(ctx context.Context, r *call.Request, share int) (Slot, call.Reply, bool) {
 	if ctx.Err() != nil {
-		return Turn{}, g.gone(ctx, r.Root.Rank), false
+		return Slot{}, g.abandonedReply(ctx, r.Root.Rank), false
 	}
 	t := newTicket(r, share)
 	verdict, waiter := g.offer(t)
 	switch verdict.Action {
 	case admission.Run:
-		return Turn{FullAt: t.FullAt}, call.Reply{}, true
+		return Slot{FullAt: t.SaturatedLimit}, call.Reply{}, true
 	case admission.Shed:
-		return Turn{}, refused(verdict.Refusal), false
+		return Slot{}, refusedReply(verdict.Refusal), false
 	}
 	refusal, admitted := g.wait(ctx, t, waiter)
 	if !admitted {
-		return Turn{}, refusal, false
+		return Slot{}, refusal, false
 	}
-	return Turn{FullAt: t.FullAt}, call.Reply{}, true
+	return Slot{FullAt: t.SaturatedLimit}, call.Reply{}, true
 }
 
-// Leave frees a slot and reports how the request went.
-func (g *Gate) Leave(s admission.Sample) {
+// Release frees a slot and reports how the request went.
+func (g *Gate) Release(s admission.Sample) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.signal(g.gate.Finish(time.Now(), s))
+	g.notify(g.gate.Finish(time.Now(), s))
 }
 
 // Advance drops requests that waited too long. It is called regularly.
 func (g *Gate) Advance() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.signal(g.gate.Advance(time.Now()))
+	g.notify(g.gate.Advance(time.Now()))
 }
 
 // Run drops requests that waited too long, with a look each tick while any wait, until the context ends.
@@ -77,7 +77,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.waiting:
+		case <-g.waitStarted:
 		}
 		for g.Load().Queued > 0 && pause.For(ctx, tick) {
 			g.Advance()
@@ -156,40 +156,40 @@
 	}
 }
 
-func (g *Gate) offer(t *admission.Ticket) (admission.Verdict, chan answer) {
+func (g *Gate) offer(t *admission.Ticket) (admission.Verdict, chan decision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	verdict := g.gate.Offer(time.Now(), t)
 	for _, d := range verdict.Displaced {
-		g.answer(d.Ticket, answer{refusal: d})
+		g.decide(d.Ticket, decision{refusal: d})
 	}
-	if verdict.Action != admission.Wait {
+	if verdict.Action != admission.Enqueue {
 		return verdict, nil
 	}
-	waiter := make(chan answer, 1)
+	waiter := make(chan decision, 1)
 	g.waiters[t] = waiter
 	select {
-	case g.waiting <- struct{}{}:
+	case g.waitStarted <- struct{}{}:
 	default:
 	}
 	return verdict, waiter
 }
 
-func (g *Gate) wait(ctx context.Context, t *admission.Ticket, waiter chan answer) (call.Reply, bool) {
+func (g *Gate) wait(ctx context.Context, t *admission.Ticket, waiter chan decision) (call.Reply, bool) {
 	select {
 	case a := <-waiter:
 		if a.admitted {
 			return call.Reply{}, true
 		}
-		return refused(a.refusal), false
+		return refusedReply(a.refusal), false
 	case <-ctx.Done():
 		g.withdraw(t, waiter)
-		return g.gone(ctx, t.Rank), false
+		return g.abandonedReply(ctx, t.Rank), false
 	}
 }
 
 // withdraw takes back a ticket, or frees the slot that it was given in the same moment.
-func (g *Gate) withdraw(t *admission.Ticket, waiter chan answer) {
+func (g *Gate) withdraw(t *admission.Ticket, waiter chan decision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if _, waits := g.waiters[t]; waits {
@@ -198,7 +198,7 @@
 		return
 	}
 	if a := <-waiter; a.admitted {
-		g.signal(g.gate.Cancel(time.Now()))
+		g.notify(g.gate.Cancel(time.Now()))
 	}
 }
 
@@ -208,16 +208,16 @@
 	return g.gate.RetryAfter(rank)
 }
 
-func (g *Gate) signal(next admission.Next) {
+func (g *Gate) notify(next admission.Dequeued) {
 	for _, t := range next.Run {
-		g.answer(t, answer{admitted: true})
+		g.decide(t, decision{admitted: true})
 	}
 	for _, e := range next.Expired {
-		g.answer(e.Ticket, answer{refusal: e})
+		g.decide(e.Ticket, decision{refusal: e})
 	}
 }
 
-func (g *Gate) answer(t *admission.Ticket, a answer) {
+func (g *Gate) decide(t *admission.Ticket, a decision) {
 	waiter := g.waiters[t]
 	delete(g.waiters, t)
 	waiter <- a
@@ -225,11 +225,11 @@
 
 var refusalReasons = map[admission.Cause]call.Reason{
 	admission.Overload:        call.ReasonOverload,
-	admission.WaitedTooLong:   call.ReasonQueueTimeout,
+	admission.QueueTimeout:    call.ReasonQueueTimeout,
 	admission.DeadlineTooNear: call.ReasonDeadline,
 }
 
-func refused(r admission.Refusal) call.Reply {
+func refusedReply(r admission.Refusal) call.Reply {
 	return call.Refused(call.NotRun, refusalReasons[r.Cause], Jittered(r.RetryAfter))
 }
 
@@ -239,8 +239,8 @@
 	return d + time.Duration(rand.Float64()*float64(d)/2)
 }
 
-// gone is the reply to a request whose caller went away or whose deadline passed while it waited.
-func (g *Gate) gone(ctx context.Context, rank int) call.Reply {
+// abandonedReply is the reply to a request whose caller went away or whose deadline passed while it waited.
+func (g *Gate) abandonedReply(ctx context.Context, rank int) call.Reply {
 	if ctx.Err() == context.DeadlineExceeded {
 		return call.Refused(call.NotRun, call.ReasonDeadline, Jittered(g.retryAfter(rank)))
 	}
--- a/internal/traffic/backend/gate_test.go
+++ b/internal/traffic/backend/gate_test.go
@@ -25,7 +25,7 @@
 			is := is.New(t)
 			gate := admission.NewGate(admission.GateConfig{
 				Limit:        admission.LimitConfig{Initial: 1, Min: 1, Max: 1, Fixed: true},
-				QueuePerSlot: 10, MaxWait: time.Second, UrgentWait: time.Second, MaxRetryAfter: time.Second,
+				QueuePerSlot: 10, MaxDelayLeastUrgent: time.Second, MaxDelayMostUrgent: time.Second, MaxRetryAfter: time.Second,
 			})
 			gate.Announce(1, 1)
 			names := map[*admission.Ticket]string{}
@@ -43,7 +43,7 @@
 			offer("first", "parish", 3*time.Second)
 			var got []string
 			for range test.want {
-				for _, ticket := range gate.Finish(start, admission.Sample{Kind: "keys", Took: time.Millisecond, Held: time.Millisecond}).Run {
+				for _, ticket := range gate.Finish(start, admission.Sample{Kind: "keys", ServiceTime: time.Millisecond, HoldTime: time.Millisecond}).Run {
 					got = append(got, names[ticket])
 				}
 			}
--- a/internal/traffic/backend/presence.go
+++ b/internal/traffic/backend/presence.go
@@ -11,28 +11,28 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/liveness"
 )
 
-// Presence gathers what shows whether the local backend server is there. A nil Presence takes notes for nobody.
-type Presence struct {
+// Liveness gathers what shows whether the local backend server is there. A nil Presence takes notes for nobody.
+type Liveness struct {
 	mu      sync.Mutex
 	tracker *liveness.Tracker
 }
 
-// NewPresence returns a Presence that knows nothing yet.
-func NewPresence() *Presence {
-	return &Presence{tracker: liveness.NewTracker()}
+// NewLiveness returns a Presence that knows nothing yet.
+func NewLiveness() *Liveness {
+	return &Liveness{tracker: liveness.NewTracker()}
 }
 
-// Announced notes an announcement.
-func (p *Presence) Announced() {
-	p.note(func(t *liveness.Tracker) { t.Announced(time.Now()) })
+// RecordAnnouncement notes an announcement.
+func (p *Liveness) RecordAnnouncement() {
+	p.record(func(t *liveness.Tracker) { t.Announced(time.Now()) })
 }
 
 // probeTimeout bounds the wait for a connection to a backend server that refused or broke the last one.
 const probeTimeout = 200 * time.Millisecond
 
-// Look returns whether the backend server at the address is there. One that refused or broke a connection is tried.
-func (p *Presence) Look(ctx context.Context, address string) liveness.State {
-	if p.asksForProbe() {
+// Check returns whether the backend server at the address is there. One that refused or broke a connection is tried.
+func (p *Liveness) Check(ctx context.Context, address string) liveness.State {
+	if p.needsProbe() {
 		p.probe(ctx, address)
 	}
 	p.mu.Lock()
@@ -40,43 +40,43 @@
 	return p.tracker.State(time.Now())
 }
 
-func (p *Presence) asksForProbe() bool {
+func (p *Liveness) needsProbe() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tracker.AsksForProbe()
+	return p.tracker.NeedsProbe()
 }
 
-func (p *Presence) probe(ctx context.Context, address string) {
+func (p *Liveness) probe(ctx context.Context, address string) {
 	dialer := net.Dialer{Timeout: probeTimeout}
 	connection, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		p.noteError(ctx, err)
+		p.recordError(ctx, err)
 		return
 	}
 	_ = connection.Close()
-	p.note(func(t *liveness.Tracker) { t.Accepted() })
+	p.record(func(t *liveness.Tracker) { t.ConnectionAccepted() })
 }
 
-func (p *Presence) noteAnswer() {
-	p.note(func(t *liveness.Tracker) { t.Answered(time.Now()) })
+func (p *Liveness) recordResponse() {
+	p.record(func(t *liveness.Tracker) { t.Answered(time.Now()) })
 }
 
-// noteError notes a failed exchange. One that ended with its request says nothing about the backend server.
-func (p *Presence) noteError(ctx context.Context, err error) {
+// recordError notes a failed exchange. One that ended with its request says nothing about the backend server.
+func (p *Liveness) recordError(ctx context.Context, err error) {
 	switch {
 	case ctx.Err() != nil:
 	case errors.Is(err, syscall.ECONNREFUSED):
-		p.note(func(t *liveness.Tracker) { t.Refused() })
+		p.record(func(t *liveness.Tracker) { t.ConnectionRefused() })
 	default:
-		p.note(func(t *liveness.Tracker) { t.Broke() })
+		p.record(func(t *liveness.Tracker) { t.ConnectionBroken() })
 	}
 }
 
-func (p *Presence) note(f func(*liveness.Tracker)) {
+func (p *Liveness) record(update func(*liveness.Tracker)) {
 	if p == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f(p.tracker)
+	update(p.tracker)
 }
--- a/internal/traffic/backend/transport_test.go
+++ b/internal/traffic/backend/transport_test.go
@@ -18,17 +18,17 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// scripted is a backend server that does as its script says, and counts its connections.
-type scripted struct {
+// scriptedServer is a backend server that does as its script says, and counts its connections.
+type scriptedServer struct {
 	address     string
 	connections atomic.Int32
 }
 
-// newScripted runs the script for each connection, which closes after it.
-func newScripted(t *testing.T, script func(conn net.Conn, requests *bufio.Reader)) *scripted {
+// newScriptedServer runs the script for each connection, which closes after it.
+func newScriptedServer(t *testing.T, script func(conn net.Conn, requests *bufio.Reader)) *scriptedServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	s := &scripted{address: l.Addr().String()}
+	s := &scriptedServer{address: l.Addr().String()}
 	var group conc.WaitGroup
 	t.Cleanup(func() {
 		_ = l.Close()
@@ -60,15 +60,15 @@
 	return r.Header.Get("Request-Name")
 }
 
-func respond(conn net.Conn, id, more string) {
-	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRequest-Name: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, more, len(id), id)
+func respond(conn net.Conn, id, extraHeaders string) {
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRequest-Name: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, extraHeaders, len(id), id)
 }
 
-func namedClient() *backend.Client {
+func newClientWithRequestIDs() *backend.Client {
 	return backend.NewClient(backend.ClientConfig{MaxBody: 1 << 20, Headers: backend.Headers{RequestID: "Request-Name"}}, call.NewChains())
 }
 
-func named(id string) *call.Request {
+func newRequestWithID(id string) *call.Request {
 	r := newRequest(http.MethodPost, "a wash", "")
 	r.Header = http.Header{"Request-Name": {id}}
 	return r
@@ -119,10 +119,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			server, client := newScripted(t, test.script), namedClient()
-			defer client.SetConnections(1) // closes what is kept
+			server, client := newScriptedServer(t, test.script), newClientWithRequestIDs()
+			defer client.SetMaxConnections(1) // closes what is kept
 			for _, id := range []string{"first", "second"} {
-				result := client.Run(t.Context(), backend.Target{Address: server.address}, named(id))
+				result := client.Run(t.Context(), backend.Target{Address: server.address}, newRequestWithID(id))
 				is.Equal(result.Reply.Outcome, call.Ran)
 				is.Equal(string(result.Reply.Body), id)
 				time.Sleep(20 * time.Millisecond) // for what comes late, or closes
@@ -135,11 +135,11 @@
 // An answer to somebody else's request on a new connection is nobody's.
 func TestAnswerOfAnotherRequest(t *testing.T) {
 	is := is.New(t)
-	server := newScripted(t, func(conn net.Conn, requests *bufio.Reader) {
+	server := newScriptedServer(t, func(conn net.Conn, requests *bufio.Reader) {
 		_ = nextID(requests)
 		respond(conn, "another", "")
 	})
-	result := namedClient().Run(t.Context(), backend.Target{Address: server.address}, named("own"))
+	result := newClientWithRequestIDs().Run(t.Context(), backend.Target{Address: server.address}, newRequestWithID("own"))
 	is.Equal(result.Reply.Outcome, call.Unknown)
 	is.Equal(result.Reply.Reason, call.ReasonBackendFailed)
 }
@@ -148,7 +148,7 @@
 func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	rest := make(chan string, 2)
-	server := newScripted(t, func(conn net.Conn, requests *bufio.Reader) {
+	server := newScriptedServer(t, func(conn net.Conn, requests *bufio.Reader) {
 		r, err := http.ReadRequest(requests)
 		if err != nil {
 			return
@@ -158,11 +158,11 @@
 		body, _ := io.ReadAll(r.Body)
 		rest <- strings.Trim(string(body), "w")
 	})
-	client := namedClient()
-	long := named("long")
+	client := newClientWithRequestIDs()
+	long := newRequestWithID("long")
 	long.Body = []byte(strings.Repeat("w", 32<<20))
 	is.Equal(string(client.Run(t.Context(), backend.Target{Address: server.address}, long).Reply.Body), "long")
-	is.Equal(string(client.Run(t.Context(), backend.Target{Address: server.address}, named("next")).Reply.Body), "next")
+	is.Equal(string(client.Run(t.Context(), backend.Target{Address: server.address}, newRequestWithID("next")).Reply.Body), "next")
 	bodies := map[string]bool{<-rest: true, <-rest: true}
 	is.Equal(bodies, map[string]bool{"": true, "a wash": true}) // what is left of the long one is its own
 	is.Equal(server.connections.Load(), int32(2))
--- a/internal/traffic/call/attempts_test.go
+++ b/internal/traffic/call/attempts_test.go
@@ -38,11 +38,11 @@
 			return false
 		}
 		attempt := retry.Attempt{
-			Idempotent:   true,
-			Deeper:       reply.Deeper != call.ReasonNone,
-			AttemptsLeft: pool.Left(),
-			TimeLeft:     retry.MinTimeLeft,
-			Candidates:   1,
+			Idempotent:       true,
+			FailedDownstream: reply.Deeper != call.ReasonNone,
+			AttemptsLeft:     pool.Left(),
+			TimeLeft:         retry.MinTimeLeft,
+			Candidates:       1,
 		}
 		budget := retry.NewBudget(retry.BudgetConfig{Max: 1})
 		if retry.Decide(attempt, budget) == retry.GiveUp || !pool.Take() {
--- a/internal/traffic/call/chain.go
+++ b/internal/traffic/call/chain.go
@@ -94,10 +94,10 @@
 	c.guessed = true
 }
 
-func (c *Chain) asRunning() lineage.Running {
+func (c *Chain) asRunning() lineage.RunningRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return lineage.Running{Kind: c.Kind, Started: c.Started, Deadline: c.Deadline, Calling: len(c.open) > 0, LastCall: c.childEnd}
+	return lineage.RunningRequest{Kind: c.Kind, Started: c.Started, Deadline: c.Deadline, HasOpenCall: len(c.open) > 0, LastCallEnd: c.childEnd}
 }
 
 // Child is a call down the chain that has not ended.
@@ -153,7 +153,7 @@
 	// matcher finds the requests of calls without a token, among candidates, which are the same as running.
 	matcher    *lineage.Matcher
 	candidates []*Chain
-	running    []lineage.Running
+	running    []lineage.RunningRequest
 }
 
 // maxCanceled is how many tokens of canceled requests are remembered.
