--- a/internal/traffic/flow/budgets.go
+++ b/internal/traffic/flow/budgets.go
@@ -24,21 +24,21 @@
 func (b *Budgets) earn(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).Earn()
+	b.budgetOf(service).Earn()
 }
 
 // decide applies the rules to a failed attempt and charges the service's budget where it may be tried again.
 func (b *Budgets) decide(service string, a retry.Attempt) retry.Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return retry.Decide(a, b.of(service))
+	return retry.Decide(a, b.budgetOf(service))
 }
 
-// share lowers what is kept for the service to this node's part of what the fleet may make at once.
-func (b *Budgets) share(service string, fleet float64, nodes int) {
+// limitToShare lowers what is kept for the service to this node's part of what the fleet may make at once.
+func (b *Budgets) limitToShare(service string, fleetRetries float64, nodes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).Cap(retry.Part(fleet, nodes))
+	b.budgetOf(service).Cap(retry.PerNodeLimit(fleetRetries, nodes))
 }
 
 // tokens returns what is left of each.
@@ -52,7 +52,7 @@
 	return tokens
 }
 
-func (b *Budgets) of(service string) *retry.Budget {
+func (b *Budgets) budgetOf(service string) *retry.Budget {
 	budget, ok := b.byService[service]
 	if !ok {
 		budget = retry.NewBudget(b.config)
--- a/internal/traffic/flow/entry_test.go
+++ b/internal/traffic/flow/entry_test.go
@@ -28,9 +28,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			e, now := newEntry(throttle.DefaultConfig), time.Unix(1_000_000, 0)
+			e, now := newEntryThrottles(throttle.DefaultConfig), time.Unix(1_000_000, 0)
 			r := &call.Request{Service: "access", Method: "POST", Path: "/bookings", Key: test.key, KeyMinted: test.minted}
-			e.learn(now, r, &test.first)
+			e.observe(now, r, &test.first)
 			again := &call.Request{Service: r.Service, Method: r.Method, Path: r.Path, Resends: test.resends}
 			if !test.minted {
 				again.Key = test.key
--- a/internal/traffic/flow/fenced.go
+++ b/internal/traffic/flow/fenced.go
@@ -11,9 +11,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// Fenced runs the attempts of requests without keys, each once at most, and tells what became of those whose answer was
+// FencedRunner runs the attempts of requests without keys, each once at most, and tells what became of those whose answer was
 // lost.
-type Fenced struct {
+type FencedRunner struct {
 	local       Runner
 	incarnation uint64
 
@@ -21,13 +21,13 @@
 	table *fence.Table
 }
 
-// NewFenced returns a Fenced for this process that hands attempts to local.
-func NewFenced(local Runner, incarnation uint64) *Fenced {
-	return &Fenced{local: local, incarnation: incarnation, table: fence.NewTable()}
+// NewFencedRunner returns a Fenced for this process that hands attempts to local.
+func NewFencedRunner(local Runner, incarnation uint64) *FencedRunner {
+	return &FencedRunner{local: local, incarnation: incarnation, table: fence.NewTable()}
 }
 
 // Receive runs one attempt.
-func (f *Fenced) Receive(ctx context.Context, r *call.Request) call.Reply {
+func (f *FencedRunner) Receive(ctx context.Context, r *call.Request) call.Reply {
 	if !f.begin(r.AttemptID) {
 		return call.Refused(call.NotRun, call.ReasonPeerSilent, 0)
 	}
@@ -36,13 +36,13 @@
 	return reply
 }
 
-func (f *Fenced) begin(id string) bool {
+func (f *FencedRunner) begin(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Begin(time.Now(), id)
 }
 
-func (f *Fenced) end(id string, started bool) {
+func (f *FencedRunner) end(id string, started bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.table.End(time.Now(), id, started)
@@ -57,7 +57,7 @@
 
 // Resolve tells what became of an attempt. One that did not come here is fenced only where it was sent to this process: an
 // earlier one may have run it. The asking node may know an earlier start of this one, and have sent the attempt here.
-func (f *Fenced) Resolve(q peer.Question) peer.Resolution {
+func (f *FencedRunner) Resolve(q peer.ResolveQuery) peer.Resolution {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if q.Key != "" || q.Incarnation != f.incarnation && !f.table.Knows(q.AttemptID) {
@@ -67,11 +67,11 @@
 }
 
 // TakeOver refuses: no keys are remembered here.
-func (f *Fenced) TakeOver(context.Context, peer.HandoverPart) (bool, error) {
+func (f *FencedRunner) TakeOver(context.Context, peer.HandoverPart) (bool, error) {
 	return false, nil
 }
 
 // Promise refuses: there are no shards of keys.
-func (f *Fenced) Promise(peer.PromiseQuestion) peer.PromiseAnswer {
-	return peer.PromiseAnswer{}
+func (f *FencedRunner) Promise(peer.PromiseQuery) peer.PromiseResult {
+	return peer.PromiseResult{}
 }
--- a/internal/traffic/flow/fenced_test.go
+++ b/internal/traffic/flow/fenced_test.go
@@ -11,12 +11,12 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// asking is a backend server during whose work the sender asks.
-type asking struct {
+// callbackRunner is a backend server during whose work the sender asks.
+type callbackRunner struct {
 	during func()
 }
 
-func (a asking) Receive(context.Context, *call.Request) call.Reply {
+func (a callbackRunner) Receive(context.Context, *call.Request) call.Reply {
 	a.during()
 	return call.Reply{Outcome: call.Ran, Status: 200}
 }
@@ -24,11 +24,11 @@
 // A sender that still knows an earlier start of the node must not be told that the attempt isn't here while it runs.
 func TestResolveKnowsWhatRunsHere(t *testing.T) {
 	is := is.New(t)
-	var f *Fenced
+	var f *FencedRunner
 	ask := func(id string, incarnation uint64) peer.Resolution {
-		return f.Resolve(peer.Question{AttemptID: id, Incarnation: incarnation})
+		return f.Resolve(peer.ResolveQuery{AttemptID: id, Incarnation: incarnation})
 	}
-	f = NewFenced(asking{func() {
+	f = NewFencedRunner(callbackRunner{func() {
 		is.Equal(ask("a", 1), peer.Resolution{Known: true, State: outcome.Running})
 		is.Equal(ask("a", 2), peer.Resolution{Known: true, State: outcome.Running})
 	}}, 2)
--- a/internal/traffic/flow/handover.go
+++ b/internal/traffic/flow/handover.go
@@ -22,28 +22,28 @@
 type handovers struct {
 	// parts are those of handovers that are not complete.
 	parts map[string]map[int]peer.HandoverPart
-	// taken are the complete ones.
-	taken map[string]bool
-	// homes are the earlier nodes for whose keys this one answers, with the time until which that matters.
-	homes map[outcome.Node]time.Time
+	// complete are the complete ones.
+	complete map[string]bool
+	// formerOwners are the earlier nodes for whose keys this one answers, with the time until which that matters.
+	formerOwners map[outcome.Node]time.Time
 }
 
 func newHandovers() *handovers {
 	return &handovers{
-		parts: map[string]map[int]peer.HandoverPart{},
-		taken: map[string]bool{},
-		homes: map[outcome.Node]time.Time{},
+		parts:        map[string]map[int]peer.HandoverPart{},
+		complete:     map[string]bool{},
+		formerOwners: map[outcome.Node]time.Time{},
 	}
 }
 
-func (o *handovers) answersFor(home outcome.Node) bool {
-	_, ok := o.homes[home]
+func (o *handovers) answersFor(owner outcome.Node) bool {
+	_, ok := o.formerOwners[owner]
 	return ok
 }
 
 // add keeps a part and returns all parts once they are complete.
 func (o *handovers) add(p peer.HandoverPart) []peer.HandoverPart {
-	if o.taken[p.ID] {
+	if o.complete[p.ID] {
 		return nil
 	}
 	if o.parts[p.ID] == nil {
@@ -58,77 +58,77 @@
 		all = append(all, part)
 	}
 	delete(o.parts, p.ID)
-	o.taken[p.ID] = true
+	o.complete[p.ID] = true
 	return all
 }
 
 // TakeOver takes in a part of a leaving node's keys. A node that leaves itself never takes any.
-func (h *Home) TakeOver(ctx context.Context, p peer.HandoverPart) (bool, error) {
-	if p.Target != h.config.Self.Incarnation {
-		return false, errOtherProcess
+func (o *KeyOwner) TakeOver(ctx context.Context, p peer.HandoverPart) (bool, error) {
+	if p.TargetIncarnation != o.config.Self.Incarnation {
+		return false, errOtherIncarnation
 	}
-	taken := h.takePart(p)
-	if taken {
-		h.config.Board.Do(ctx, func(b *board.Board) { b.Self.AnswersFor = h.homeNames() })
+	accepted := o.acceptPart(p)
+	if accepted {
+		o.config.Board.Do(ctx, func(b *board.Board) { b.Self.AnswersFor = o.formerOwnerNames() })
 	}
-	return taken, nil
+	return accepted, nil
 }
 
-// errOtherProcess says that keys were sent to a former process of this name.
-var errOtherProcess = errors.New("the keys are for a former process of this node")
+// errOtherIncarnation says that keys were sent to a former process of this name.
+var errOtherIncarnation = errors.New("the keys are for a former process of this node")
 
-// homeNames returns the names of the nodes for which this one answers.
-func (h *Home) homeNames() string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return homeNames(h.handovers.homes)
+// formerOwnerNames returns the names of the nodes for which this one answers.
+func (o *KeyOwner) formerOwnerNames() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return ownerNames(o.handovers.formerOwners)
 }
 
-// takePart reports whether the part is taken. A handover that was complete before this node began to leave stays
+// acceptPart reports whether the part is taken. A handover that was complete before this node began to leave stays
 // taken, however late a part comes again.
-func (h *Home) takePart(p peer.HandoverPart) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.leaving && !h.handovers.taken[p.ID] {
+func (o *KeyOwner) acceptPart(p peer.HandoverPart) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.leaving && !o.handovers.complete[p.ID] {
 		return false
 	}
-	for _, part := range h.handovers.add(p) {
-		h.restore(part, time.Now())
+	for _, part := range o.handovers.add(p) {
+		o.restoreKeys(part, time.Now())
 	}
 	return true
 }
 
-func (h *Home) restore(p peer.HandoverPart, now time.Time) {
-	for _, home := range p.Homes {
-		h.handovers.homes[home] = now.Add(h.config.Table.Window + h.config.Table.Ahead)
+func (o *KeyOwner) restoreKeys(p peer.HandoverPart, now time.Time) {
+	for _, owner := range p.Owners {
+		o.handovers.formerOwners[owner] = now.Add(o.config.Table.Window + o.config.Table.MaxAhead)
 	}
-	h.keys.Claim(h.answersFor)
+	o.keys.Reclaim(o.answersFor)
 	for _, k := range p.Keys {
-		if k.State == outcome.Moved && h.answersFor(k.MovedTo) {
+		if k.State == outcome.Moved && o.answersFor(k.MovedTo) {
 			continue
 		}
-		h.keys.Restore(now, k)
+		o.keys.Restore(now, k)
 	}
 }
 
-// forgetHomes drops the earlier nodes whose keys are all too old by now.
-func (o *handovers) forgetHomes(now time.Time) {
-	for home, until := range o.homes {
+// expireFormerOwners drops the earlier nodes whose keys are all too old by now.
+func (o *handovers) expireFormerOwners(now time.Time) {
+	for owner, until := range o.formerOwners {
 		if now.After(until) {
-			delete(o.homes, home)
+			delete(o.formerOwners, owner)
 		}
 	}
 }
 
-// homeName is how a node with its incarnation is written on the board.
-func homeName(n outcome.Node) string {
+// ownerName is how a node with its incarnation is written on the board.
+func ownerName(n outcome.Node) string {
 	return n.Name + "@" + strconv.FormatUint(n.Incarnation, 36)
 }
 
-func homeNames(homes map[outcome.Node]time.Time) string {
-	names := make([]string, 0, len(homes))
-	for home := range homes {
-		names = append(names, homeName(home))
+func ownerNames(owners map[outcome.Node]time.Time) string {
+	names := make([]string, 0, len(owners))
+	for owner := range owners {
+		names = append(names, ownerName(owner))
 	}
 	slices.Sort(names)
 	return strings.Join(names, " ")
@@ -137,16 +137,16 @@
 const (
 	// handoverTimeout bounds one message of a handover.
 	handoverTimeout = time.Second
-	// handoverTries is how often a message is sent before the successor is given up.
-	handoverTries = 5
-	// partBytes is about how much one message of a handover carries.
-	partBytes = 512 << 10
-	// closePoll is the time between looks at what still runs.
-	closePoll = 5 * time.Millisecond
+	// maxHandoverAttempts is how often a message is sent before the successor is given up.
+	maxHandoverAttempts = 5
+	// handoverPartBytes is about how much one message of a handover carries.
+	handoverPartBytes = 512 << 10
+	// runningKeysPollInterval is the time between looks at what still runs.
+	runningKeysPollInterval = 5 * time.Millisecond
 )
 
-// Successor chooses the node that gets the keys: of the same service and availability zone where there is one.
-func Successor(b *board.Board) (membership.Member, bool) {
+// ChooseSuccessor chooses the node that gets the keys: of the same service and availability zone where there is one.
+func ChooseSuccessor(b *board.Board) (membership.Member, bool) {
 	var best membership.Member
 	bestScore := -1
 	for _, name := range slices.Sorted(maps.Keys(b.Members.ByNode)) {
@@ -154,15 +154,15 @@
 		if m.Node == b.Self.Node || m.State != membership.Up {
 			continue
 		}
-		if score := closeness(b, m); score > bestScore {
+		if score := successorScore(b, m); score > bestScore {
 			best, bestScore = m, score
 		}
 	}
 	return best, bestScore >= 0
 }
 
-// closeness is higher for a better successor.
-func closeness(b *board.Board, m membership.Member) int {
+// successorScore is higher for a better successor.
+func successorScore(b *board.Board, m membership.Member) int {
 	score := 0
 	if m.Service == b.Backend.Service {
 		score += 2
@@ -178,68 +178,68 @@
 
 // The results.
 const (
-	// HandoverUnclear means that the successor may have the keys. They must not go to another node.
-	HandoverUnclear HandoverResult = iota
-	// HandoverTaken means that the successor has the keys.
-	HandoverTaken
+	// HandoverUnknown means that the successor may have the keys. They must not go to another node.
+	HandoverUnknown HandoverResult = iota
+	// HandoverAccepted means that the successor has the keys.
+	HandoverAccepted
 	// HandoverRefused means that the successor takes nothing because it leaves too.
 	HandoverRefused
 )
 
 // HandOver lets no further key run here, waits until none runs, and hands all keys to the successor. It returns how
 // many keys there were.
-func (h *Home) HandOver(ctx context.Context, peers *peer.Client, successor membership.Member) (int, HandoverResult) {
-	h.leave()
-	for h.Size().Running > 0 {
-		if !pause.For(ctx, closePoll) {
-			return 0, HandoverUnclear
+func (o *KeyOwner) HandOver(ctx context.Context, peers *peer.Client, successor membership.Member) (int, HandoverResult) {
+	o.beginLeaving()
+	for o.Size().Running > 0 {
+		if !pause.For(ctx, runningKeysPollInterval) {
+			return 0, HandoverUnknown
 		}
 	}
-	parts, keys := h.parts(successor.Incarnation)
+	parts, keys := o.handoverParts(successor.Incarnation)
 	for _, p := range parts {
-		if result := sendPart(ctx, peers, successor.PeerAddress, p); result != HandoverTaken {
+		if result := sendHandoverPart(ctx, peers, successor.PeerAddress, p); result != HandoverAccepted {
 			return keys, result
 		}
 	}
-	return keys, HandoverTaken
+	return keys, HandoverAccepted
 }
 
-// leave closes the table of keys and refuses the handovers of others.
-func (h *Home) leave() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.leaving = true
-	h.keys.Close()
+// beginLeaving closes the table of keys and refuses the handovers of others.
+func (o *KeyOwner) beginLeaving() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.leaving = true
+	o.keys.Close()
 }
 
-func sendPart(ctx context.Context, peers *peer.Client, address string, p peer.HandoverPart) HandoverResult {
-	for range handoverTries {
-		taken, err := peers.HandOver(ctx, address, p, handoverTimeout)
+func sendHandoverPart(ctx context.Context, peers *peer.Client, address string, p peer.HandoverPart) HandoverResult {
+	for range maxHandoverAttempts {
+		accepted, err := peers.HandOver(ctx, address, p, handoverTimeout)
 		switch {
-		case err == nil && taken:
-			return HandoverTaken
+		case err == nil && accepted:
+			return HandoverAccepted
 		case err == nil:
 			return HandoverRefused
-		case !pause.For(ctx, copyPause):
-			return HandoverUnclear
+		case !pause.For(ctx, resendDelay):
+			return HandoverUnknown
 		}
 	}
-	return HandoverUnclear
+	return HandoverUnknown
 }
 
-// parts splits the keys into messages. The homes go with every part.
-func (h *Home) parts(target uint64) ([]peer.HandoverPart, int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	homes := []outcome.Node{h.config.Self}
-	for home := range h.handovers.homes {
-		homes = append(homes, home)
+// handoverParts splits the keys into messages. The homes go with every part.
+func (o *KeyOwner) handoverParts(target uint64) ([]peer.HandoverPart, int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	owners := []outcome.Node{o.config.Self}
+	for owner := range o.handovers.formerOwners {
+		owners = append(owners, owner)
 	}
-	parts := []peer.HandoverPart{{Homes: homes}}
+	parts := []peer.HandoverPart{{Owners: owners}}
 	size, keys := 0, 0
-	for _, e := range h.keys.Entries() {
-		if size+e.Bytes > partBytes && size > 0 {
-			parts = append(parts, peer.HandoverPart{Homes: homes})
+	for _, e := range o.keys.Entries() {
+		if size+e.Bytes > handoverPartBytes && size > 0 {
+			parts = append(parts, peer.HandoverPart{Owners: owners})
 			size = 0
 		}
 		last := &parts[len(parts)-1]
@@ -249,7 +249,7 @@
 	}
 	id := uuid.NewString()
 	for i := range parts {
-		parts[i].ID, parts[i].Part, parts[i].Parts, parts[i].Target = id, i, len(parts), target
+		parts[i].ID, parts[i].Part, parts[i].Parts, parts[i].TargetIncarnation = id, i, len(parts), target
 	}
 	return parts, keys
 }
--- a/internal/traffic/flow/home.go
+++ b/internal/traffic/flow/home.go
@@ -17,8 +17,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// HomeConfig sets a Home up.
-type HomeConfig struct {
+// KeyOwnerConfig sets a Home up.
+type KeyOwnerConfig struct {
 	Board *board.Loop
 	// Self is this process.
 	Self outcome.Node
@@ -28,335 +28,335 @@
 	Local Runner
 	// Delegate passes a request on to another instance of its service.
 	Delegate func(ctx context.Context, r *call.Request) call.Reply
-	// Ask asks another node on a new connection.
-	Ask func(ctx context.Context, address string, q peer.Question) (peer.Resolution, error)
+	// ResolveAt asks another node on a new connection.
+	ResolveAt func(ctx context.Context, address string, q peer.ResolveQuery) (peer.Resolution, error)
 	// Budgets are charged for requests that are passed on.
 	Budgets *Budgets
 	Load    func() call.Load
 	Table   outcome.TableConfig
 }
 
-// Home runs the requests whose keys this node decides about, each at most once, and remembers what became of them.
+// KeyOwner runs the requests whose keys this node decides about, each at most once, and remembers what became of them.
 // Idempotent requests pass through it.
-type Home struct {
-	config HomeConfig
+type KeyOwner struct {
+	config KeyOwnerConfig
 	group  conc.WaitGroup
 	open   *openAttempts
 
 	mu sync.Mutex
 	// keys are those that this node decides about; delegated are the attempts that other homes sent here.
-	keys      *outcome.Table[call.Reply]
-	delegated *outcome.Table[call.Reply]
-	runs      map[string]*run
-	handovers *handovers
-	leaving   bool
+	keys       *outcome.Table[call.Reply]
+	delegated  *outcome.Table[call.Reply]
+	executions map[string]*keyedExecution
+	handovers  *handovers
+	leaving    bool
 }
 
-// run is a request that is being run for one or more copies.
-type run struct {
+// keyedExecution is a request that is being run for one or more copies.
+type keyedExecution struct {
 	done  chan struct{}
 	reply call.Reply
 }
 
-// NewHome returns a home without keys.
-func NewHome(config HomeConfig) *Home {
-	return &Home{
-		config:    config,
-		open:      newOpenAttempts(),
-		keys:      outcome.NewTable[call.Reply](config.Table),
-		delegated: outcome.NewTable[call.Reply](config.Table),
-		runs:      map[string]*run{},
-		handovers: newHandovers(),
+// NewKeyOwner returns a home without keys.
+func NewKeyOwner(config KeyOwnerConfig) *KeyOwner {
+	return &KeyOwner{
+		config:     config,
+		open:       newOpenAttempts(),
+		keys:       outcome.NewTable[call.Reply](config.Table),
+		delegated:  outcome.NewTable[call.Reply](config.Table),
+		executions: map[string]*keyedExecution{},
+		handovers:  newHandovers(),
 	}
 }
 
 const (
-	// homeRetry is when to come back where a home can't take a key now.
-	homeRetry = 250 * time.Millisecond
-	// forgetEvery is the time between looks for keys to forget.
-	forgetEvery = time.Second
-	// replyBytes is what a remembered reply costs besides its body.
-	replyBytes = 512
+	// ownerRetryAfter is when to come back where a home can't take a key now.
+	ownerRetryAfter = 250 * time.Millisecond
+	// expiryInterval is the time between looks for keys to forget.
+	expiryInterval = time.Second
+	// replyOverheadBytes is what a remembered reply costs besides its body.
+	replyOverheadBytes = 512
 )
 
 // Run forgets old keys until the context ends.
-func (h *Home) Run(ctx context.Context) {
-	for pause.For(ctx, forgetEvery) {
-		h.forget(time.Now())
+func (o *KeyOwner) Run(ctx context.Context) {
+	for pause.For(ctx, expiryInterval) {
+		o.expire(time.Now())
 	}
 }
 
-func (h *Home) forget(now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.keys.Expire(now)
-	h.delegated.Expire(now)
-	h.handovers.forgetHomes(now)
+func (o *KeyOwner) expire(now time.Time) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.keys.Expire(now)
+	o.delegated.Expire(now)
+	o.handovers.expireFormerOwners(now)
 }
 
 // Size returns the memory that the keys use.
-func (h *Home) Size() outcome.Size {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.keys.Size()
+func (o *KeyOwner) Size() outcome.Size {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.keys.Size()
 }
 
 // Receive runs the request, or answers with what became of an earlier copy.
-func (h *Home) Receive(ctx context.Context, r *call.Request) call.Reply {
+func (o *KeyOwner) Receive(ctx context.Context, r *call.Request) call.Reply {
 	if r.Idempotent {
-		h.open.begin(r.AttemptID)
-		defer h.open.end(r.AttemptID)
-		return h.config.Local.Receive(ctx, r)
+		o.open.begin(r.AttemptID)
+		defer o.open.end(r.AttemptID)
+		return o.config.Local.Receive(ctx, r)
 	}
-	reply := h.receive(ctx, r)
-	reply.Load = h.config.Load()
+	reply := o.receive(ctx, r)
+	reply.Load = o.config.Load()
 	return reply
 }
 
-func (h *Home) receive(ctx context.Context, r *call.Request) call.Reply {
+func (o *KeyOwner) receive(ctx context.Context, r *call.Request) call.Reply {
 	key, err := outcome.ParseKey(r.Key)
 	if err != nil {
 		return call.Refused(call.NotAdmitted, call.ReasonBadKey, 0)
 	}
-	if r.TargetIncarnation != 0 && r.TargetIncarnation != h.config.Self.Incarnation {
-		return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, homeRetry)
+	if r.TargetIncarnation != 0 && r.TargetIncarnation != o.config.Self.Incarnation {
+		return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, ownerRetryAfter)
 	}
 	if r.Delegated {
-		return h.take(ctx, r, h.delegated, ask(r, key, r.AttemptID), h.config.Local.Receive)
+		return o.handleCopy(ctx, r, o.delegated, copyDetails(r, key, r.AttemptID), o.config.Local.Receive)
 	}
-	if reply, ok := h.claim(ctx, r, key); !ok {
+	if reply, ok := o.claimKey(ctx, r, key); !ok {
 		return reply
 	}
-	return h.take(ctx, r, h.keys, ask(r, key, keyID(r.Service, r.Key)), h.execute)
+	return o.handleCopy(ctx, r, o.keys, copyDetails(r, key, keyID(r.Service, r.Key)), o.execute)
 }
 
-// claim reports whether this node may run the key now, or returns the reply to the request. Asking earlier homes takes
+// claimKey reports whether this node may run the key now, or returns the reply to the request. Asking earlier homes takes
 // time, in which the node's epoch may end; for a key without a time, a later home would no longer ask this one.
-func (h *Home) claim(ctx context.Context, r *call.Request, key outcome.Key) (call.Reply, bool) {
-	earlier, ok := h.decides(r.Service, key)
+func (o *KeyOwner) claimKey(ctx context.Context, r *call.Request, key outcome.Key) (call.Reply, bool) {
+	earlier, ok := o.ownsKey(r.Service, key)
 	if ok && len(earlier) > 0 {
-		if reply, moved := h.moveHere(ctx, r, earlier); !moved {
+		if reply, moved := o.moveKeysHere(ctx, r, earlier); !moved {
 			return reply, false
 		}
-		_, ok = h.decides(r.Service, key)
+		_, ok = o.ownsKey(r.Service, key)
 	}
-	return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, homeRetry), ok
+	return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, ownerRetryAfter), ok
 }
 
-// decides reports whether this node may run the key: it is the home that the key or the agreed epochs name, or that
+// ownsKey reports whether this node may run the key: it is the home that the key or the agreed epochs name, or that
 // home has handed its keys over to this node. The other nodes returned must have moved the key before.
-func (h *Home) decides(service string, key outcome.Key) ([]outcome.Node, bool) {
-	home, earlier, ok := homeOf(h.config.Board.Snapshot(), h.config.Zones, service, key, h.config.Table.Window)
+func (o *KeyOwner) ownsKey(service string, key outcome.Key) ([]outcome.Node, bool) {
+	owner, earlier, ok := ownerOf(o.config.Board.Snapshot(), o.config.Zones, service, key, o.config.Table.Window)
 	if !ok {
 		return nil, false
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.answersFor(home) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if !o.answersFor(owner) {
 		return nil, false
 	}
-	return slices.DeleteFunc(earlier, h.answersFor), true
+	return slices.DeleteFunc(earlier, o.answersFor), true
 }
 
-func (h *Home) answersFor(home outcome.Node) bool {
-	return home == h.config.Self || h.handovers.answersFor(home)
+func (o *KeyOwner) answersFor(owner outcome.Node) bool {
+	return owner == o.config.Self || o.handovers.answersFor(owner)
 }
 
-// homeOf returns the home of a key. For a key without a time, the nodes that were its home before come with it.
-func homeOf(b *board.Board, zones []string, service string, key outcome.Key, window time.Duration) (outcome.Node, []outcome.Node, bool) {
-	if !key.Home.IsZero() {
-		return key.Home, nil, true
+// ownerOf returns the home of a key. For a key without a time, the nodes that were its home before come with it.
+func ownerOf(b *board.Board, zones []string, service string, key outcome.Key, window time.Duration) (outcome.Node, []outcome.Node, bool) {
+	if !key.Owner.IsZero() {
+		return key.Owner, nil, true
 	}
 	shard := b.Homes.Shards[outcome.ShardOf(zones, key.Text)]
 	if key.Timed {
-		home, ok := shard.Home(service, key.Text, key.UnixMillis)
-		return home, nil, ok
+		owner, ok := shard.Owner(service, key.Text, key.UnixMillis)
+		return owner, nil, ok
 	}
 	now := time.Now()
-	return shard.Current(service, key.Text, now.UnixMilli(), now.Add(-window).UnixMilli())
+	return shard.CurrentOwner(service, key.Text, now.UnixMilli(), now.Add(-window).UnixMilli())
 }
 
 func keyID(service, key string) string {
 	return service + " " + key
 }
 
-func ask(r *call.Request, key outcome.Key, id string) outcome.Ask {
-	return outcome.Ask{
+func copyDetails(r *call.Request, key outcome.Key, id string) outcome.RequestCopy {
+	return outcome.RequestCopy{
 		ID:          id,
 		UnixMillis:  key.UnixMillis,
 		Timed:       key.Timed,
-		Fingerprint: contentSum(r),
+		Fingerprint: contentHash(r),
 		Confirm:     r.Confirm,
 		Age:         time.Since(r.Entered),
 		Token:       uuid.NewString(),
-		Single:      r.KeyMinted && !r.Resent,
+		OnlyCopy:    r.KeyMinted && !r.Resent,
 	}
 }
 
-// contentSum tells requests apart that come under one key.
-func contentSum(r *call.Request) uint64 {
-	return max(hashOf(r, r.Service, r.Method, r.Path), 1)
+// contentHash tells requests apart that come under one key.
+func contentHash(r *call.Request) uint64 {
+	return max(hashRequest(r, r.Service, r.Method, r.Path), 1)
 }
 
-type execution func(ctx context.Context, r *call.Request) call.Reply
+type executeFunc func(ctx context.Context, r *call.Request) call.Reply
 
-// take decides about one copy of a request and returns its answer.
-func (h *Home) take(ctx context.Context, r *call.Request, table *outcome.Table[call.Reply], a outcome.Ask, f execution) call.Reply {
-	verdict, running := h.begin(ctx, r, table, a, f)
+// handleCopy decides about one copy of a request and returns its answer.
+func (o *KeyOwner) handleCopy(ctx context.Context, r *call.Request, table *outcome.Table[call.Reply], details outcome.RequestCopy, execute executeFunc) call.Reply {
+	verdict, execution := o.beginCopy(ctx, r, table, details, execute)
 	switch verdict.Action {
 	case outcome.Run, outcome.Attach:
-		return await(ctx, running)
+		return awaitExecution(ctx, execution)
 	case outcome.Answer:
 		return verdict.Reply
 	case outcome.Challenge:
-		return challenge(r, verdict.Token)
+		return challengeReply(r, verdict.Token)
 	default:
-		return refusals[verdict.Action]
+		return refusalReplies[verdict.Action]
 	}
 }
 
-// refusals are the replies to copies that were neither run nor answered.
-var refusals = map[outcome.Action]call.Reply{
-	outcome.RefuseNotRun: call.Refused(call.NotRun, call.ReasonOverload, homeRetry),
+// refusalReplies are the replies to copies that were neither run nor answered.
+var refusalReplies = map[outcome.Action]call.Reply{
+	outcome.RefuseNotRun: call.Refused(call.NotRun, call.ReasonOverload, ownerRetryAfter),
 	outcome.RefuseReused: call.Refused(call.NotAdmitted, call.ReasonKeyReused, 0),
 	outcome.RefuseTime:   call.Refused(call.NotAdmitted, call.ReasonKeyTime, 0),
 	outcome.RefuseFull:   call.Refused(call.NotAdmitted, call.ReasonMemoryFull, time.Second),
-	outcome.RefuseClosed: call.Refused(call.NotAdmitted, call.ReasonDraining, homeRetry),
+	outcome.RefuseClosed: call.Refused(call.NotAdmitted, call.ReasonDraining, ownerRetryAfter),
 }
 
-// challenge asks the source to send the request again if its caller still waits. An attempt that a home delegated
+// challengeReply asks the source to send the request again if its caller still waits. An attempt that a home delegated
 // and fenced is over.
-func challenge(r *call.Request, token string) call.Reply {
+func challengeReply(r *call.Request, token string) call.Reply {
 	if r.Delegated {
-		return refusals[outcome.RefuseNotRun]
+		return refusalReplies[outcome.RefuseNotRun]
 	}
-	reply := call.Refused(call.NotAdmitted, call.ReasonOverload, homeRetry)
+	reply := call.Refused(call.NotAdmitted, call.ReasonOverload, ownerRetryAfter)
 	reply.Confirm = token
 	return reply
 }
 
-func (h *Home) begin(ctx context.Context, r *call.Request, table *outcome.Table[call.Reply], a outcome.Ask, f execution) (outcome.Verdict[call.Reply], *run) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	verdict := table.Begin(time.Now(), a)
+func (o *KeyOwner) beginCopy(ctx context.Context, r *call.Request, table *outcome.Table[call.Reply], details outcome.RequestCopy, execute executeFunc) (outcome.Verdict[call.Reply], *keyedExecution) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	verdict := table.Begin(time.Now(), details)
 	if verdict.Action == outcome.Run {
-		h.start(ctx, r, table, a, f)
+		o.startExecution(ctx, r, table, details, execute)
 	}
-	return verdict, h.runs[a.ID]
+	return verdict, o.executions[details.ID]
 }
 
-// start runs the request apart from the connection that brought it, so that a later copy finds the answer.
-func (h *Home) start(ctx context.Context, r *call.Request, table *outcome.Table[call.Reply], a outcome.Ask, f execution) {
-	running := &run{done: make(chan struct{})}
-	h.runs[a.ID] = running
-	h.group.Go(func() {
+// startExecution runs the request apart from the connection that brought it, so that a later copy finds the answer.
+func (o *KeyOwner) startExecution(ctx context.Context, r *call.Request, table *outcome.Table[call.Reply], details outcome.RequestCopy, execute executeFunc) {
+	execution := &keyedExecution{done: make(chan struct{})}
+	o.executions[details.ID] = execution
+	o.group.Go(func() {
 		ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), r.Deadline)
 		defer cancel()
-		reply := f(ctx, r)
-		h.settle(table, a.ID, reply)
-		running.reply = reply
-		close(running.done)
+		reply := execute(ctx, r)
+		o.recordOutcome(table, details.ID, reply)
+		execution.reply = reply
+		close(execution.done)
 	})
 }
 
-func (h *Home) settle(table *outcome.Table[call.Reply], id string, reply call.Reply) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.runs, id)
+func (o *KeyOwner) recordOutcome(table *outcome.Table[call.Reply], id string, reply call.Reply) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	delete(o.executions, id)
 	state := outcome.Done
 	if reply.Outcome == call.NotRun {
 		state = outcome.NotRun
 	}
 	remembered := reply
 	remembered.AttemptsUsed = 0
-	table.Settle(time.Now(), id, state, remembered, len(reply.Body)+replyBytes)
+	table.Settle(time.Now(), id, state, remembered, len(reply.Body)+replyOverheadBytes)
 }
 
-func await(ctx context.Context, running *run) call.Reply {
+func awaitExecution(ctx context.Context, execution *keyedExecution) call.Reply {
 	select {
-	case <-running.done:
-		return running.reply
+	case <-execution.done:
+		return execution.reply
 	case <-ctx.Done():
 		return call.Refused(call.Unknown, call.ReasonDeadline, 0)
 	}
 }
 
 // execute runs the request on the local backend server, or passes it on once where that did not run it.
-func (h *Home) execute(ctx context.Context, r *call.Request) call.Reply {
-	reply := h.config.Local.Receive(ctx, r)
+func (o *KeyOwner) execute(ctx context.Context, r *call.Request) call.Reply {
+	reply := o.config.Local.Receive(ctx, r)
 	if reply.Outcome == call.NotAdmitted {
 		reply.Outcome = call.NotRun
 	}
-	if h.mayDelegate(r, reply) {
-		reply = h.delegate(ctx, r, reply)
+	if o.mayDelegate(r, reply) {
+		reply = o.delegate(ctx, r, reply)
 	}
 	if !r.KeyMinted && reply.Failure() == call.ReasonNone {
-		h.config.Budgets.earn(r.Service)
+		o.config.Budgets.earn(r.Service)
 	}
 	return reply
 }
 
 // delegate passes on what was refused here.
-func (h *Home) delegate(ctx context.Context, r *call.Request, refused call.Reply) call.Reply {
-	passed := *r
-	if !takesNothing(&refused) {
-		passed.AttemptsLeft--
+func (o *KeyOwner) delegate(ctx context.Context, r *call.Request, refused call.Reply) call.Reply {
+	delegated := *r
+	if !acceptsNoWork(&refused) {
+		delegated.AttemptsLeft--
 	}
-	reply := h.config.Delegate(ctx, &passed)
-	reply.AttemptsUsed += r.AttemptsLeft - passed.AttemptsLeft
+	reply := o.config.Delegate(ctx, &delegated)
+	reply.AttemptsUsed += r.AttemptsLeft - delegated.AttemptsLeft
 	return reply
 }
 
 // mayDelegate reports whether another instance may run what this one did not, and charges the service's budget where
 // that is a further attempt. For a key that the entry node minted, the entry node itself tries another home.
-func (h *Home) mayDelegate(r *call.Request, reply call.Reply) bool {
+func (o *KeyOwner) mayDelegate(r *call.Request, reply call.Reply) bool {
 	if reply.Outcome != call.NotRun || reply.Final || r.KeyMinted {
 		return false
 	}
-	if takesNothing(&reply) {
+	if acceptsNoWork(&reply) {
 		return true
 	}
-	verdict := h.config.Budgets.decide(r.Service, retry.Attempt{
-		Deeper:       reply.Deeper != call.ReasonNone,
-		AttemptsLeft: r.AttemptsLeft,
-		TimeLeft:     time.Until(r.Deadline),
-		Candidates:   1, // whichever the sender chooses
+	verdict := o.config.Budgets.decide(r.Service, retry.Attempt{
+		FailedDownstream: reply.Deeper != call.ReasonNone,
+		AttemptsLeft:     r.AttemptsLeft,
+		TimeLeft:         time.Until(r.Deadline),
+		Candidates:       1, // whichever the sender chooses
 	})
-	return verdict == retry.TryAgain
+	return verdict == retry.Retry
 }
 
 // Resolve tells what became of an attempt that was sent to this process.
-func (h *Home) Resolve(q peer.Question) peer.Resolution {
-	if q.Key == "" && q.Incarnation == h.config.Self.Incarnation {
-		return h.resolveIdempotent(q)
+func (o *KeyOwner) Resolve(q peer.ResolveQuery) peer.Resolution {
+	if q.Key == "" && q.Incarnation == o.config.Self.Incarnation {
+		return o.resolveIdempotent(q)
 	}
 	key, err := outcome.ParseKey(q.Key)
-	if err != nil || (q.Incarnation != 0 && q.Incarnation != h.config.Self.Incarnation) {
+	if err != nil || (q.Incarnation != 0 && q.Incarnation != o.config.Self.Incarnation) {
 		return peer.Resolution{}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	now := time.Now()
 	id := keyID(q.Service, q.Key)
 	resolution := peer.Resolution{Known: true}
 	switch {
 	case q.Delegated:
-		resolution.State, resolution.Reply = h.delegated.Resolve(now, q.AttemptID)
-	case q.Move && h.answersFor(q.MoveTo):
+		resolution.State, resolution.Reply = o.delegated.Resolve(now, q.AttemptID)
+	case q.Move && o.answersFor(q.MoveTo):
 		return peer.Resolution{}
 	case q.Move:
-		a := outcome.Ask{ID: id, UnixMillis: key.UnixMillis, Timed: key.Timed}
-		moving := h.keys.Move(now, a, q.MoveTo)
-		resolution.State, resolution.Reply, resolution.Fingerprint = moving.State, moving.Reply, moving.Fingerprint
+		details := outcome.RequestCopy{ID: id, UnixMillis: key.UnixMillis, Timed: key.Timed}
+		moved := o.keys.Move(now, details, q.MoveTo)
+		resolution.State, resolution.Reply, resolution.Fingerprint = moved.State, moved.Reply, moved.Fingerprint
 	default:
-		resolution.State, resolution.Reply = h.keys.Resolve(now, id)
+		resolution.State, resolution.Reply = o.keys.Resolve(now, id)
 	}
 	return resolution
 }
 
 // resolveIdempotent tells whether an attempt of an idempotent request, which has no key, is still being worked on.
-func (h *Home) resolveIdempotent(q peer.Question) peer.Resolution {
-	if h.open.has(q.AttemptID) {
+func (o *KeyOwner) resolveIdempotent(q peer.ResolveQuery) peer.Resolution {
+	if o.open.has(q.AttemptID) {
 		return peer.Resolution{Known: true, State: outcome.Running}
 	}
 	return peer.Resolution{Known: true, State: outcome.Absent}
--- a/internal/traffic/flow/home_test.go
+++ b/internal/traffic/flow/home_test.go
@@ -22,9 +22,9 @@
 
 var selfMember = membership.Member{}
 
-var testBudget = retry.BudgetConfig{PerSuccess: 0.5, Max: 2}
+var testBudget = retry.BudgetConfig{EarnRatio: 0.5, Max: 2}
 
-var homeSelf = outcome.Node{Name: "access_0", Incarnation: 7}
+var selfNode = outcome.Node{Name: "access_0", Incarnation: 7}
 
 var (
 	ranReply      = call.Reply{Outcome: call.Ran, Status: 200, Body: []byte("booked")}
@@ -33,27 +33,27 @@
 	lostReply     = call.Refused(call.Unknown, call.ReasonBackendFailed, 0)
 )
 
-// runner answers with one reply after the other, and counts.
-type runner struct {
+// scriptedRunner answers with one reply after the other, and counts.
+type scriptedRunner struct {
 	replies []call.Reply
 	runs    int
 }
 
-func (f *runner) Receive(context.Context, *call.Request) call.Reply {
+func (f *scriptedRunner) Receive(context.Context, *call.Request) call.Reply {
 	reply := f.replies[min(f.runs, len(f.replies)-1)]
 	f.runs++
 	return reply
 }
 
-func newTestHome(local, other *runner) *Home {
-	return NewHome(HomeConfig{
+func newTestKeyOwner(local, other *scriptedRunner) *KeyOwner {
+	return NewKeyOwner(KeyOwnerConfig{
 		Board:    board.NewLoop(board.Board{}),
-		Self:     homeSelf,
+		Self:     selfNode,
 		Local:    local,
 		Delegate: other.Receive,
 		Budgets:  NewBudgets(testBudget),
 		Load:     func() call.Load { return call.Load{} },
-		Table:    outcome.TableConfig{Window: time.Minute, Ahead: time.Minute, MaxKeys: 100, MaxBytes: 1 << 20},
+		Table:    outcome.TableConfig{Window: time.Minute, MaxAhead: time.Minute, MaxKeys: 100, MaxBytes: 1 << 20},
 	})
 }
 
@@ -72,7 +72,7 @@
 		Service:      "access",
 		Method:       "POST",
 		Path:         "/bookings",
-		Key:          outcome.Mint(homeSelf, uuidOf(time.Now())),
+		Key:          outcome.Mint(selfNode, uuidOf(time.Now())),
 		Deadline:     time.Now().Add(time.Minute),
 		AttemptsLeft: 1,
 		Entered:      entered,
@@ -97,8 +97,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			local, other := &runner{replies: []call.Reply{tc.local}}, &runner{replies: []call.Reply{tc.other}}
-			h := newTestHome(local, other)
+			local, other := &scriptedRunner{replies: []call.Reply{tc.local}}, &scriptedRunner{replies: []call.Reply{tc.other}}
+			h := newTestKeyOwner(local, other)
 			r := booking(time.Now())
 			r.AttemptsLeft = tc.attempts
 			reply := h.Receive(t.Context(), r)
@@ -117,8 +117,8 @@
 // answer that is remembered costs nothing and is given.
 func TestDelegationIsChargedToTheBudget(t *testing.T) {
 	is := is.New(t)
-	local, other := &runner{replies: []call.Reply{shedReply}}, &runner{replies: []call.Reply{ranReply, shedReply}}
-	h := newTestHome(local, other)
+	local, other := &scriptedRunner{replies: []call.Reply{shedReply}}, &scriptedRunner{replies: []call.Reply{ranReply, shedReply}}
+	h := newTestKeyOwner(local, other)
 	first := booking(time.Now())
 	is.Equal(h.Receive(t.Context(), first).Outcome, call.Ran) // takes one of two tokens and earns half of one
 	is.Equal(h.Receive(t.Context(), booking(time.Now())).Outcome, call.NotRun)
@@ -136,26 +136,26 @@
 
 // A copy that entered before a caller was told not_run stays out; a later resend runs.
 func TestLateCopyOfWhatWasToldNotRun(t *testing.T) {
-	synctest.Test(t, lateCopy)
+	synctest.Test(t, testLateCopy)
 }
 
-func lateCopy(t *testing.T) {
+func testLateCopy(t *testing.T) {
 	is := is.New(t)
-	local := &runner{replies: []call.Reply{shedReply, ranReply}}
-	h := newTestHome(local, &runner{replies: []call.Reply{shedReply}})
+	local := &scriptedRunner{replies: []call.Reply{shedReply, ranReply}}
+	h := newTestKeyOwner(local, &scriptedRunner{replies: []call.Reply{shedReply}})
 	x := &exchange{local: h}
 	first := booking(time.Now())
 	first.AttemptsLeft = 0
 	late := *first
 	is.Equal(h.Receive(t.Context(), first).Outcome, call.NotRun)
-	reply, err := x.call(t.Context(), selfMember, &late)
+	reply, err := x.callKeyed(t.Context(), selfMember, &late)
 	is.NoErr(err)
 	is.Equal(reply.Outcome, call.NotRun)
 	is.Equal(local.runs, 1)
 	time.Sleep(time.Millisecond)
 	resend := *first
 	resend.Entered = time.Now()
-	reply, err = x.call(t.Context(), selfMember, &resend)
+	reply, err = x.callKeyed(t.Context(), selfMember, &resend)
 	is.NoErr(err)
 	is.Equal(reply.Outcome, call.Ran)
 }
@@ -164,37 +164,37 @@
 // not_run.
 func TestResendAfterLostAnswerThatIsShed(t *testing.T) {
 	is := is.New(t)
-	local := &runner{replies: []call.Reply{ranReply, shedReply}}
-	h := newTestHome(local, &runner{replies: []call.Reply{shedReply}})
+	local := &scriptedRunner{replies: []call.Reply{ranReply, shedReply}}
+	h := newTestKeyOwner(local, &scriptedRunner{replies: []call.Reply{shedReply}})
 	r := booking(time.Now())
 	is.Equal(h.Receive(t.Context(), r).Outcome, call.Ran)
 	again := h.Receive(t.Context(), r)
 	is.Equal(again.Outcome, call.Ran)
 	is.Equal(string(again.Body), "booked")
 
-	e := newEntry(throttle.DefaultConfig)
+	e := newEntryThrottles(throttle.DefaultConfig)
 	refusal, admitted := call.Reply{}, true
 	for range 1000 {
-		if refusal, admitted = e.offer(time.Now(), r); !admitted {
+		if refusal, admitted = e.admit(time.Now(), r); !admitted {
 			break
 		}
-		e.learn(time.Now(), r, &shedReply)
+		e.observe(time.Now(), r, &shedReply)
 	}
 	is.True(!admitted)
 	is.Equal(refusal.Outcome, call.NotAdmitted)
 }
 
-// boardWithEarlierHome returns a board on which another node was the home of all keys before this one, whose epoch
+// boardWithEarlierOwner returns a board on which another node was the home of all keys before this one, whose epoch
 // ends after the time.
-func boardWithEarlierHome(lasts time.Duration) board.Board {
+func boardWithEarlierOwner(epochLength time.Duration) board.Board {
 	earlier := outcome.Node{Name: "access_1", Incarnation: 3}
 	now := time.Now().UnixMilli()
-	until := now + lasts.Milliseconds()
+	until := now + epochLength.Milliseconds()
 	return board.Board{
 		Members: board.Members{ByNode: map[string]membership.Member{earlier.Name: {Node: earlier.Name, Incarnation: earlier.Incarnation}}},
 		Homes: board.Homes{Shards: map[string]outcome.Shard{"lisbon": {Epochs: []outcome.Epoch{
 			{Start: now - 1000, Until: now, Members: []outcome.Member{{Node: earlier}}},
-			{Start: now, Until: until, Members: []outcome.Member{{Node: homeSelf}}},
+			{Start: now, Until: until, Members: []outcome.Member{{Node: selfNode}}},
 		}}}},
 	}
 }
@@ -213,11 +213,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				local := &runner{replies: []call.Reply{ranReply}}
-				h := newTestHome(local, local)
-				h.config.Board = board.NewLoop(boardWithEarlierHome(4 * time.Second))
+				local := &scriptedRunner{replies: []call.Reply{ranReply}}
+				h := newTestKeyOwner(local, local)
+				h.config.Board = board.NewLoop(boardWithEarlierOwner(4 * time.Second))
 				h.config.Zones = []string{"lisbon"}
-				h.config.Ask = func(context.Context, string, peer.Question) (peer.Resolution, error) {
+				h.config.ResolveAt = func(context.Context, string, peer.ResolveQuery) (peer.Resolution, error) {
 					time.Sleep(tc.answer)
 					return peer.Resolution{Known: true, State: outcome.Moved}, nil
 				}
@@ -241,12 +241,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h := newTestHome(&runner{}, &runner{})
-			h.config.Board = board.NewLoop(boardWithEarlierHome(time.Minute))
+			h := newTestKeyOwner(&scriptedRunner{}, &scriptedRunner{})
+			h.config.Board = board.NewLoop(boardWithEarlierOwner(time.Minute))
 			h.config.Zones = []string{"lisbon"}
-			h.config.Ask = func(context.Context, string, peer.Question) (peer.Resolution, error) {
+			h.config.ResolveAt = func(context.Context, string, peer.ResolveQuery) (peer.Resolution, error) {
 				if tc.leaving {
-					h.leave()
+					h.beginLeaving()
 				}
 				return peer.Resolution{}, nil
 			}
@@ -268,10 +268,10 @@
 	names := ""
 	for i, n := range chain {
 		members[n.Name] = membership.Member{Node: n.Name, Incarnation: n.Incarnation, AnswersFor: names}
-		names = homeName(chain[i]) + " " + names
+		names = ownerName(chain[i]) + " " + names
 	}
 	for range 100 { // the order of a map differs
-		m, ok := heir(&board.Board{Members: board.Members{ByNode: members}}, home)
+		m, ok := handoverRecipient(&board.Board{Members: board.Members{ByNode: members}}, home)
 		is.True(ok)
 		is.Equal(m.Incarnation, uint64(6))
 	}
@@ -281,7 +281,7 @@
 func TestMovedKeyOfAnotherRequest(t *testing.T) {
 	r := booking(time.Now())
 	r.Key = "booking-17"
-	same := contentSum(r)
+	same := contentHash(r)
 	for name, tc := range map[string]struct {
 		resolution peer.Resolution
 		want       call.Outcome
@@ -296,10 +296,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h := newTestHome(&runner{replies: []call.Reply{ranReply}}, &runner{})
-			h.config.Board = board.NewLoop(boardWithEarlierHome(time.Minute))
+			h := newTestKeyOwner(&scriptedRunner{replies: []call.Reply{ranReply}}, &scriptedRunner{})
+			h.config.Board = board.NewLoop(boardWithEarlierOwner(time.Minute))
 			h.config.Zones = []string{"lisbon"}
-			h.config.Ask = func(context.Context, string, peer.Question) (peer.Resolution, error) {
+			h.config.ResolveAt = func(context.Context, string, peer.ResolveQuery) (peer.Resolution, error) {
 				tc.resolution.Known = true
 				return tc.resolution, nil
 			}
--- a/internal/traffic/flow/keyed.go
+++ b/internal/traffic/flow/keyed.go
@@ -16,8 +16,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// KeyedConfig sets a KeyedSender up.
-type KeyedConfig struct {
+// KeyedSenderConfig sets a KeyedSender up.
+type KeyedSenderConfig struct {
 	Board  *board.Loop
 	Sender *Sender
 	// Zones are all availability zones; the same list everywhere.
@@ -29,13 +29,13 @@
 // KeyedSender is where requests enter a node. It gives a key to each non-idempotent request without one, and sends
 // a request with a caller's key to the home of the key. Idempotent requests go straight to the Sender.
 type KeyedSender struct {
-	config   KeyedConfig
-	silences *silences
+	config      KeyedSenderConfig
+	silentNodes *silentNodes
 }
 
 // NewKeyedSender returns a sender.
-func NewKeyedSender(config KeyedConfig) *KeyedSender {
-	return &KeyedSender{config: config, silences: newSilences(config.Sender.config.Peers)}
+func NewKeyedSender(config KeyedSenderConfig) *KeyedSender {
+	return &KeyedSender{config: config, silentNodes: newSilentNodes(config.Sender.config.Peers)}
 }
 
 // Send sends the request on and returns the reply.
@@ -56,81 +56,81 @@
 	if !admitted {
 		return reply
 	}
-	reply = k.sendHome(ctx, r, key)
-	k.config.Sender.learn(r, &reply)
+	reply = k.sendToOwner(ctx, r, key)
+	k.config.Sender.observe(r, &reply)
 	return reply
 }
 
-// relocatePause is the time before another look at who decides about a key, while that changes hands.
-const relocatePause = 25 * time.Millisecond
+// ownerPollInterval is the time before another look at who decides about a key, while that changes hands.
+const ownerPollInterval = 25 * time.Millisecond
 
-// sendHome sends the request to the node that decides about its key, with a part of its attempts.
-func (k *KeyedSender) sendHome(ctx context.Context, r *call.Request, key outcome.Key) call.Reply {
+// sendToOwner sends the request to the node that decides about its key, with a part of its attempts.
+func (k *KeyedSender) sendToOwner(ctx context.Context, r *call.Request, key outcome.Key) call.Reply {
 	attempt := *r
 	attempt.AttemptsLeft = r.Attempts.Lend()
-	reply := k.follow(ctx, &attempt, key)
-	reply.AttemptsUsed = spent(&reply, attempt.AttemptsLeft)
+	reply := k.followOwner(ctx, &attempt, key)
+	reply.AttemptsUsed = attemptsUsed(&reply, attempt.AttemptsLeft)
 	r.Attempts.Return(attempt.AttemptsLeft, reply.AttemptsUsed)
 	return reply
 }
 
-// follow sends the attempt to the node that decides about its key, and follows the key while it changes hands.
-func (k *KeyedSender) follow(ctx context.Context, attempt *call.Request, key outcome.Key) call.Reply {
+// followOwner sends the attempt to the node that decides about its key, and follows the key while it changes hands.
+func (k *KeyedSender) followOwner(ctx context.Context, attempt *call.Request, key outcome.Key) call.Reply {
 	start := time.Now()
 	useSuccessor := false
 	for {
-		target, refusal, ok := k.locate(attempt.Service, key, useSuccessor)
+		target, refusal, ok := k.locateOwner(attempt.Service, key, useSuccessor)
 		if !ok {
-			return openly(refusal, attempt.Resent)
+			return unknownIfResent(refusal, attempt.Resent)
 		}
-		if !k.silences.answers(ctx, target.PeerAddress) {
-			return openly(call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, homeRetry), attempt.Resent)
+		if !k.silentNodes.isResponsive(ctx, target.PeerAddress) {
+			return unknownIfResent(call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, ownerRetryAfter), attempt.Resent)
 		}
-		reply, err := k.config.Sender.toHome(ctx, target.Member, attempt)
-		k.silences.note(target.PeerAddress, err)
-		if err == nil && !moved(reply) {
-			return openly(reply, attempt.Resent)
+		reply, err := k.config.Sender.callOwner(ctx, target.Member, attempt)
+		k.silentNodes.observe(target.PeerAddress, err)
+		if err == nil && !isNotOwnerReply(reply) {
+			return unknownIfResent(reply, attempt.Resent)
 		}
 		useSuccessor = !useSuccessor
-		if time.Since(start) > k.patience(target) || !pause.For(ctx, relocatePause) {
-			return openly(unreached(reply, err), attempt.Resent)
+		if time.Since(start) > k.followTimeout(target) || !pause.For(ctx, ownerPollInterval) {
+			return unknownIfResent(unreachedReply(reply, err), attempt.Resent)
 		}
 	}
 }
 
-// relocatePatience is how long a key that changes hands is followed.
-const relocatePatience = 2 * time.Second
+// ownerChangeTimeout is how long a key that changes hands is followed.
+const ownerChangeTimeout = 2 * time.Second
 
-// presumedPatience is how long a key is followed whose home is only presumed: as long as a change of members takes to
+// presumedOwnerTimeout is how long a key is followed whose home is only presumed: as long as a change of members takes to
 // spread.
-const presumedPatience = time.Second
+const presumedOwnerTimeout = time.Second
 
-// patience is how long a key is followed whose home is the target. The ends of the own zone are known here, so what its
+// followTimeout is how long a key is followed whose home is the target. The ends of the own zone are known here, so what its
 // members refuse is refused at once where they are only presumed.
-func (k *KeyedSender) patience(target place) time.Duration {
+func (k *KeyedSender) followTimeout(target keyLocation) time.Duration {
 	switch {
 	case !target.presumed:
-		return relocatePatience
+		return ownerChangeTimeout
 	case target.Zone == k.config.Board.Snapshot().Self.Zone && target.State == membership.Up:
 		return 0
 	}
-	return presumedPatience
+	return presumedOwnerTimeout
 }
 
-// moved reports whether the node refused because it does not, or no longer, decide about the key.
-func moved(r call.Reply) bool {
+// isNotOwnerReply reports whether the node refused because it does not, or no longer, decide about the key.
+func isNotOwnerReply(r call.Reply) bool {
 	return r.Outcome == call.NotAdmitted && (r.Reason == call.ReasonDraining || r.Reason == call.ReasonHomeUnknown)
 }
 
-// openly turns a refusal into unknown where an earlier copy was sent whose fate is open.
-func openly(r call.Reply, open bool) call.Reply {
-	if r.Outcome == call.NotAdmitted && open {
+// unknownIfResent turns a refusal into unknown where an earlier copy was sent whose fate is open.
+func unknownIfResent(r call.Reply, resent bool) call.Reply {
+	if r.Outcome == call.NotAdmitted && resent {
 		return call.Refused(call.Unknown, call.ReasonPeerSilent, 0)
 	}
 	return r
 }
 
-func unreached(r call.Reply, err error) call.Reply {
+func unreachedReply(r call.Reply, err error) call.Reply {
 	if err == nil {
 		return r
 	}
@@ -138,11 +138,11 @@
 	if errors.As(err, &failure) && failure.Sent {
 		return call.Refused(call.Unknown, failure.Reason, 0)
 	}
-	return call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, homeRetry)
+	return call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, ownerRetryAfter)
 }
 
-// place is the node that decides about a key.
-type place struct {
+// keyLocation is the node that decides about a key.
+type keyLocation struct {
 	membership.Member
 
 	// presumed says that the end of the epochs which is known here has passed: only the members of the last epoch know
@@ -150,30 +150,30 @@
 	presumed bool
 }
 
-// locate returns the node that decides about the key, or the reply where there is none. While the home of a key
+// locateOwner returns the node that decides about the key, or the reply where there is none. While the home of a key
 // leaves, its successor is asked in turn with it.
-func (k *KeyedSender) locate(service string, key outcome.Key, useSuccessor bool) (place, call.Reply, bool) {
+func (k *KeyedSender) locateOwner(service string, key outcome.Key, useSuccessor bool) (keyLocation, call.Reply, bool) {
 	b := k.config.Board.Snapshot()
-	home, _, agreed := homeOf(b, k.config.Zones, service, key, k.config.Window)
+	owner, _, agreed := ownerOf(b, k.config.Zones, service, key, k.config.Window)
 	if agreed {
-		m, refusal, ok := answering(b, home, useSuccessor)
-		return place{Member: m}, refusal, ok
+		m, refusal, ok := memberFor(b, owner, useSuccessor)
+		return keyLocation{Member: m}, refusal, ok
 	}
-	refusal := noHome(key, time.Now(), k.config.Window)
-	home, presumed := presumedHome(b, k.config.Zones, service, key)
+	refusal := noOwnerReply(key, time.Now(), k.config.Window)
+	owner, presumed := presumedOwner(b, k.config.Zones, service, key)
 	if !presumed || refusal.Reason != call.ReasonHomeUnknown {
-		return place{}, refusal, false
+		return keyLocation{}, refusal, false
 	}
-	m, _, ok := answering(b, home, useSuccessor)
-	return place{Member: m, presumed: true}, refusal, ok
+	m, _, ok := memberFor(b, owner, useSuccessor)
+	return keyLocation{Member: m, presumed: true}, refusal, ok
 }
 
-// presumedHome returns the node to ask about a key whose home is not known here. Nobody is asked in a zone that is not
+// presumedOwner returns the node to ask about a key whose home is not known here. Nobody is asked in a zone that is not
 // reached: the answer would be that the fate of the request is unknown.
-func presumedHome(b *board.Board, zones []string, service string, key outcome.Key) (outcome.Node, bool) {
+func presumedOwner(b *board.Board, zones []string, service string, key outcome.Key) (outcome.Node, bool) {
 	shard := b.Homes.Shards[outcome.ShardOf(zones, key.Text)]
-	keeper := shard.Last().Zone
-	_, unreached := b.Reach.Unreached[keeper]
+	zone := shard.Last().Zone
+	_, unreached := b.Reach.Unreached[zone]
 	if unreached {
 		return outcome.Node{}, false
 	}
@@ -181,60 +181,60 @@
 	if !key.Timed {
 		millis = time.Now().UnixMilli()
 	}
-	return shard.Presumed(service, key.Text, millis)
+	return shard.PresumedOwner(service, key.Text, millis)
 }
 
-// answering returns the member that answers for the keys of the home, or the reply where there is none.
-func answering(b *board.Board, home outcome.Node, useSuccessor bool) (membership.Member, call.Reply, bool) {
-	if m, ok := present(b, home); ok {
+// memberFor returns the member that answers for the keys of the home, or the reply where there is none.
+func memberFor(b *board.Board, owner outcome.Node, useSuccessor bool) (membership.Member, call.Reply, bool) {
+	if m, ok := memberAnsweringFor(b, owner); ok {
 		if successor, ok := b.Members.ByNode[m.Successor]; ok && useSuccessor {
 			return successor, call.Reply{}, true
 		}
 		return m, call.Reply{}, true
 	}
-	m, restarted := b.Members.ByNode[home.Name]
+	m, restarted := b.Members.ByNode[owner.Name]
 	if restarted {
 		return m, call.Refused(call.Unknown, call.ReasonHomeUnknown, 0), false
 	}
-	return m, call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, homeRetry), false
+	return m, call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, ownerRetryAfter), false
 }
 
-// noHome tells a key whose time can never be right from one whose home is not agreed yet.
-func noHome(key outcome.Key, now time.Time, window time.Duration) call.Reply {
+// noOwnerReply tells a key whose time can never be right from one whose home is not agreed yet.
+func noOwnerReply(key outcome.Key, now time.Time, window time.Duration) call.Reply {
 	ahead := time.UnixMilli(key.UnixMillis).Sub(now)
-	if key.Timed && (ahead < -window || ahead > keyAhead) {
+	if key.Timed && (ahead < -window || ahead > maxKeyTimeAhead) {
 		return call.Refused(call.NotAdmitted, call.ReasonKeyTime, 0)
 	}
-	return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, homeRetry)
+	return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, ownerRetryAfter)
 }
 
-// keyAhead is how far ahead of the node's clock the time of a key may lie and still be worth another try.
-const keyAhead = 30 * time.Second
+// maxKeyTimeAhead is how far ahead of the node's clock the time of a key may lie and still be worth another try.
+const maxKeyTimeAhead = 30 * time.Second
 
-// present returns the member that answers for the keys of a node: the one to which they were handed over, or the node
+// memberAnsweringFor returns the member that answers for the keys of a node: the one to which they were handed over, or the node
 // itself.
-func present(b *board.Board, home outcome.Node) (membership.Member, bool) {
-	if m, ok := heir(b, home); ok {
+func memberAnsweringFor(b *board.Board, owner outcome.Node) (membership.Member, bool) {
+	if m, ok := handoverRecipient(b, owner); ok {
 		return m, true
 	}
-	m, known := b.Members.ByNode[home.Name]
-	return m, known && m.Incarnation == home.Incarnation
+	m, known := b.Members.ByNode[owner.Name]
+	return m, known && m.Incarnation == owner.Incarnation
 }
 
-// KnowsHome reports whether the board shows who answers for the keys of the node.
-func KnowsHome(b *board.Board, home outcome.Node) bool {
-	_, ok := present(b, home)
+// KnowsOwner reports whether the board shows who answers for the keys of the node.
+func KnowsOwner(b *board.Board, owner outcome.Node) bool {
+	_, ok := memberAnsweringFor(b, owner)
 	return ok
 }
 
-// heir returns the member to which the keys of the node were handed over, and by which they were not handed on: the
+// handoverRecipient returns the member to which the keys of the node were handed over, and by which they were not handed on: the
 // record of one that has left may still stand on the board.
-func heir(b *board.Board, home outcome.Node) (membership.Member, bool) {
+func handoverRecipient(b *board.Board, owner outcome.Node) (membership.Member, bool) {
 	var latest membership.Member
 	found := false
 	for _, m := range b.Members.ByNode {
-		holds := answersFor(m, home)
-		if holds && (!found || answersFor(m, outcome.Node{Name: latest.Node, Incarnation: latest.Incarnation})) {
+		answers := answersFor(m, owner)
+		if answers && (!found || answersFor(m, outcome.Node{Name: latest.Node, Incarnation: latest.Incarnation})) {
 			latest, found = m, true
 		}
 	}
@@ -242,8 +242,8 @@
 }
 
 // answersFor reports whether the member says that it has the keys of the node.
-func answersFor(m membership.Member, home outcome.Node) bool {
-	return m.AnswersFor != "" && strings.Contains(" "+m.AnswersFor+" ", " "+homeName(home)+" ")
+func answersFor(m membership.Member, owner outcome.Node) bool {
+	return m.AnswersFor != "" && strings.Contains(" "+m.AnswersFor+" ", " "+ownerName(owner)+" ")
 }
 
 // admit refuses a root request with a caller's key that would be shed further down.
@@ -251,20 +251,20 @@
 	if r.Depth > 0 {
 		return call.Reply{}, true
 	}
-	return s.entry.offer(time.Now(), r)
+	return s.entryThrottles.admit(time.Now(), r)
 }
 
-func (s *Sender) learn(r *call.Request, reply *call.Reply) {
+func (s *Sender) observe(r *call.Request, reply *call.Reply) {
 	if r.Depth == 0 {
-		s.entry.learn(time.Now(), r, reply)
+		s.entryThrottles.observe(time.Now(), r, reply)
 	}
 }
 
-// toHome sends the attempt to the node that decides about its key.
-func (s *Sender) toHome(ctx context.Context, target membership.Member, attempt *call.Request) (call.Reply, error) {
+// callOwner sends the attempt to the node that decides about its key.
+func (s *Sender) callOwner(ctx context.Context, target membership.Member, attempt *call.Request) (call.Reply, error) {
 	start := time.Now()
 	s.views.begin(target.Node, attempt.Root.Rank)
-	reply, err := s.exchange().call(ctx, target, attempt)
+	reply, err := s.exchange().callKeyed(ctx, target, attempt)
 	s.views.end(target.Node, start, time.Now(), attempt, reply)
 	return reply, err
 }
@@ -276,36 +276,36 @@
 	for {
 		target, ok := s.choose(r, tried)
 		if !ok {
-			return call.Refused(call.NotRun, call.ReasonNoInstance, noInstanceRetry)
+			return call.Refused(call.NotRun, call.ReasonNoInstance, noInstanceRetryAfter)
 		}
-		passed := *r
-		passed.Delegated = true
-		passed.Resent = false
-		reply := s.decided(ctx, target, &passed)
-		if !isLeaving(reply) {
+		delegated := *r
+		delegated.Delegated = true
+		delegated.Resent = false
+		reply := s.callSoleOwner(ctx, target, &delegated)
+		if !isDrainingReply(reply) {
 			return reply
 		}
 		tried = append(tried, target.Node)
 	}
 }
 
-// isLeaving reports whether an instance refused because it leaves.
-func isLeaving(r call.Reply) bool {
+// isDrainingReply reports whether an instance refused because it leaves.
+func isDrainingReply(r call.Reply) bool {
 	return r.Outcome == call.NotRun && r.Reason == call.ReasonDraining
 }
 
-// mint gives the request a key that names the target as its home. Each attempt gets its own, because the caller has
+// mintKey gives the request a key that names the target as its home. Each attempt gets its own, because the caller has
 // not seen the earlier ones.
-func mint(r *call.Request, target membership.Member) {
-	home := outcome.Node{Name: target.Node, Incarnation: target.Incarnation}
-	r.Key = outcome.Mint(home, uuid.Must(uuid.NewV7()))
+func mintKey(r *call.Request, target membership.Member) {
+	owner := outcome.Node{Name: target.Node, Incarnation: target.Incarnation}
+	r.Key = outcome.Mint(owner, uuid.Must(uuid.NewV7()))
 }
 
-// decided sends an attempt that nobody else can have sent, and returns what became of it.
-func (s *Sender) decided(ctx context.Context, target membership.Member, attempt *call.Request) call.Reply {
-	reply, err := s.toHome(ctx, target, attempt)
+// callSoleOwner sends an attempt that nobody else can have sent, and returns what became of it.
+func (s *Sender) callSoleOwner(ctx context.Context, target membership.Member, attempt *call.Request) call.Reply {
+	reply, err := s.callOwner(ctx, target, attempt)
 	if err != nil {
-		return failedReply(err, attempt)
+		return failureReply(err, attempt)
 	}
 	if reply.Outcome != call.NotAdmitted {
 		return reply
@@ -315,17 +315,17 @@
 	}
 	refusal := call.Refused(call.NotRun, reply.Reason, reply.RetryAfter)
 	if reply.Reason == call.ReasonKeyTime {
-		refusal = call.Refused(call.NotRun, call.ReasonHomeUnknown, homeRetry)
+		refusal = call.Refused(call.NotRun, call.ReasonHomeUnknown, ownerRetryAfter)
 	}
 	return refusal
 }
 
 func (s *Sender) exchange() *exchange {
 	return &exchange{
-		peers: s.config.Peers,
-		local: s.config.Receiver,
-		paces: s.paces,
-		log:   s.config.Events,
-		self:  s.config.Board.Snapshot().Self.Node,
+		peers:            s.config.Peers,
+		local:            s.config.Receiver,
+		typicalDurations: s.typicalDurations,
+		log:              s.config.Events,
+		self:             s.config.Board.Snapshot().Self.Node,
 	}
 }
--- a/internal/traffic/flow/open.go
+++ b/internal/traffic/flow/open.go
@@ -5,31 +5,31 @@
 // openAttempts are the attempts of idempotent requests that this node has and has not answered. Nothing is remembered
 // of those that ended: their sender may try again.
 type openAttempts struct {
-	mu    sync.Mutex
-	count map[string]int
+	mu     sync.Mutex
+	counts map[string]int
 }
 
 func newOpenAttempts() *openAttempts {
-	return &openAttempts{count: map[string]int{}}
+	return &openAttempts{counts: map[string]int{}}
 }
 
 func (o *openAttempts) begin(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.count[id]++
+	o.counts[id]++
 }
 
 func (o *openAttempts) end(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.count[id]--
-	if o.count[id] <= 0 {
-		delete(o.count, id)
+	o.counts[id]--
+	if o.counts[id] <= 0 {
+		delete(o.counts, id)
 	}
 }
 
 func (o *openAttempts) has(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.count[id] > 0
+	return o.counts[id] > 0
 }
--- a/internal/traffic/flow/pace_test.go
+++ b/internal/traffic/flow/pace_test.go
@@ -12,21 +12,21 @@
 		usual time.Duration
 		want  time.Duration
 	}{
-		"unknown":             {0, progressBound},
-		"quick work":          {10 * time.Millisecond, progressBound},
+		"unknown":             {0, minCheckDelay},
+		"quick work":          {10 * time.Millisecond, minCheckDelay},
 		"work that is slow":   {400 * time.Millisecond, 800 * time.Millisecond},
-		"work that is slower": {5 * time.Second, maxProgressBound},
+		"work that is slower": {5 * time.Second, maxCheckDelay},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := newPaces()
+			p := newTypicalDurations()
 			k := workKind{service: "venues", kind: "halls"}
 			for range 100 {
-				p.learn(k, test.usual)
+				p.observe(k, test.usual)
 			}
-			is.Equal(p.bound(k), test.want)
-			is.Equal(p.bound(workKind{service: "venues", kind: "schedules"}), progressBound)
+			is.Equal(p.checkDelay(k), test.want)
+			is.Equal(p.checkDelay(workKind{service: "venues", kind: "schedules"}), minCheckDelay)
 		})
 	}
 }
--- a/internal/traffic/flow/presumed_test.go
+++ b/internal/traffic/flow/presumed_test.go
@@ -32,7 +32,7 @@
 				Homes: board.Homes{Shards: map[string]outcome.Shard{"lisbon_2": shard}},
 				Reach: board.Reach{Unreached: map[string]time.Time{c.unreached: {}}},
 			}
-			got, found := presumedHome(b, []string{"lisbon_2"}, "bookings", c.key)
+			got, found := presumedOwner(b, []string{"lisbon_2"}, "bookings", c.key)
 			is.Equal(found, c.found)
 			is.True(!found || got == home)
 		})
--- a/internal/traffic/flow/quarantine.go
+++ b/internal/traffic/flow/quarantine.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	// blamesLength is how many blames may wait to be told to other nodes. Further ones are dropped.
-	blamesLength = 256
+	// blameQueueLength is how many blames may wait to be told to other nodes. Further ones are dropped.
+	blameQueueLength = 256
 	// blameTimeout bounds the telling of one node.
 	blameTimeout = time.Second
 )
@@ -44,7 +44,7 @@
 func NewQuarantine(config QuarantineConfig) *Quarantine {
 	return &Quarantine{
 		config: config,
-		blames: make(chan quarantine.Blame, blamesLength),
+		blames: make(chan quarantine.Blame, blameQueueLength),
 		table:  quarantine.NewTable(config.Table),
 	}
 }
@@ -56,7 +56,7 @@
 		case <-ctx.Done():
 			return
 		case b := <-q.blames:
-			q.tell(ctx, b)
+			q.broadcast(ctx, b)
 		}
 	}
 }
@@ -78,16 +78,16 @@
 // guard runs the request unless it is quarantined, and learns from how the run ended.
 func (q *Quarantine) guard(r *call.Request, run func() call.Reply) call.Reply {
 	f := quarantine.NewFingerprint(r.Service, r.Kind, r.Method, r.Path, r.Body)
-	began := time.Now()
-	verdict := q.begin(began, f, r.Crashes)
+	start := time.Now()
+	verdict := q.begin(start, f, r.Crashes)
 	switch verdict.Action {
 	case quarantine.Refuse:
 		return call.Refused(call.NotRun, call.ReasonQuarantined, verdict.RetryAfter)
-	case quarantine.Later:
+	case quarantine.RetryLater:
 		return call.Refused(call.NotRun, call.ReasonSuspected, verdict.RetryAfter)
 	}
-	ending := quarantine.Open
-	defer func() { q.end(f, began, ending) }()
+	ending := quarantine.Inconclusive
+	defer func() { q.end(f, start, ending) }()
 	reply := run()
 	ending = endingOf(&reply)
 	return reply
@@ -96,15 +96,15 @@
 func endingOf(reply *call.Reply) quarantine.Ending {
 	switch {
 	case reply.Outcome == call.Ran:
-		return quarantine.Well
-	case crashed(reply):
+		return quarantine.Answered
+	case isCrash(reply):
 		return quarantine.Broken
 	}
-	return quarantine.Open
+	return quarantine.Inconclusive
 }
 
-// crashed reports whether the backend server broke the connection while it ran the request.
-func crashed(reply *call.Reply) bool {
+// isCrash reports whether the backend server broke the connection while it ran the request.
+func isCrash(reply *call.Reply) bool {
 	return reply.Outcome == call.Unknown && reply.Reason == call.ReasonBackendFailed
 }
 
@@ -114,9 +114,9 @@
 	return q.table.Begin(now, f, crashes)
 }
 
-func (q *Quarantine) end(f quarantine.Fingerprint, began time.Time, ending quarantine.Ending) {
+func (q *Quarantine) end(f quarantine.Fingerprint, start time.Time, ending quarantine.Ending) {
 	q.mu.Lock()
-	blame, blamed := q.table.End(time.Now(), f, began, ending)
+	blame, blamed := q.table.End(time.Now(), f, start, ending)
 	q.mu.Unlock()
 	if !blamed {
 		return
@@ -136,8 +136,8 @@
 	}
 }
 
-// tell passes the blame to all other nodes of the service, side by side.
-func (q *Quarantine) tell(ctx context.Context, b quarantine.Blame) {
+// broadcast passes the blame to all other nodes of the service, side by side.
+func (q *Quarantine) broadcast(ctx context.Context, b quarantine.Blame) {
 	ctx, cancel := context.WithTimeout(ctx, blameTimeout)
 	defer cancel()
 	snapshot := q.config.Board.Snapshot()
--- a/internal/traffic/flow/reach.go
+++ b/internal/traffic/flow/reach.go
@@ -15,84 +15,84 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// ReachConfig sets a Reach up.
-type ReachConfig struct {
+// ReachabilityMonitorConfig sets a Reach up.
+type ReachabilityMonitorConfig struct {
 	Board *board.Loop
 	Peers *peer.Client
 	Log   *events.Limiter
 }
 
 const (
-	// askTick is the time between looks for nodes that are to be asked.
-	askTick = 50 * time.Millisecond
-	// askTimeout bounds the wait for an answer.
-	askTimeout = 400 * time.Millisecond
+	// probePollInterval is the time between looks for nodes that are to be asked.
+	probePollInterval = 50 * time.Millisecond
+	// probeTimeout bounds the wait for an answer.
+	probeTimeout = 400 * time.Millisecond
 )
 
-// Reach keeps requests away from nodes that gave no answer, and asks these until they do. A nil Reach keeps nobody away.
-type Reach struct {
-	config ReachConfig
-	// lost is signalled when a node was lost.
-	lost chan struct{}
-	// changed is told of each node that is lost or found.
-	changed func(node string, lost bool)
+// ReachabilityMonitor keeps requests away from nodes that gave no answer, and asks these until they do. A nil Reach keeps nobody away.
+type ReachabilityMonitor struct {
+	config ReachabilityMonitorConfig
+	// wake is signalled when a node was lost.
+	wake chan struct{}
+	// onChange is told of each node that is lost or found.
+	onChange func(node string, wake bool)
 
 	mu      sync.Mutex
 	tracker *reach.Tracker
 }
 
-// NewReach returns a Reach that has lost nobody. Run must be started for nodes to be found again.
-func NewReach(config ReachConfig) *Reach {
-	return &Reach{config: config, lost: make(chan struct{}, 1), changed: func(string, bool) {}, tracker: reach.NewTracker()}
+// NewReachabilityMonitor returns a Reach that has lost nobody. Run must be started for nodes to be found again.
+func NewReachabilityMonitor(config ReachabilityMonitorConfig) *ReachabilityMonitor {
+	return &ReachabilityMonitor{config: config, wake: make(chan struct{}, 1), onChange: func(string, bool) {}, tracker: reach.NewTracker()}
 }
 
-// note takes in the reply of a node, or the lack of one.
-func (r *Reach) note(node string, reply *call.Reply, took time.Duration) {
-	if r == nil || !isUnanswered(reply, took) {
+// observe takes in the reply of a node, or the lack of one.
+func (r *ReachabilityMonitor) observe(node string, reply *call.Reply, elapsed time.Duration) {
+	if r == nil || !isNoAnswer(reply, elapsed) {
 		return
 	}
 	r.mu.Lock()
-	isNew := r.tracker.Lost(time.Now(), node)
+	newlyLost := r.tracker.MarkUnreachable(time.Now(), node)
 	r.mu.Unlock()
-	if !isNew {
+	if !newlyLost {
 		return
 	}
-	r.changed(node, true)
-	r.config.Log.Emit(time.Now(), events.PeerLost, events.Fields{"peer": node, "reason": string(reply.Reason), "took_ms": took.Milliseconds()})
+	r.onChange(node, true)
+	r.config.Log.Emit(time.Now(), events.PeerLost, events.Fields{"peer": node, "reason": string(reply.Reason), "took_ms": elapsed.Milliseconds()})
 	select {
-	case r.lost <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// isUnanswered reports whether the node gave no answer. The patience of a caller may be shorter than any answer takes.
-func isUnanswered(reply *call.Reply, took time.Duration) bool {
+// isNoAnswer reports whether the node gave no answer. The patience of a caller may be shorter than any answer takes.
+func isNoAnswer(reply *call.Reply, elapsed time.Duration) bool {
 	switch reply.Reason {
 	case call.ReasonPeerUnreachable:
 		return true
 	case call.ReasonPeerSilent:
-		return took >= leastSilence
+		return elapsed >= minSilence
 	}
 	return false
 }
 
 // Run asks lost nodes until the context ends.
-func (r *Reach) Run(ctx context.Context) {
+func (r *ReachabilityMonitor) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	defer group.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.lost:
+		case <-r.wake:
 		}
-		for r.askDue(ctx, &group) && pause.For(ctx, askTick) {
+		for r.probeDue(ctx, &group) && pause.For(ctx, probePollInterval) {
 		}
 	}
 }
 
-// askDue asks the nodes that are due, and reports whether any is lost.
-func (r *Reach) askDue(ctx context.Context, group *conc.WaitGroup) bool {
+// probeDue asks the nodes that are due, and reports whether any is lost.
+func (r *ReachabilityMonitor) probeDue(ctx context.Context, group *conc.WaitGroup) bool {
 	r.mu.Lock()
 	due := r.tracker.Due(time.Now())
 	left := r.tracker.Len()
@@ -101,29 +101,29 @@
 	for _, node := range due {
 		m, isMember := members[node]
 		if !isMember {
-			r.found(node)
+			r.markReachable(node)
 			continue
 		}
-		group.Go(func() { r.ask(ctx, node, m.PeerAddress) })
+		group.Go(func() { r.probe(ctx, node, m.PeerAddress) })
 	}
 	return left > 0
 }
 
-// ask puts a harmless question to the node; any answer will do.
-func (r *Reach) ask(ctx context.Context, node, address string) {
-	_, err := r.config.Peers.Resolve(ctx, address, peer.Question{AttemptID: newAttemptID()}, askTimeout)
+// probe puts a harmless question to the node; any answer will do.
+func (r *ReachabilityMonitor) probe(ctx context.Context, node, address string) {
+	_, err := r.config.Peers.Resolve(ctx, address, peer.ResolveQuery{AttemptID: newAttemptID()}, probeTimeout)
 	if err == nil {
-		r.found(node)
+		r.markReachable(node)
 	}
 }
 
-func (r *Reach) found(node string) {
+func (r *ReachabilityMonitor) markReachable(node string) {
 	r.mu.Lock()
-	since, wasLost := r.tracker.Found(node)
+	since, wasLost := r.tracker.Clear(node)
 	r.mu.Unlock()
 	if !wasLost {
 		return
 	}
-	r.changed(node, false)
+	r.onChange(node, false)
 	r.config.Log.Emit(time.Now(), events.PeerBack, events.Fields{"peer": node, "lost_ms": time.Since(since).Milliseconds()})
 }
--- a/internal/traffic/flow/receiver.go
+++ b/internal/traffic/flow/receiver.go
@@ -22,13 +22,13 @@
 	Backend *backend.Client
 	// Quarantine keeps away requests that crash backend servers.
 	Quarantine *Quarantine
-	// Trees bounds the requests whose calls have to wait further down; nil for no bound.
-	Trees *Trees
-	// TurnsAgain lets a request that the backend server shed wait for another turn at the gate, which has learnt from it,
+	// CallTreeLimits bounds the requests whose calls have to wait further down; nil for no bound.
+	CallTreeLimits *CallTreeLimits
+	// RequeueShed lets a request that the backend server shed wait for another turn at the gate, which has learnt from it,
 	// as long as the request has attempts left.
-	TurnsAgain bool
-	// TurnBudget bounds such turns for all requests together; nil where their attempts are bound enough.
-	TurnBudget *retry.BudgetConfig
+	RequeueShed bool
+	// RequeueBudget bounds such turns for all requests together; nil where their attempts are bound enough.
+	RequeueBudget *retry.BudgetConfig
 	// Events takes what operators should know, and Requests what was decided about single requests.
 	Events   *events.Limiter
 	Requests *events.Limiter
@@ -36,14 +36,14 @@
 
 // Receiver runs requests on the local backend server.
 type Receiver struct {
-	config   ReceiverConfig
-	turns    *turnBudget
-	counters receiverCounters
+	config        ReceiverConfig
+	requeueBudget *requeueBudget
+	counters      receiverCounters
 }
 
 // NewReceiver returns a receiver.
 func NewReceiver(config ReceiverConfig) *Receiver {
-	return &Receiver{config: config, turns: newTurnBudget(config.TurnBudget)}
+	return &Receiver{config: config, requeueBudget: newRequeueBudget(config.RequeueBudget)}
 }
 
 // Receive admits the request, runs it on the backend server and returns the reply with the load after it.
@@ -58,7 +58,7 @@
 
 // logRefusal writes what decided that the request doesn't run here.
 func (v *Receiver) logRefusal(r *call.Request, reply *call.Reply) {
-	bound, bounded := v.config.Trees.bound(r.Kind)
+	limit, limited := v.config.CallTreeLimits.limit(r.Kind)
 	v.config.Requests.Emit(time.Now(), events.RequestNotAdmitted, events.Fields{
 		"request":   r.Root.ID,
 		"attempt":   r.AttemptID,
@@ -70,8 +70,8 @@
 		"in_flight": reply.Load.InFlight,
 		"queued":    reply.Load.Queued,
 		"limit":     reply.Load.Limit,
-		"bounded":   bounded,
-		"bound":     bound,
+		"bounded":   limited,
+		"bound":     limit,
 		"left_ms":   time.Until(r.Deadline).Milliseconds(),
 	})
 }
@@ -83,21 +83,21 @@
 
 // MakesCalls reports whether requests were seen to make calls while they ran on the backend server.
 func (v *Receiver) MakesCalls() bool {
-	return v.config.Trees.makesCalls()
+	return v.config.CallTreeLimits.makesCalls()
 }
 
 func (v *Receiver) receive(ctx context.Context, r *call.Request) call.Reply {
 	b := v.config.Board.Snapshot()
-	if refusal, refused := refuses(b, r); refused {
+	if refusal, refused := refusalFor(b, r); refused {
 		return refusal
 	}
 	return v.config.Quarantine.guard(r, func() call.Reply { return v.run(ctx, b, r) })
 }
 
-// refuses returns the reply to a request that the backend server can't take, or isn't to take any more.
-func refuses(b *board.Board, r *call.Request) (call.Reply, bool) {
+// refusalFor returns the reply to a request that the backend server can't take, or isn't to take any more.
+func refusalFor(b *board.Board, r *call.Request) (call.Reply, bool) {
 	if b.Backend.Service != r.Service || b.Backend.Address == "" || b.Backend.IsLost() {
-		return call.Refused(call.NotRun, call.ReasonNoInstance, noInstanceRetry), true
+		return call.Refused(call.NotRun, call.ReasonNoInstance, noInstanceRetryAfter), true
 	}
 	if b.Self.Leaving || b.Backend.Leaving {
 		return call.Refused(call.NotRun, call.ReasonDraining, 0), true
@@ -110,59 +110,59 @@
 
 // run admits the request and runs it on the backend server.
 func (v *Receiver) run(ctx context.Context, b *board.Board, r *call.Request) call.Reply {
-	start, refusal, admitted := v.config.Trees.begin(r, b.Backend.Slots)
+	start, refusal, admitted := v.config.CallTreeLimits.begin(r, b.Backend.Slots)
 	if !admitted {
 		v.counters.notStarted.Add(1)
 		return refusal
 	}
-	offered := time.Now()
-	turn, refusal, admitted := v.config.Gate.Enter(ctx, r, share(b, r))
+	enqueued := time.Now()
+	turn, refusal, admitted := v.config.Gate.Acquire(ctx, r, shareOf(b, r))
 	if !admitted {
-		v.config.Trees.cancel(r, start)
+		v.config.CallTreeLimits.cancel(r, start)
 		v.counters.notStarted.Add(1)
-		refusal.Waited = time.Since(offered)
+		refusal.Waited = time.Since(enqueued)
 		return refusal
 	}
-	waited := time.Since(offered)
-	v.turns.came()
-	result := v.take(ctx, b, r, turn)
-	for used := 1; v.takesTurnAgain(ctx, r, &result); used++ {
-		offered = time.Now()
+	queueingDelay := time.Since(enqueued)
+	v.requeueBudget.earn()
+	result := v.runAdmitted(ctx, b, r, turn)
+	for requeues := 1; v.requeue(ctx, r, &result); requeues++ {
+		enqueued = time.Now()
 		b = v.config.Board.Snapshot()
-		if _, refused := refuses(b, r); refused {
+		if _, refused := refusalFor(b, r); refused {
 			break // what the last turn said stands
 		}
-		if turn, _, admitted = v.config.Gate.Enter(ctx, r, share(b, r)); !admitted {
+		if turn, _, admitted = v.config.Gate.Acquire(ctx, r, shareOf(b, r)); !admitted {
 			break
 		}
-		waited += time.Since(offered)
-		result = v.take(ctx, b, r, turn)
-		result.Reply.AttemptsUsed += used
+		queueingDelay += time.Since(enqueued)
+		result = v.runAdmitted(ctx, b, r, turn)
+		result.Reply.AttemptsUsed += requeues
 	}
-	v.end(r, start, waited, &result)
+	v.finish(r, start, queueingDelay, &result)
 	return result.Reply
 }
 
-// take runs a request on the backend server in the turn that the gate gave it.
-func (v *Receiver) take(ctx context.Context, b *board.Board, r *call.Request, turn backend.Turn) backend.Result {
+// runAdmitted runs a request on the backend server in the turn that the gate gave it.
+func (v *Receiver) runAdmitted(ctx context.Context, b *board.Board, r *call.Request, turn backend.Slot) backend.Result {
 	result := v.config.Backend.Run(ctx, backend.Target{Address: b.Backend.Address, Instance: b.Backend.Instance}, r)
-	v.config.Gate.Leave(sample(r, turn, result))
+	v.config.Gate.Release(gateSample(r, turn, result))
 	return result
 }
 
-// takesTurnAgain reports whether a request that the backend server shed gets another turn here, and waits until it is due.
-func (v *Receiver) takesTurnAgain(ctx context.Context, r *call.Request, result *backend.Result) bool {
-	if !v.config.TurnsAgain {
+// requeue reports whether a request that the backend server shed gets another turn here, and waits until it is due.
+func (v *Receiver) requeue(ctx context.Context, r *call.Request, result *backend.Result) bool {
+	if !v.config.RequeueShed {
 		return false
 	}
-	wait, again := retry.TurnAgain(retry.Turn{
+	wait, allowed := retry.DecideRequeue(retry.RequeueCandidate{
 		Shed:         result.Overloaded,
-		Safe:         r.Idempotent || result.Reply.Outcome == call.NotRun,
+		SafeToRepeat: r.Idempotent || result.Reply.Outcome == call.NotRun,
 		AttemptsLeft: r.AttemptsLeft,
 		TimeLeft:     time.Until(r.Deadline),
 		HoldTime:     v.config.Gate.HoldTime(),
 	})
-	if !again || !v.turns.take(!v.config.Gate.IsMoreUrgentPresent(r.Root.Rank)) {
+	if !allowed || !v.requeueBudget.spend(!v.config.Gate.IsMoreUrgentPresent(r.Root.Rank)) {
 		return false
 	}
 	v.config.Requests.Emit(time.Now(), events.RequestWaitsAgain, events.Fields{
@@ -177,32 +177,32 @@
 	return pause.For(ctx, wait)
 }
 
-// end takes in how a request ended that ran, or was shed by the backend server.
-func (v *Receiver) end(r *call.Request, start trees.Start, waited time.Duration, result *backend.Result) {
-	v.config.Trees.end(r, start, waited, *result)
-	result.Reply.Waited += waited
-	v.counters.ended(*result)
-	if result.Broken {
+// finish takes in how a request ended that ran, or was shed by the backend server.
+func (v *Receiver) finish(r *call.Request, start trees.Start, queueingDelay time.Duration, result *backend.Result) {
+	v.config.CallTreeLimits.end(r, start, queueingDelay, *result)
+	result.Reply.Waited += queueingDelay
+	v.counters.count(*result)
+	if result.ConnectionBroken {
 		v.config.Events.Emit(time.Now(), events.BackendFailed, events.Fields{"service": r.Service, "kind": r.Kind})
 	}
 }
 
-// sample tells the gate what the run showed about the backend server.
-func sample(r *call.Request, turn backend.Turn, result backend.Result) admission.Sample {
-	cut := result.Reply.Outcome != call.Ran
+// gateSample tells the gate what the run showed about the backend server.
+func gateSample(r *call.Request, turn backend.Slot, result backend.Result) admission.Sample {
+	incomplete := result.Reply.Outcome != call.Ran
 	return admission.Sample{
-		Kind:       r.Kind,
-		Took:       result.Took,
-		Held:       result.Held,
-		Overloaded: result.Overloaded,
-		Cut:        cut && !result.Broken,
-		FullAt:     turn.FullAt,
-		Failed:     result.Broken || !cut && result.Reply.Status >= http.StatusInternalServerError,
+		Kind:           r.Kind,
+		ServiceTime:    result.ServiceTime,
+		HoldTime:       result.HoldTime,
+		Overloaded:     result.Overloaded,
+		Incomplete:     incomplete && !result.ConnectionBroken,
+		SaturatedLimit: turn.FullAt,
+		Failed:         result.ConnectionBroken || !incomplete && result.Reply.Status >= http.StatusInternalServerError,
 	}
 }
 
-// share returns the share that the service's document gives the request's kind.
-func share(b *board.Board, r *call.Request) int {
+// shareOf returns the share that the service's document gives the request's kind.
+func shareOf(b *board.Board, r *call.Request) int {
 	d, ok := b.Documents.ByService[r.Service]
 	if !ok {
 		return 1
--- a/internal/traffic/flow/receiver_test.go
+++ b/internal/traffic/flow/receiver_test.go
@@ -66,13 +66,13 @@
 			})
 			log := events.NewLimiter(events.NewLog(io.Discard, zerolog.InfoLevel, "node_1"), time.Second)
 			v := NewReceiver(ReceiverConfig{
-				Board:      loop,
-				Gate:       backend.NewGate(admission.GateConfig{Limit: admission.LimitConfig{Initial: 4, Min: 1, Max: 8}, MaxWait: time.Second}),
-				Backend:    backend.NewClient(backend.ClientConfig{MaxBody: 1 << 10}, call.NewChains()),
-				Quarantine: NewQuarantine(QuarantineConfig{Table: quarantine.DefaultConfig}),
-				TurnsAgain: true,
-				Events:     log,
-				Requests:   log,
+				Board:       loop,
+				Gate:        backend.NewGate(admission.GateConfig{Limit: admission.LimitConfig{Initial: 4, Min: 1, Max: 8}, MaxDelayLeastUrgent: time.Second}),
+				Backend:     backend.NewClient(backend.ClientConfig{MaxBody: 1 << 10}, call.NewChains()),
+				Quarantine:  NewQuarantine(QuarantineConfig{Table: quarantine.DefaultConfig}),
+				RequeueShed: true,
+				Events:      log,
+				Requests:    log,
 			})
 			reply := v.Receive(ctx, &call.Request{
 				Service: "keys", Method: http.MethodGet, Path: "/x", Idempotent: test.idempotent,
--- a/internal/traffic/flow/sender.go
+++ b/internal/traffic/flow/sender.go
@@ -35,10 +35,10 @@
 	Throttle throttle.Config
 	// MaxRefusals is how many nodes may refuse a request, beside their backend servers, before it is given up.
 	MaxRefusals int
-	// FleetRetries is how many retries for one service all nodes together may make at once; 0 for no bound but each node's.
-	FleetRetries float64
-	// Reach keeps requests away from nodes that give no answer; nil where nothing does.
-	Reach *Reach
+	// MaxFleetRetries is how many retries for one service all nodes together may make at once; 0 for no bound but each node's.
+	MaxFleetRetries float64
+	// Reachability keeps requests away from nodes that give no answer; nil where nothing does.
+	Reachability *ReachabilityMonitor
 	// Events takes what operators should know, and Requests what was decided about single requests.
 	Events   *events.Limiter
 	Requests *events.Limiter
@@ -46,22 +46,22 @@
 
 // Sender sends requests to instances.
 type Sender struct {
-	config SenderConfig
-	views  *views
-	entry  *entry
-	paces  *paces
+	config           SenderConfig
+	views            *instanceViews
+	entryThrottles   *entryThrottles
+	typicalDurations *typicalDurations
 }
 
 // NewSender returns a sender.
 func NewSender(config SenderConfig) *Sender {
 	s := &Sender{
-		config: config,
-		views:  newViews(config.Routing),
-		entry:  newEntry(config.Throttle),
-		paces:  newPaces(),
+		config:           config,
+		views:            newInstanceViews(config.Routing),
+		entryThrottles:   newEntryThrottles(config.Throttle),
+		typicalDurations: newTypicalDurations(),
 	}
-	if config.Reach != nil {
-		config.Reach.changed = s.views.setLost
+	if config.Reachability != nil {
+		config.Reachability.onChange = s.views.setUnreachable
 	}
 	return s
 }
@@ -72,39 +72,39 @@
 	if r.Depth > 0 {
 		return s.send(ctx, r)
 	}
-	refusal, admitted := s.entry.offer(time.Now(), r)
+	refusal, admitted := s.entryThrottles.admit(time.Now(), r)
 	if !admitted {
 		return refusal
 	}
 	reply := s.send(ctx, r)
-	s.entry.learn(time.Now(), r, &reply)
+	s.entryThrottles.observe(time.Now(), r, &reply)
 	return reply
 }
 
 func (s *Sender) send(ctx context.Context, r *call.Request) call.Reply {
-	t := newTrial()
+	state := newSendState()
 	for {
-		target, ok := s.choose(r, t.tried)
+		target, ok := s.choose(r, state.tried)
 		if !ok {
-			return t.end(t.last)
+			return state.finalReply(state.lastReply)
 		}
-		lent := r.Attempts.Lend()
-		reply := s.attempt(ctx, target, r, lent)
-		reply.AttemptsUsed = spent(&reply, lent)
-		r.Attempts.Return(lent, reply.AttemptsUsed)
-		t.note(target.Node, reply)
-		if crashed(&reply) {
+		lentAttempts := r.Attempts.Lend()
+		reply := s.attempt(ctx, target, r, lentAttempts)
+		reply.AttemptsUsed = attemptsUsed(&reply, lentAttempts)
+		r.Attempts.Return(lentAttempts, reply.AttemptsUsed)
+		state.record(target.Node, reply)
+		if isCrash(&reply) {
 			r.Crashes++
 		}
 		r.NewConnection = r.NewConnection || reply.Reason == call.ReasonPeerSilent
-		if !s.again(ctx, r, reply, t) {
-			return t.end(reply)
+		if !s.shouldRetry(ctx, r, reply, state) {
+			return state.finalReply(reply)
 		}
-		s.logAgain(target.Node, r, &reply)
+		s.logRetry(target.Node, r, &reply)
 	}
 }
 
-func (s *Sender) logAgain(node string, r *call.Request, reply *call.Reply) {
+func (s *Sender) logRetry(node string, r *call.Request, reply *call.Reply) {
 	s.config.Requests.Emit(time.Now(), events.RequestRetried, events.Fields{
 		"request":    r.Root.ID,
 		"kind":       r.Kind,
@@ -114,66 +114,66 @@
 	})
 }
 
-// spent returns how many of the attempts lent to a call count as used: all, where its own reply was lost.
-func spent(reply *call.Reply, lent int) int {
-	if reply.Outcome == call.Unknown && !crashed(reply) {
+// attemptsUsed returns how many of the attempts lent to a call count as used: all, where its own reply was lost.
+func attemptsUsed(reply *call.Reply, lent int) int {
+	if reply.Outcome == call.Unknown && !isCrash(reply) {
 		return lent
 	}
 	return reply.AttemptsUsed
 }
 
-// isFree reports whether a node refused a request that reached no backend server, which costs nothing but the message.
-func isFree(reply *call.Reply) bool {
+// isFreeRefusal reports whether a node refused a request that reached no backend server, which costs nothing but the message.
+func isFreeRefusal(reply *call.Reply) bool {
 	if reply.Outcome != call.NotRun || reply.Final {
 		return false
 	}
 	return reply.Reason != call.ReasonBackendShed && reply.Reason != call.ReasonNoInstance
 }
 
-// trial is what the attempts of one Send have come to.
-type trial struct {
+// sendState is what the attempts of one Send have come to.
+type sendState struct {
 	tried []string
-	// free counts the refusals that reached no backend server.
-	free int
-	used int
-	// waited is how long they stood in queues, and farBytes how many bytes went between availability zones for them.
-	waited   time.Duration
-	farBytes int64
+	// freeRefusals counts the refusals that reached no backend server.
+	freeRefusals int
+	attemptsUsed int
+	// queueingDelay is how long they stood in queues, and farBytes how many bytes went between availability zones for them.
+	queueingDelay  time.Duration
+	crossZoneBytes int64
 	// mayHaveRun says that an attempt ran, or may have.
 	mayHaveRun bool
-	// last is the reply to the last attempt, or what is said where there is nobody to send one to.
-	last call.Reply
+	// lastReply is the reply to the last attempt, or what is said where there is nobody to send one to.
+	lastReply call.Reply
 }
 
-func newTrial() *trial {
-	return &trial{last: call.Refused(call.NotRun, call.ReasonNoInstance, noInstanceRetry)}
+func newSendState() *sendState {
+	return &sendState{lastReply: call.Refused(call.NotRun, call.ReasonNoInstance, noInstanceRetryAfter)}
 }
 
-func (t *trial) note(node string, reply call.Reply) {
+func (t *sendState) record(node string, reply call.Reply) {
 	t.tried = append(t.tried, node)
-	t.last = reply
-	t.used += reply.AttemptsUsed
-	t.waited += reply.Waited
-	t.farBytes += reply.FarBytes
-	if isFree(&reply) {
-		t.free++
+	t.lastReply = reply
+	t.attemptsUsed += reply.AttemptsUsed
+	t.queueingDelay += reply.Waited
+	t.crossZoneBytes += reply.FarBytes
+	if isFreeRefusal(&reply) {
+		t.freeRefusals++
 	}
 	if reply.Outcome == call.Ran || reply.Outcome == call.Unknown {
 		t.mayHaveRun = true
 	}
 }
 
-// end returns the reply for all attempts: one that was refused does not undo an earlier one that may have run.
-func (t *trial) end(reply call.Reply) call.Reply {
-	reply.AttemptsUsed, reply.Waited, reply.FarBytes = t.used, t.waited, t.farBytes
+// finalReply returns the reply for all attempts: one that was refused does not undo an earlier one that may have run.
+func (t *sendState) finalReply(reply call.Reply) call.Reply {
+	reply.AttemptsUsed, reply.Waited, reply.FarBytes = t.attemptsUsed, t.queueingDelay, t.crossZoneBytes
 	if t.mayHaveRun && reply.Outcome != call.Ran {
 		reply.Outcome = call.Unknown
 	}
 	return reply
 }
 
-// noInstanceRetry is when to come back where no instance is known.
-const noInstanceRetry = 500 * time.Millisecond
+// noInstanceRetryAfter is when to come back where no instance is known.
+const noInstanceRetryAfter = 500 * time.Millisecond
 
 func (s *Sender) choose(r *call.Request, tried []string) (membership.Member, bool) {
 	b := s.config.Board.Snapshot()
@@ -192,15 +192,15 @@
 	attempt.AttemptsLeft = max(attemptsLeft, 0)
 	attempt.IsFar = target.Zone != s.config.Board.Snapshot().Self.Zone
 	if r.KeyMinted {
-		mint(&attempt, target)
+		mintKey(&attempt, target)
 		r.Key = attempt.Key
-		return s.decided(ctx, target, &attempt)
+		return s.callSoleOwner(ctx, target, &attempt)
 	}
 	start := time.Now()
 	s.views.begin(target.Node, r.Root.Rank)
 	reply := s.transmit(ctx, target, &attempt)
 	s.views.end(target.Node, start, time.Now(), r, reply)
-	s.config.Reach.note(target.Node, &reply, time.Since(start))
+	s.config.Reachability.observe(target.Node, &reply, time.Since(start))
 	if attempt.IsFar {
 		reply.FarBytes += exchangedBytes(r, &reply)
 	}
@@ -220,19 +220,19 @@
 		return s.config.Receiver.Receive(ctx, attempt)
 	}
 	exchange := s.exchange()
-	send := exchange.callOnce
+	send := exchange.callAtMostOnce
 	if attempt.Idempotent {
 		send = exchange.callIdempotent
 	}
 	reply, err := send(ctx, target, attempt)
 	if err != nil {
-		return failedReply(err, attempt)
+		return failureReply(err, attempt)
 	}
 	return reply
 }
 
-// failedReply tells what a failed exchange leaves open. All attempts lent to it count as used.
-func failedReply(err error, attempt *call.Request) call.Reply {
+// failureReply tells what a failed exchange leaves open. All attempts lent to it count as used.
+func failureReply(err error, attempt *call.Request) call.Reply {
 	var failure *peer.Error
 	if !errors.As(err, &failure) {
 		failure = &peer.Error{Sent: true, Reason: call.ReasonPeerUnreachable, Cause: err}
@@ -248,35 +248,35 @@
 	return reply
 }
 
-// again learns from the reply and reports whether to try another instance, which it charges.
-func (s *Sender) again(ctx context.Context, r *call.Request, reply call.Reply, t *trial) bool {
+// shouldRetry learns from the reply and reports whether to try another instance, which it charges.
+func (s *Sender) shouldRetry(ctx context.Context, r *call.Request, reply call.Reply, state *sendState) bool {
 	if reply.Failure() == call.ReasonNone {
 		s.config.Budgets.earn(r.Service)
 		return false
 	}
-	candidates := s.views.count(r.Service) - len(t.tried)
-	if isLeaving(reply) {
+	candidates := s.views.count(r.Service) - len(state.tried)
+	if isDrainingReply(reply) {
 		return candidates > 0 // a leaving instance has started nothing, and each instance is asked once
 	}
-	if isFree(&reply) && t.free <= s.config.MaxRefusals {
+	if isFreeRefusal(&reply) && state.freeRefusals <= s.config.MaxRefusals {
 		return candidates > 0 && ctx.Err() == nil
 	}
-	if s.config.FleetRetries > 0 {
-		s.config.Budgets.share(r.Service, s.config.FleetRetries, len(s.config.Board.Snapshot().Members.ByNode))
+	if s.config.MaxFleetRetries > 0 {
+		s.config.Budgets.limitToShare(r.Service, s.config.MaxFleetRetries, len(s.config.Board.Snapshot().Members.ByNode))
 	}
 	verdict := s.config.Budgets.decide(r.Service, retry.Attempt{
-		Idempotent:   r.Idempotent,
-		Started:      reply.Outcome == call.Ran || reply.Outcome == call.Unknown,
-		Final:        reply.Final,
-		Deeper:       reply.Deeper != call.ReasonNone,
-		AttemptsLeft: r.Attempts.Left(),
-		TimeLeft:     time.Until(r.Deadline),
-		Candidates:   candidates,
+		Idempotent:       r.Idempotent,
+		Started:          reply.Outcome == call.Ran || reply.Outcome == call.Unknown,
+		Final:            reply.Final,
+		FailedDownstream: reply.Deeper != call.ReasonNone,
+		AttemptsLeft:     r.Attempts.Left(),
+		TimeLeft:         time.Until(r.Deadline),
+		Candidates:       candidates,
 	})
 	if verdict == retry.GiveUp || !r.Attempts.Take() {
 		return false
 	}
-	t.used++
+	state.attemptsUsed++
 	return true
 }
 
--- a/internal/traffic/flow/sender_test.go
+++ b/internal/traffic/flow/sender_test.go
@@ -24,11 +24,11 @@
 		"ran after a loss":     {[]call.Reply{lost, ran}, call.Ran},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var tr trial
+			var tr sendState
 			for _, r := range test.replies {
-				tr.note("node", r)
+				tr.record("node", r)
 			}
-			is.New(t).Equal(tr.end(test.replies[len(test.replies)-1]).Outcome, test.want)
+			is.New(t).Equal(tr.finalReply(test.replies[len(test.replies)-1]).Outcome, test.want)
 		})
 	}
 }
@@ -40,10 +40,10 @@
 	refused := call.Refused(call.NotRun, call.ReasonQueueTimeout, 0)
 	refused.Waited = 300 * time.Millisecond
 	ran := call.Reply{Outcome: call.Ran, Status: 200, Waited: 20 * time.Millisecond, FarBytes: 800}
-	var tr trial
-	tr.note("near", refused)
-	tr.note("far", ran)
-	end := tr.end(ran)
+	var tr sendState
+	tr.record("near", refused)
+	tr.record("far", ran)
+	end := tr.finalReply(ran)
 	is.Equal(end.Waited, 320*time.Millisecond)
 	is.Equal(end.FarBytes, int64(800))
 }
--- a/internal/traffic/flow/senderstats.go
+++ b/internal/traffic/flow/senderstats.go
@@ -30,14 +30,14 @@
 
 // Stats returns what the sender goes by.
 func (s *Sender) Stats(now time.Time) SenderStats {
-	return SenderStats{Instances: s.views.stats(now), Budgets: s.config.Budgets.tokens(), Throttles: s.entry.stats(now)}
+	return SenderStats{Instances: s.views.stats(now), Budgets: s.config.Budgets.tokens(), Throttles: s.entryThrottles.stats(now)}
 }
 
-func (e *entry) stats(now time.Time) []ThrottleStats {
+func (e *entryThrottles) stats(now time.Time) []ThrottleStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	stats := make([]ThrottleStats, 0, len(e.throttles))
-	for key, t := range e.throttles {
+	stats := make([]ThrottleStats, 0, len(e.byKey))
+	for key, t := range e.byKey {
 		stats = append(stats, ThrottleStats{Service: key.service, Kind: key.kind, Rank: key.rank, Stats: t.Stats(now)})
 	}
 	slices.SortFunc(stats, func(a, b ThrottleStats) int {
@@ -46,7 +46,7 @@
 	return stats
 }
 
-func (v *views) stats(now time.Time) map[string]routing.Stats {
+func (v *instanceViews) stats(now time.Time) map[string]routing.Stats {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	stats := make(map[string]routing.Stats, len(v.byNode))
--- a/internal/traffic/flow/silence.go
+++ b/internal/traffic/flow/silence.go
@@ -10,36 +10,36 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// silences are the nodes that left a request without an answer. A request that is sent to such a node may have run for
+// silentNodes are the nodes that left a request without an answer. A request that is sent to such a node may have run for
 // all that its caller will learn, so the node is asked something harmless first.
-type silences struct {
+type silentNodes struct {
 	peers *peer.Client
 
 	mu sync.Mutex
-	// asked is when each of them was asked last, by address.
-	asked map[string]time.Time
+	// lastProbe is when each of them was asked last, by address.
+	lastProbe map[string]time.Time
 }
 
-func newSilences(peers *peer.Client) *silences {
-	return &silences{peers: peers, asked: map[string]time.Time{}}
+func newSilentNodes(peers *peer.Client) *silentNodes {
+	return &silentNodes{peers: peers, lastProbe: map[string]time.Time{}}
 }
 
 const (
-	// askSilentEvery is the time between questions to a silent node; requests meanwhile are refused without one.
-	askSilentEvery = 500 * time.Millisecond
-	// silentTimeout bounds the wait for its answer.
-	silentTimeout = 250 * time.Millisecond
+	// silentProbeInterval is the time between questions to a silent node; requests meanwhile are refused without one.
+	silentProbeInterval = 500 * time.Millisecond
+	// silentProbeTimeout bounds the wait for its answer.
+	silentProbeTimeout = 250 * time.Millisecond
 )
 
-// note takes in how an exchange with the node at the address ended.
-func (s *silences) note(address string, err error) {
+// observe takes in how an exchange with the node at the address ended.
+func (s *silentNodes) observe(address string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case err == nil:
-		delete(s.asked, address)
+		delete(s.lastProbe, address)
 	case isSilence(err):
-		s.asked[address] = time.Time{}
+		s.lastProbe[address] = time.Time{}
 	}
 }
 
@@ -49,28 +49,28 @@
 	return errors.As(err, &failure) && failure.Sent && failure.Reason == call.ReasonPeerSilent
 }
 
-// answers reports whether the node at the address is worth a request.
-func (s *silences) answers(ctx context.Context, address string) bool {
-	silent, ask := s.look(address, time.Now())
-	if !ask {
+// isResponsive reports whether the node at the address is worth a request.
+func (s *silentNodes) isResponsive(ctx context.Context, address string) bool {
+	silent, probe := s.check(address, time.Now())
+	if !probe {
 		return !silent
 	}
-	_, err := s.peers.Resolve(ctx, address, peer.Question{AttemptID: newAttemptID()}, silentTimeout)
+	_, err := s.peers.Resolve(ctx, address, peer.ResolveQuery{AttemptID: newAttemptID()}, silentProbeTimeout)
 	if isSilence(err) {
 		return false
 	}
-	s.note(address, nil)
+	s.observe(address, nil)
 	return true
 }
 
-// look reports whether the node is silent as far as known, and whether it is to be asked now.
-func (s *silences) look(address string, now time.Time) (silent, ask bool) {
+// check reports whether the node is silent as far as known, and whether it is to be asked now.
+func (s *silentNodes) check(address string, now time.Time) (silent, probe bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	asked, silent := s.asked[address]
-	if !silent || now.Sub(asked) < askSilentEvery {
+	lastProbe, silent := s.lastProbe[address]
+	if !silent || now.Sub(lastProbe) < silentProbeInterval {
 		return silent, false
 	}
-	s.asked[address] = now
+	s.lastProbe[address] = now
 	return true, true
 }
--- a/internal/traffic/flow/silence_test.go
+++ b/internal/traffic/flow/silence_test.go
@@ -31,14 +31,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := newSilences(nil)
+			s := newSilentNodes(nil)
 			for _, err := range c.ends {
-				s.note(address, err)
+				s.observe(address, err)
 			}
 			if c.asked {
-				s.look(address, now.Add(-askSilentEvery/2))
+				s.check(address, now.Add(-silentProbeInterval/2))
 			}
-			silent, ask := s.look(address, now)
+			silent, ask := s.check(address, now)
 			is.Equal(silent, c.silent)
 			is.Equal(ask, c.ask)
 		})
--- a/internal/traffic/flow/stats.go
+++ b/internal/traffic/flow/stats.go
@@ -30,13 +30,13 @@
 	notStarted   atomic.Uint64
 }
 
-func (c *receiverCounters) ended(r backend.Result) {
+func (c *receiverCounters) count(r backend.Result) {
 	if succeeded(r) {
 		c.succeeded.Add(1)
 		return
 	}
 	c.wasted.Add(1)
-	c.wastedMicros.Add(uint64(r.Held.Microseconds()))
+	c.wastedMicros.Add(uint64(r.HoldTime.Microseconds()))
 }
 
 func (c *receiverCounters) stats() ReceiverStats {
--- a/internal/traffic/flow/turns.go
+++ b/internal/traffic/flow/turns.go
@@ -6,36 +6,36 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/retry"
 )
 
-// turnBudget is the budget of further turns at the gate of the local backend server. A nil turnBudget bounds nothing.
-type turnBudget struct {
-	mu    sync.Mutex
-	turns *retry.Turns
+// requeueBudget is the budget of further turns at the gate of the local backend server. A nil turnBudget bounds nothing.
+type requeueBudget struct {
+	mu     sync.Mutex
+	budget *retry.RequeueBudget
 }
 
-// newTurnBudget returns a full budget, or nil without a configuration.
-func newTurnBudget(config *retry.BudgetConfig) *turnBudget {
+// newRequeueBudget returns a full budget, or nil without a configuration.
+func newRequeueBudget(config *retry.BudgetConfig) *requeueBudget {
 	if config == nil {
 		return nil
 	}
-	return &turnBudget{turns: retry.NewTurns(*config)}
+	return &requeueBudget{budget: retry.NewRequeueBudget(*config)}
 }
 
-// came adds what a request earns that the gate admitted.
-func (b *turnBudget) came() {
+// earn adds what a request earns that the gate admitted.
+func (b *requeueBudget) earn() {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turns.Came()
+	b.budget.Earn()
 }
 
-// take spends a turn and reports whether there was one.
-func (b *turnBudget) take(isMostUrgent bool) bool {
+// spend spends a turn and reports whether there was one.
+func (b *requeueBudget) spend(isMostUrgent bool) bool {
 	if b == nil {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.turns.Take(isMostUrgent)
+	return b.budget.Take(isMostUrgent)
 }
--- a/internal/traffic/flow/views.go
+++ b/internal/traffic/flow/views.go
@@ -9,9 +9,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// views are what this node knows of the instances of each service. The members of a service are taken in anew only
+// instanceViews are what this node knows of the instances of each service. The members of a service are taken in anew only
 // when the board has another list of them.
-type views struct {
+type instanceViews struct {
 	config routing.Config
 
 	mu        sync.Mutex
@@ -25,8 +25,8 @@
 	members []membership.Member
 }
 
-func newViews(config routing.Config) *views {
-	return &views{config: config, byService: map[string]*serviceView{}, byNode: map[string]*routing.Instance{}}
+func newInstanceViews(config routing.Config) *instanceViews {
+	return &instanceViews{config: config, byService: map[string]*serviceView{}, byNode: map[string]*routing.Instance{}}
 }
 
 // choice is the node that gets a request.
@@ -37,22 +37,22 @@
 }
 
 // choose returns the node that gets a request of the rank.
-func (v *views) choose(service string, members []membership.Member, now time.Time, r routing.Request) (choice, bool) {
+func (v *instanceViews) choose(service string, members []membership.Member, now time.Time, r routing.Request) (choice, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	set := v.set(service, members, now)
+	set := v.setFor(service, members, now)
 	instance, ok := set.Choose(now, globalRandom{}, r)
 	if !ok {
 		return choice{}, false
 	}
 	return choice{
 		node:    instance.Member.Node,
-		spilled: instance.Member.Zone != v.config.Zone && set.HasNear(now),
+		spilled: instance.Member.Zone != v.config.Zone && set.HasLocal(now),
 	}, true
 }
 
 // count returns how many instances of the service are in use.
-func (v *views) count(service string) int {
+func (v *instanceViews) count(service string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	w, ok := v.byService[service]
@@ -62,7 +62,7 @@
 	return w.set.Len()
 }
 
-func (v *views) begin(node string, rank int) {
+func (v *instanceViews) begin(node string, rank int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if i, ok := v.byNode[node]; ok {
@@ -70,45 +70,45 @@
 	}
 }
 
-// setLost says whether the node gives no answer.
-func (v *views) setLost(node string, lost bool) {
+// setUnreachable says whether the node gives no answer.
+func (v *instanceViews) setUnreachable(node string, unreachable bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if i, ok := v.byNode[node]; ok {
-		i.Lost = lost
+		i.Unreachable = unreachable
 	}
 }
 
 // end takes in the reply to an attempt that began at the start.
-func (v *views) end(node string, start, now time.Time, r *call.Request, reply call.Reply) {
+func (v *instanceViews) end(node string, start, now time.Time, r *call.Request, reply call.Reply) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	i, ok := v.byNode[node]
 	if !ok {
 		return
 	}
-	took := now.Sub(start)
+	elapsed := now.Sub(start)
 	i.End(now, routing.Sample{
-		Result: shown(&reply, took),
-		Took:   took,
-		Kind:   r.Kind,
-		Rank:   r.Root.Rank,
-		Reason: string(reply.Failure()),
-		Load:   routing.Load(reply.Load),
+		Result:  routingResult(&reply, elapsed),
+		Latency: elapsed,
+		Kind:    r.Kind,
+		Rank:    r.Root.Rank,
+		Reason:  string(reply.Failure()),
+		Load:    routing.Load(reply.Load),
 
-		AllShed: takesNothing(&reply),
+		AllShed: acceptsNoWork(&reply),
 
-		Bytes:         exchangedBytes(r, &reply),
-		FarBytesBelow: reply.FarBytes,
+		Bytes:                    exchangedBytes(r, &reply),
+		DownstreamCrossZoneBytes: reply.FarBytes,
 	})
 }
 
-// leastSilence is the shortest wait without a reply that is held against an instance: the patience of a caller may be
+// minSilence is the shortest wait without a reply that is held against an instance: the patience of a caller may be
 // shorter than any answer takes.
-const leastSilence = 250 * time.Millisecond
+const minSilence = 250 * time.Millisecond
 
-// shown returns what a reply says about the instance. Failures further down the chain are not its own.
-func shown(reply *call.Reply, took time.Duration) routing.Result {
+// routingResult returns what a reply says about the instance. Failures further down the chain are not its own.
+func routingResult(reply *call.Reply, elapsed time.Duration) routing.Result {
 	if reply.Deeper != call.ReasonNone {
 		return routing.Neutral
 	}
@@ -116,11 +116,11 @@
 	case call.ReasonNone:
 		return routing.Good
 	case call.ReasonCallsWait:
-		return routing.Bounded
+		return routing.KindLimited
 	case call.ReasonOverload, call.ReasonQueueTimeout, call.ReasonDraining, call.ReasonNoInstance, call.ReasonBackendShed:
 		return routing.Shed
 	case call.ReasonPeerSilent:
-		if took < leastSilence {
+		if elapsed < minSilence {
 			return routing.Neutral
 		}
 		return routing.Failed
@@ -130,29 +130,29 @@
 	return routing.Neutral
 }
 
-// takesNothing reports whether the instance has no backend server that takes work.
-func takesNothing(reply *call.Reply) bool {
+// acceptsNoWork reports whether the instance has no backend server that takes work.
+func acceptsNoWork(reply *call.Reply) bool {
 	return reply.Reason == call.ReasonDraining || reply.Reason == call.ReasonNoInstance
 }
 
-func (v *views) set(service string, members []membership.Member, now time.Time) *routing.Set {
+func (v *instanceViews) setFor(service string, members []membership.Member, now time.Time) *routing.Set {
 	w, ok := v.byService[service]
 	if !ok {
 		w = &serviceView{set: routing.NewSet(v.config)}
 		v.byService[service] = w
 	}
-	if !sameList(w.members, members) {
-		v.renew(w, members, now)
+	if !sameSlice(w.members, members) {
+		v.update(w, members, now)
 	}
 	return w.set
 }
 
-// sameList reports whether both are one slice, which the board never changes in place.
-func sameList(a, b []membership.Member) bool {
+// sameSlice reports whether both are one slice, which the board never changes in place.
+func sameSlice(a, b []membership.Member) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (v *views) renew(w *serviceView, members []membership.Member, now time.Time) {
+func (v *instanceViews) update(w *serviceView, members []membership.Member, now time.Time) {
 	for _, m := range w.members {
 		delete(v.byNode, m.Node)
 	}
--- a/internal/traffic/flow/views_test.go
+++ b/internal/traffic/flow/views_test.go
@@ -30,14 +30,14 @@
 		"impatient caller":         {call.Refused(call.Unknown, call.ReasonPeerSilent, 0), time.Millisecond, routing.Neutral},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(shown(&test.reply, test.took), test.want)
+			is.New(t).Equal(routingResult(&test.reply, test.took), test.want)
 		})
 	}
 }
 
 func TestViewsOfThoseThatLeftAreDropped(t *testing.T) {
 	is := is.New(t)
-	v := newViews(routing.DefaultConfig("sender", "z"))
+	v := newInstanceViews(routing.DefaultConfig("sender", "z"))
 	now := time.Unix(1_000_000, 0)
 	members := board.Members{ByService: map[string][]membership.Member{"a": {{Node: "one", Zone: "z"}, {Node: "two", Zone: "z"}}}}
 	_, ok := v.choose("a", members.ByService["a"], now, routing.Request{})
@@ -68,7 +68,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			v := newViews(routing.DefaultConfig("sender", "z"))
+			v := newInstanceViews(routing.DefaultConfig("sender", "z"))
 			now := time.Unix(1_000_000, 0)
 			members := append(test.own, membership.Member{Node: "far", Zone: "y"})
 			request := routing.Request{Kind: "sheets", Tried: []string{"near"}}
--- a/internal/traffic/peer/blame.go
+++ b/internal/traffic/peer/blame.go
@@ -25,13 +25,13 @@
 		return err
 	})
 	if err != nil {
-		return unanswered(ctx, address, err)
+		return noReplyError(ctx, address, err)
 	}
 	return nil
 }
 
-// Learner takes in what other nodes know against requests.
-type Learner interface {
+// EvidenceReceiver takes in what other nodes know against requests.
+type EvidenceReceiver interface {
 	Learn(b quarantine.Blame)
 }
 
@@ -39,17 +39,17 @@
 type QuarantineServer struct {
 	peerpb.DRPCQuarantineUnimplementedServer
 
-	learner Learner
+	receiver EvidenceReceiver
 }
 
 // NewQuarantineServer returns a server that hands evidence to the learner.
-func NewQuarantineServer(learner Learner) *QuarantineServer {
-	return &QuarantineServer{learner: learner}
+func NewQuarantineServer(receiver EvidenceReceiver) *QuarantineServer {
+	return &QuarantineServer{receiver: receiver}
 }
 
 // Blame takes in the evidence. The learner checks it.
 func (s *QuarantineServer) Blame(_ context.Context, m *peerpb.BlameRequest) (*peerpb.BlameReply, error) {
-	s.learner.Learn(quarantine.Blame{
+	s.receiver.Learn(quarantine.Blame{
 		Fingerprint: quarantine.Fingerprint{Service: m.GetService(), Kind: m.GetKind(), Hash: m.GetHash()},
 		Crash:       m.GetCrash(),
 		Crashes:     int(m.GetCrashes()),
--- a/internal/traffic/peer/client.go
+++ b/internal/traffic/peer/client.go
@@ -58,88 +58,88 @@
 	if r.NewConnection {
 		return c.pool.UseNew(ctx, address, f)
 	}
-	return c.pool.UseFor(ctx, Use{Address: address, Rank: r.Root.Rank, Packs: r.IsFar}, f)
+	return c.pool.UseFor(ctx, UseOptions{Address: address, Rank: r.Root.Rank, Compress: r.IsFar}, f)
 }
 
 // Call sends one attempt to the node at the address and returns its reply.
 func (c *Client) Call(ctx context.Context, address string, r *call.Request) (call.Reply, error) {
 	message := requestMessage(r, c.node, time.Now())
-	var answer *peerpb.CallReply
+	var response *peerpb.CallReply
 	sent := false
 	err := c.use(ctx, address, r, func(conn drpc.Conn) error {
 		sent = true
 		var err error
-		answer, err = peerpb.NewDRPCPeerClient(conn).Call(ctx, message)
+		response, err = peerpb.NewDRPCPeerClient(conn).Call(ctx, message)
 		return err
 	})
 	if err != nil && !sent {
-		return call.Reply{}, notSent(ctx, address, err)
+		return call.Reply{}, unsentError(ctx, address, err)
 	}
 	if err != nil {
-		return call.Reply{}, unanswered(ctx, address, err)
+		return call.Reply{}, noReplyError(ctx, address, err)
 	}
-	reply, err := checkedReply(r, answer)
+	reply, err := checkAndParseReply(r, response)
 	if err != nil {
 		return call.Reply{}, &Error{Address: address, Sent: true, Reason: call.ReasonCorrupt, Cause: err}
 	}
 	return reply, nil
 }
 
-// notSentRetry is when to come back after a request that found no connection.
-const notSentRetry = 500 * time.Millisecond
+// unsentRetryAfter is when to come back after a request that found no connection.
+const unsentRetryAfter = 500 * time.Millisecond
 
-func notSent(ctx context.Context, address string, err error) *Error {
-	failure := &Error{Address: address, Reason: reasonOf(ctx), RetryAfter: notSentRetry, Cause: err}
+func unsentError(ctx context.Context, address string, err error) *Error {
+	failure := &Error{Address: address, Reason: contextReason(ctx), RetryAfter: unsentRetryAfter, Cause: err}
 	if trace.IsLimitExceeded(err) {
 		failure.Reason = call.ReasonOverload
 	}
 	return failure
 }
 
-// unanswered is the failure of what was sent and got no answer.
-func unanswered(ctx context.Context, address string, err error) *Error {
-	return &Error{Address: address, Sent: true, Reason: reasonOf(ctx), Cause: err}
+// noReplyError is the failure of what was sent and got no answer.
+func noReplyError(ctx context.Context, address string, err error) *Error {
+	return &Error{Address: address, Sent: true, Reason: contextReason(ctx), Cause: err}
 }
 
-// ask puts one question to the node at the address, on a connection of its own, because an older one may be silent.
-func ask[A any](ctx context.Context, c *Client, address string, timeout time.Duration, f func(context.Context, peerpb.DRPCPeerClient) (A, error)) (A, error) {
+// query puts one question to the node at the address, on a connection of its own, because an older one may be silent.
+func query[A any](ctx context.Context, c *Client, address string, timeout time.Duration, f func(context.Context, peerpb.DRPCPeerClient) (A, error)) (A, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var answer A
+	var response A
 	err := c.pool.UseNew(ctx, address, func(conn drpc.Conn) (err error) {
-		answer, err = f(ctx, peerpb.NewDRPCPeerClient(conn))
+		response, err = f(ctx, peerpb.NewDRPCPeerClient(conn))
 		return err
 	})
 	if err != nil {
-		return answer, unanswered(ctx, address, err)
+		return response, noReplyError(ctx, address, err)
 	}
-	return answer, nil
+	return response, nil
 }
 
 const (
-	// recentUse is how long ago a connection was used at most to be trusted with a question.
-	recentUse = time.Second
+	// recentWindow is how long ago a connection was used at most to be trusted with a question.
+	recentWindow = time.Second
 	// recentTimeout bounds the wait for an answer there, before the question goes out on a connection of its own.
 	recentTimeout = 120 * time.Millisecond
 )
 
-// askSoon is ask for a question that may be put twice. Most such questions are about answers that only take long, so that a
+// queryRecent is ask for a question that may be put twice. Most such questions are about answers that only take long, so that a
 // connection that worked a moment ago will do, and only where that gives no answer a new one is made.
-func askSoon[A any](ctx context.Context, c *Client, address string, timeout time.Duration, f func(context.Context, peerpb.DRPCPeerClient) (A, error)) (A, error) {
-	var answer A
-	err := c.pool.UseRecent(address, recentUse, func(conn drpc.Conn) (err error) {
+func queryRecent[A any](ctx context.Context, c *Client, address string, timeout time.Duration, f func(context.Context, peerpb.DRPCPeerClient) (A, error)) (A, error) {
+	var response A
+	err := c.pool.UseRecent(address, recentWindow, func(conn drpc.Conn) (err error) {
 		ctx, cancel := context.WithTimeout(ctx, min(timeout, recentTimeout))
 		defer cancel()
-		answer, err = f(ctx, peerpb.NewDRPCPeerClient(conn))
+		response, err = f(ctx, peerpb.NewDRPCPeerClient(conn))
 		return err
 	})
 	if err == nil {
-		return answer, nil
+		return response, nil
 	}
-	return ask(ctx, c, address, timeout, f)
+	return query(ctx, c, address, timeout, f)
 }
 
-func reasonOf(ctx context.Context) call.Reason {
+func contextReason(ctx context.Context) call.Reason {
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
 		return call.ReasonPeerSilent
@@ -150,19 +150,19 @@
 	}
 }
 
-// checkedReply returns the reply in an answer that is one to the request.
-func checkedReply(r *call.Request, answer *peerpb.CallReply) (call.Reply, error) {
-	if err := checkReply(r, answer); err != nil {
+// checkAndParseReply returns the reply in an answer that is one to the request.
+func checkAndParseReply(r *call.Request, response *peerpb.CallReply) (call.Reply, error) {
+	if err := checkReply(r, response); err != nil {
 		return call.Reply{}, err
 	}
-	return parseReply(answer)
+	return parseReply(response)
 }
 
-func checkReply(r *call.Request, answer *peerpb.CallReply) error {
-	if answer.GetAttemptId() != r.AttemptID {
-		return fmt.Errorf("answer is for attempt %q, not %q", answer.GetAttemptId(), r.AttemptID)
+func checkReply(r *call.Request, response *peerpb.CallReply) error {
+	if response.GetAttemptId() != r.AttemptID {
+		return fmt.Errorf("answer is for attempt %q, not %q", response.GetAttemptId(), r.AttemptID)
 	}
-	if answer.GetOutcome() == peerpb.Outcome_OUTCOME_UNSPECIFIED {
+	if response.GetOutcome() == peerpb.Outcome_OUTCOME_UNSPECIFIED {
 		return fmt.Errorf("answer has no outcome")
 	}
 	return nil
--- a/internal/traffic/peer/fuzz_test.go
+++ b/internal/traffic/peer/fuzz_test.go
@@ -38,7 +38,7 @@
 		if r.Root.Rank < 0 || r.Root.Rank >= admission.Ranks || r.Depth < 0 || r.AttemptsLeft < 0 {
 			t.Errorf("accepted out of bounds: %+v", r)
 		}
-		findsDamage(t, &m, bit)
+		checkDamageDetected(t, &m, bit)
 	})
 }
 
@@ -57,14 +57,14 @@
 		if m.GetAttemptId() != "a" {
 			t.Errorf("accepted another's answer: %+v", &m)
 		}
-		findsDamage(t, &m, bit)
+		checkDamageDetected(t, &m, bit)
 	})
 }
 
-// findsDamage fails the test where a message with the bit flipped on its way gets to a reader, or a whole one does not.
-func findsDamage(t *testing.T, m proto.Message, bit uint) {
+// checkDamageDetected fails the test where a message with the bit flipped on its way gets to a reader, or a whole one does not.
+func checkDamageDetected(t *testing.T, m proto.Message, bit uint) {
 	t.Helper()
-	enc := sealed{Encoding: protoEncoding{}}
+	enc := messageEncoding{Encoding: protoEncoding{}}
 	encoded, err := enc.Marshal(m)
 	if err != nil {
 		return
--- a/internal/traffic/peer/handover.go
+++ b/internal/traffic/peer/handover.go
@@ -18,34 +18,34 @@
 	Part  int
 	Parts int
 	Keys  []RememberedKey
-	// Homes are the nodes for whose keys the receiver answers once it has all parts.
-	Homes []outcome.Node
-	// Target is the process that takes the keys over. A later one of the same name must not, because the former may
+	// Owners are the nodes for whose keys the receiver answers once it has all parts.
+	Owners []outcome.Node
+	// TargetIncarnation is the process that takes the keys over. A later one of the same name must not, because the former may
 	// have run some of them.
-	Target uint64
+	TargetIncarnation uint64
 }
 
 // HandOver sends one part and reports whether the receiver took it; false says that it will never take any.
 func (c *Client) HandOver(ctx context.Context, address string, p HandoverPart, timeout time.Duration) (bool, error) {
-	request := &peerpb.HandoverRequest{SourceNode: c.node, HandoverId: p.ID, Part: int32(p.Part), Parts: int32(p.Parts), TargetIncarnation: p.Target}
+	request := &peerpb.HandoverRequest{SourceNode: c.node, HandoverId: p.ID, Part: int32(p.Part), Parts: int32(p.Parts), TargetIncarnation: p.TargetIncarnation}
 	for _, k := range p.Keys {
 		request.Keys = append(request.Keys, keyMessage(k))
 	}
-	for _, h := range p.Homes {
-		request.Homes = append(request.Homes, homeMessage(h))
+	for _, h := range p.Owners {
+		request.Homes = append(request.Homes, ownerMessage(h))
 	}
-	answer, err := ask(ctx, c, address, timeout, func(ctx context.Context, client peerpb.DRPCPeerClient) (*peerpb.HandoverReply, error) {
+	response, err := query(ctx, c, address, timeout, func(ctx context.Context, client peerpb.DRPCPeerClient) (*peerpb.HandoverReply, error) {
 		return client.Handover(ctx, request)
 	})
 	if err != nil {
 		return false, err
 	}
-	return !answer.GetRefused(), nil
+	return !response.GetRefused(), nil
 }
 
 // Handover takes in a part of a leaving node's keys.
 func (s *Server) Handover(ctx context.Context, m *peerpb.HandoverRequest) (*peerpb.HandoverReply, error) {
-	p := HandoverPart{ID: m.GetHandoverId(), Part: int(m.GetPart()), Parts: int(m.GetParts()), Target: m.GetTargetIncarnation()}
+	p := HandoverPart{ID: m.GetHandoverId(), Part: int(m.GetPart()), Parts: int(m.GetParts()), TargetIncarnation: m.GetTargetIncarnation()}
 	for _, k := range m.GetKeys() {
 		key, err := parseKey(k)
 		if err != nil {
@@ -54,13 +54,13 @@
 		p.Keys = append(p.Keys, key)
 	}
 	for _, h := range m.GetHomes() {
-		p.Homes = append(p.Homes, homeOf(h))
+		p.Owners = append(p.Owners, parseOwner(h))
 	}
-	taken, err := s.keeper.TakeOver(ctx, p)
+	accepted, err := s.outcomes.TakeOver(ctx, p)
 	if err != nil {
 		return nil, err
 	}
-	return &peerpb.HandoverReply{Accepted: int32(len(p.Keys)), Refused: !taken}, nil
+	return &peerpb.HandoverReply{Accepted: int32(len(p.Keys)), Refused: !accepted}, nil
 }
 
 func keyMessage(k RememberedKey) *peerpb.RememberedKey {
@@ -71,7 +71,7 @@
 		Bytes:         int64(k.Bytes),
 		State:         stateMessages[k.State],
 		Reply:         replyMessage("", k.Reply),
-		MovedTo:       homeMessage(k.MovedTo),
+		MovedTo:       ownerMessage(k.MovedTo),
 	}
 }
 
@@ -87,14 +87,14 @@
 		Bytes:       int(m.GetBytes()),
 		State:       states[m.GetState()],
 		Reply:       reply,
-		MovedTo:     homeOf(m.GetMovedTo()),
+		MovedTo:     parseOwner(m.GetMovedTo()),
 	}, nil
 }
 
-func homeMessage(n outcome.Node) *peerpb.HomeNode {
+func ownerMessage(n outcome.Node) *peerpb.HomeNode {
 	return &peerpb.HomeNode{Node: n.Name, Incarnation: n.Incarnation}
 }
 
-func homeOf(m *peerpb.HomeNode) outcome.Node {
+func parseOwner(m *peerpb.HomeNode) outcome.Node {
 	return outcome.Node{Name: m.GetNode(), Incarnation: m.GetIncarnation()}
 }
--- a/internal/traffic/peer/headers.go
+++ b/internal/traffic/peer/headers.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// errHeaders says that the headers of a message can't be read.
-var errHeaders = errors.New("headers are malformed")
+// errMalformedHeaders says that the headers of a message can't be read.
+var errMalformedHeaders = errors.New("headers are malformed")
 
 const (
-	nameEnd  = ':'
-	valueEnd = '\n'
+	nameTerminator  = ':'
+	valueTerminator = '\n'
 )
 
-// headerBlock returns the headers as they stand in messages: each as its name, a colon, the value and a line feed. One block costs less
+// encodeHeaders returns the headers as they stand in messages: each as its name, a colon, the value and a line feed. One block costs less
 // than a message for each header.
-func headerBlock(h http.Header) []byte {
+func encodeHeaders(h http.Header) []byte {
 	size := 0
 	for name, values := range h {
 		for _, value := range values {
@@ -27,9 +27,9 @@
 	for name, values := range h {
 		for _, value := range values {
 			block = append(block, name...)
-			block = append(block, nameEnd)
+			block = append(block, nameTerminator)
 			block = append(block, value...)
-			block = append(block, valueEnd)
+			block = append(block, valueTerminator)
 		}
 	}
 	return block
@@ -38,22 +38,22 @@
 // parseHeaders reads a block of headers.
 func parseHeaders(block []byte) (http.Header, error) {
 	text := string(block)
-	count := strings.Count(text, string(valueEnd))
+	count := strings.Count(text, string(valueTerminator))
 	h := make(http.Header, count)
-	all := make([]string, 0, count)
+	allValues := make([]string, 0, count)
 	for text != "" {
-		line, rest, ended := strings.Cut(text, string(valueEnd))
-		name, value, named := strings.Cut(line, string(nameEnd))
-		if !ended || !named || name == "" {
-			return nil, errHeaders
+		line, rest, hasEnd := strings.Cut(text, string(valueTerminator))
+		name, value, hasName := strings.Cut(line, string(nameTerminator))
+		if !hasEnd || !hasName || name == "" {
+			return nil, errMalformedHeaders
 		}
 		text = rest
-		if values, stands := h[name]; stands {
+		if values, found := h[name]; found {
 			h[name] = append(values, value)
 			continue
 		}
-		all = append(all, value)
-		h[name] = all[len(all)-1 : len(all) : len(all)]
+		allValues = append(allValues, value)
+		h[name] = allValues[len(allValues)-1 : len(allValues) : len(allValues)]
 	}
 	return h, nil
 }
--- a/internal/traffic/peer/headers_test.go
+++ b/internal/traffic/peer/headers_test.go
@@ -17,7 +17,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			got, err := parseHeaders(headerBlock(h))
+			got, err := parseHeaders(encodeHeaders(h))
 			is.NoErr(err)
 			is.Equal(got, h)
 		})
@@ -47,7 +47,7 @@
 		if err != nil {
 			return
 		}
-		again, err := parseHeaders(headerBlock(h))
+		again, err := parseHeaders(encodeHeaders(h))
 		if err != nil || len(again) != len(h) {
 			t.Fatalf("%q doesn't come back", block)
 		}
--- a/internal/traffic/peer/messages_test.go
+++ b/internal/traffic/peer/messages_test.go
@@ -14,7 +14,7 @@
 func BenchmarkExchange(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 16 << 10, 256 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			enc := sealed{Encoding: protoEncoding{}}
+			enc := messageEncoding{Encoding: protoEncoding{}}
 			r := &call.Request{AttemptID: "a", Service: "bookings", Kind: "booking", Method: "POST", Path: "/bookings", Body: bytes.Repeat([]byte("x"), size)}
 			reply := call.Reply{Outcome: call.Ran, Status: 200, Body: r.Body}
 			b.ReportAllocs()
@@ -25,7 +25,7 @@
 	}
 }
 
-func exchange(b *testing.B, enc sealed, r *call.Request, reply call.Reply) {
+func exchange(b *testing.B, enc messageEncoding, r *call.Request, reply call.Reply) {
 	now := time.UnixMilli(0)
 	sent, err := enc.Marshal(requestMessage(r, "node_1", now))
 	if err != nil {
--- a/internal/traffic/peer/pool.go
+++ b/internal/traffic/peer/pool.go
@@ -21,8 +21,8 @@
 	DialTimeout time.Duration
 	// LocalIP is the IP to connect from; nil for any.
 	LocalIP net.IP
-	// Packer makes messages small; nil for none.
-	Packer *Packer
+	// Compressor makes messages small; nil for none.
+	Compressor *Compressor
 }
 
 // Pool keeps drpc connections to other nodes. A connection carries one RPC at a time.
@@ -68,13 +68,13 @@
 	since time.Time
 }
 
-// rankPart is the part of the connections to one node that each rank leaves to more urgent ones.
-const rankPart = 0.05
+// rankReserveRatio is the part of the connections to one node that each rank leaves to more urgent ones.
+const rankReserveRatio = 0.05
 
-// bound returns how many connections to one node may be in use for a request of the rank to take a further one, so
+// maxInUse returns how many connections to one node may be in use for a request of the rank to take a further one, so
 // that a flood of less urgent requests leaves some to the urgent.
-func (p *Pool) bound(rank int) int {
-	return max(int(float64(p.config.MaxPerPeer)*(1-rankPart*float64(rank))), 1)
+func (p *Pool) maxInUse(rank int) int {
+	return max(int(float64(p.config.MaxPerPeer)*(1-rankReserveRatio*float64(rank))), 1)
 }
 
 // errTooManyConnections says that the bound of connections to one node is reached.
@@ -82,20 +82,20 @@
 
 // Use runs f on a connection to the address. The connection is kept for later use only if f succeeds.
 func (p *Pool) Use(ctx context.Context, address string, f func(drpc.Conn) error) error {
-	return p.UseFor(ctx, Use{Address: address}, f)
+	return p.UseFor(ctx, UseOptions{Address: address}, f)
 }
 
-// Use says what a connection is for.
-type Use struct {
+// UseOptions says what a connection is for.
+type UseOptions struct {
 	Address string
 	// Rank is that of the request. Less urgent ranks may use fewer connections.
 	Rank int
-	// Packs says that the messages are to be packed.
-	Packs bool
+	// Compress says that the messages are to be packed.
+	Compress bool
 }
 
 // UseFor is Use for a request.
-func (p *Pool) UseFor(ctx context.Context, u Use, f func(drpc.Conn) error) error {
+func (p *Pool) UseFor(ctx context.Context, u UseOptions, f func(drpc.Conn) error) error {
 	conn, err := p.take(ctx, u.Address, u.Rank)
 	if err != nil {
 		return err
@@ -110,19 +110,19 @@
 		return err
 	}
 	defer func() { _ = conn.Close() }()
-	return f(sealedConn{Conn: conn, packer: p.config.Packer})
+	return f(encodedConn{Conn: conn, compressor: p.config.Compressor})
 }
 
-// errNoRecent says that no idle connection was used lately.
-var errNoRecent = trace.NotFound("no connection to the node was used lately")
+// errNoRecentConnection says that no idle connection was used lately.
+var errNoRecentConnection = trace.NotFound("no connection to the node was used lately")
 
 // UseRecent runs f on an idle connection on which an RPC succeeded within the time, or returns errNoRecent.
 func (p *Pool) UseRecent(address string, within time.Duration, f func(drpc.Conn) error) error {
 	conn := p.takeRecent(address, within)
 	if conn == nil {
-		return errNoRecent
+		return errNoRecentConnection
 	}
-	return p.run(Use{Address: address}, conn, f)
+	return p.run(UseOptions{Address: address}, conn, f)
 }
 
 func (p *Pool) takeRecent(address string, within time.Duration) *drpcconn.Conn {
@@ -138,8 +138,8 @@
 	return conn
 }
 
-// Drop closes the idle connections to a node that was found silent, so that none of them is trusted again.
-func (p *Pool) Drop(address string) {
+// CloseIdle closes the idle connections to a node that was found silent, so that none of them is trusted again.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.peer(address).closeIdle()
@@ -154,8 +154,8 @@
 	}
 }
 
-// Open returns the number of pooled connections to each address.
-func (p *Pool) Open() map[string]int {
+// OpenCounts returns the number of pooled connections to each address.
+func (p *Pool) OpenCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	open := make(map[string]int, len(p.peers))
@@ -165,11 +165,11 @@
 	return open
 }
 
-func (p *Pool) run(u Use, conn *drpcconn.Conn, f func(drpc.Conn) error) error {
-	err := f(sealedConn{Conn: conn, packer: p.config.Packer, packs: u.Packs})
+func (p *Pool) run(u UseOptions, conn *drpcconn.Conn, f func(drpc.Conn) error) error {
+	err := f(encodedConn{Conn: conn, compressor: p.config.Compressor, compress: u.Compress})
 	if err != nil || isClosed(conn) {
 		_ = conn.Close()
-		p.drop(u.Address)
+		p.releaseConn(u.Address)
 		return err
 	}
 	p.put(u.Address, conn)
@@ -183,7 +183,7 @@
 	}
 	conn, err = p.dial(ctx, address)
 	if err != nil {
-		p.drop(address)
+		p.releaseConn(address)
 		return nil, err
 	}
 	return conn, nil
@@ -194,7 +194,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	peer := p.peer(address)
-	if peer.open-len(peer.idle) >= p.bound(rank) {
+	if peer.open-len(peer.idle) >= p.maxInUse(rank) {
 		return nil, errTooManyConnections
 	}
 	for len(peer.idle) > 0 {
@@ -220,7 +220,7 @@
 	peer.idle = append(peer.idle, idleConn{conn: conn, since: now})
 }
 
-func (p *Pool) drop(address string) {
+func (p *Pool) releaseConn(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.peer(address).open--
@@ -241,7 +241,7 @@
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "dial %s: %v", address, err)
 	}
-	return drpcconn.New(&endHolder{Conn: conn}), nil
+	return drpcconn.New(&closeDelayer{Conn: conn}), nil
 }
 
 func isClosed(conn *drpcconn.Conn) bool {
--- a/internal/traffic/peer/promise.go
+++ b/internal/traffic/peer/promise.go
@@ -7,8 +7,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// PromiseQuestion asks a keeper of a shard for a promise, or takes it back.
-type PromiseQuestion struct {
+// PromiseQuery asks a keeper of a shard for a promise, or takes it back.
+type PromiseQuery struct {
 	Shard string
 	Term  uint64
 	// Until is in Unix milliseconds.
@@ -18,8 +18,8 @@
 	Incarnation uint64
 }
 
-// PromiseAnswer is the keeper's answer.
-type PromiseAnswer struct {
+// PromiseResult is the keeper's answer.
+type PromiseResult struct {
 	// Known is false where the asked process is another one.
 	Known   bool
 	Granted bool
@@ -28,7 +28,7 @@
 }
 
 // Promise asks the keeper at the address.
-func (c *Client) Promise(ctx context.Context, address string, q PromiseQuestion, timeout time.Duration) (PromiseAnswer, error) {
+func (c *Client) Promise(ctx context.Context, address string, q PromiseQuery, timeout time.Duration) (PromiseResult, error) {
 	request := &peerpb.PromiseRequest{
 		Shard:           q.Shard,
 		Term:            q.Term,
@@ -36,18 +36,18 @@
 		Fence:           q.Fence,
 		Incarnation:     q.Incarnation,
 	}
-	answer, err := ask(ctx, c, address, timeout, func(ctx context.Context, client peerpb.DRPCPeerClient) (*peerpb.PromiseReply, error) {
+	response, err := query(ctx, c, address, timeout, func(ctx context.Context, client peerpb.DRPCPeerClient) (*peerpb.PromiseReply, error) {
 		return client.Promise(ctx, request)
 	})
 	if err != nil {
-		return PromiseAnswer{}, err
+		return PromiseResult{}, err
 	}
-	return PromiseAnswer{Known: answer.GetKnown(), Granted: answer.GetGranted(), Until: answer.GetUntilUnixMillis()}, nil
+	return PromiseResult{Known: response.GetKnown(), Granted: response.GetGranted(), Until: response.GetUntilUnixMillis()}, nil
 }
 
 // Promise answers as a keeper.
 func (s *Server) Promise(_ context.Context, m *peerpb.PromiseRequest) (*peerpb.PromiseReply, error) {
-	a := s.promiser.Promise(PromiseQuestion{
+	a := s.promiser.Promise(PromiseQuery{
 		Shard:       m.GetShard(),
 		Term:        m.GetTerm(),
 		Until:       m.GetUntilUnixMillis(),
--- a/internal/traffic/peer/resolve.go
+++ b/internal/traffic/peer/resolve.go
@@ -25,8 +25,8 @@
 	peerpb.ResolveReply_STATE_MOVED:   outcome.Moved,
 }
 
-// Question asks what became of an attempt.
-type Question struct {
+// ResolveQuery asks what became of an attempt.
+type ResolveQuery struct {
 	AttemptID string
 	Key       string
 	Service   string
@@ -52,7 +52,7 @@
 
 // Resolve asks the node at the address. It trusts no connection that may have gone silent: for a key it makes a new one, and
 // for an attempt without a key it takes one that has just worked, or a new one where that gives no answer.
-func (c *Client) Resolve(ctx context.Context, address string, q Question, timeout time.Duration) (Resolution, error) {
+func (c *Client) Resolve(ctx context.Context, address string, q ResolveQuery, timeout time.Duration) (Resolution, error) {
 	request := &peerpb.ResolveRequest{
 		AttemptId:   q.AttemptID,
 		Key:         q.Key,
@@ -60,52 +60,52 @@
 		Incarnation: q.Incarnation,
 		Delegated:   q.Delegated,
 		Move:        q.Move,
-		MoveTo:      homeMessage(q.MoveTo),
+		MoveTo:      ownerMessage(q.MoveTo),
 	}
-	put := askSoon[*peerpb.ResolveReply]
+	queryNode := queryRecent[*peerpb.ResolveReply]
 	if q.Key != "" {
-		put = ask[*peerpb.ResolveReply]
+		queryNode = query[*peerpb.ResolveReply]
 	}
-	answer, err := put(ctx, c, address, timeout, func(ctx context.Context, client peerpb.DRPCPeerClient) (*peerpb.ResolveReply, error) {
+	response, err := queryNode(ctx, c, address, timeout, func(ctx context.Context, client peerpb.DRPCPeerClient) (*peerpb.ResolveReply, error) {
 		return client.Resolve(ctx, request)
 	})
 	if err != nil {
 		return Resolution{}, err
 	}
-	state, known := states[answer.GetState()]
-	resolution := Resolution{State: state, Known: known, Fingerprint: answer.GetFingerprint()}
+	state, known := states[response.GetState()]
+	resolution := Resolution{State: state, Known: known, Fingerprint: response.GetFingerprint()}
 	if !known || state != outcome.Done {
 		return resolution, nil
 	}
-	resolution.Reply, err = checkedReply(&call.Request{AttemptID: q.AttemptID}, answer.GetReply())
+	resolution.Reply, err = checkAndParseReply(&call.Request{AttemptID: q.AttemptID}, response.GetReply())
 	if err != nil {
 		return Resolution{}, &Error{Address: address, Sent: true, Reason: call.ReasonCorrupt, Cause: err}
 	}
 	return resolution, nil
 }
 
-// Drop closes the idle connections to the node at the address, which was found silent.
-func (c *Client) Drop(address string) {
-	c.pool.Drop(address)
+// CloseIdle closes the idle connections to the node at the address, which was found silent.
+func (c *Client) CloseIdle(address string) {
+	c.pool.CloseIdle(address)
 }
 
 // Resolve answers what became of an attempt.
 func (s *Server) Resolve(_ context.Context, m *peerpb.ResolveRequest) (*peerpb.ResolveReply, error) {
-	resolution := s.keeper.Resolve(Question{
+	resolution := s.outcomes.Resolve(ResolveQuery{
 		AttemptID:   m.GetAttemptId(),
 		Key:         m.GetKey(),
 		Service:     m.GetService(),
 		Incarnation: m.GetIncarnation(),
 		Delegated:   m.GetDelegated(),
 		Move:        m.GetMove(),
-		MoveTo:      homeOf(m.GetMoveTo()),
+		MoveTo:      parseOwner(m.GetMoveTo()),
 	})
 	if !resolution.Known {
 		return &peerpb.ResolveReply{State: peerpb.ResolveReply_STATE_UNKNOWN}, nil
 	}
-	answer := &peerpb.ResolveReply{State: stateMessages[resolution.State], Fingerprint: resolution.Fingerprint}
+	response := &peerpb.ResolveReply{State: stateMessages[resolution.State], Fingerprint: resolution.Fingerprint}
 	if resolution.State == outcome.Done {
-		answer.Reply = replyMessage(m.GetAttemptId(), resolution.Reply)
+		response.Reply = replyMessage(m.GetAttemptId(), resolution.Reply)
 	}
-	return answer, nil
+	return response, nil
 }
--- a/internal/traffic/peer/reuse_test.go
+++ b/internal/traffic/peer/reuse_test.go
@@ -19,40 +19,40 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// acceptCounter counts the connections that were made, and how often something came in on them.
-type acceptCounter struct {
+// countingListener counts the connections that were made, and how often something came in on them.
+type countingListener struct {
 	net.Listener
 
 	accepted atomic.Int64
 	reads    atomic.Int64
-	// mute drops what comes in on the connections that were made before.
-	mute atomic.Bool
+	// silent drops what comes in on the connections that were made before.
+	silent atomic.Bool
 }
 
-func (l *acceptCounter) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.accepted.Add(1)
-	return &readCounter{Conn: conn, listener: l, afterMute: l.mute.Load()}, nil
+	return &countingConn{Conn: conn, listener: l, afterSilence: l.silent.Load()}, nil
 }
 
-// readCounter counts the reads that brought something.
-type readCounter struct {
+// countingConn counts the reads that brought something.
+type countingConn struct {
 	net.Conn
 
-	listener  *acceptCounter
-	afterMute bool
+	listener     *countingListener
+	afterSilence bool
 }
 
-func (c *readCounter) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
 		if n > 0 {
 			c.listener.reads.Add(1)
 		}
-		if err != nil || c.afterMute || !c.listener.mute.Load() {
+		if err != nil || c.afterSilence || !c.listener.silent.Load() {
 			return n, err
 		}
 	}
@@ -65,14 +65,14 @@
 	return f(r)
 }
 
-// running says of every attempt that it runs.
-type running struct{}
+// runningStore says of every attempt that it runs.
+type runningStore struct{}
 
-func (running) Resolve(peer.Question) peer.Resolution {
+func (runningStore) Resolve(peer.ResolveQuery) peer.Resolution {
 	return peer.Resolution{Known: true, State: outcome.Running}
 }
 
-func (running) TakeOver(context.Context, peer.HandoverPart) (bool, error) {
+func (runningStore) TakeOver(context.Context, peer.HandoverPart) (bool, error) {
 	return false, nil
 }
 
@@ -89,14 +89,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := &acceptCounter{}
+			l := &countingListener{}
 			refuse := receiverFunc(func(*call.Request) call.Reply { return call.Refused(call.NotRun, call.ReasonOverload, time.Second) })
-			client, _, address := serve(t, refuse, time.Minute, l)
+			client, _, address := startNode(t, refuse, time.Minute, l)
 			for range test.calls {
-				send(t, client, address, 0)
+				sendCall(t, client, address, 0)
 			}
 			for range 10 {
-				resolution, err := client.Resolve(t.Context(), address, peer.Question{AttemptID: "a"}, time.Second)
+				resolution, err := client.Resolve(t.Context(), address, peer.ResolveQuery{AttemptID: "a"}, time.Second)
 				is.NoErr(err)
 				is.Equal(resolution.State, outcome.Running)
 			}
@@ -108,21 +108,21 @@
 // Pattern: the open connections went silent. A question goes out again on a new one and is answered.
 func TestQuestionPassesASilentConnection(t *testing.T) {
 	is := is.New(t)
-	l := &acceptCounter{}
+	l := &countingListener{}
 	refuse := receiverFunc(func(*call.Request) call.Reply { return call.Refused(call.NotRun, call.ReasonOverload, time.Second) })
-	client, _, address := serve(t, refuse, time.Minute, l)
-	send(t, client, address, 0)
-	l.mute.Store(true)
+	client, _, address := startNode(t, refuse, time.Minute, l)
+	sendCall(t, client, address, 0)
+	l.silent.Store(true)
 	begin := time.Now()
-	resolution, err := client.Resolve(t.Context(), address, peer.Question{AttemptID: "a"}, time.Second)
+	resolution, err := client.Resolve(t.Context(), address, peer.ResolveQuery{AttemptID: "a"}, time.Second)
 	is.NoErr(err)
 	is.Equal(resolution.State, outcome.Running)
 	is.True(time.Since(begin) < 500*time.Millisecond)
 }
 
-// serve starts a node that answers with the receiver, and returns a client of it, the client's pool and the address. The
+// startNode starts a node that answers with the receiver, and returns a client of it, the client's pool and the address. The
 // counter, where there is one, counts its connections.
-func serve(t *testing.T, receiver peer.Receiver, maxIdle time.Duration, counter *acceptCounter) (*peer.Client, *peer.Pool, string) {
+func startNode(t *testing.T, receiver peer.Receiver, maxIdle time.Duration, counter *countingListener) (*peer.Client, *peer.Pool, string) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -131,10 +131,10 @@
 		counter.Listener, l = l, counter
 	}
 	mux := drpcmux.New()
-	is.NoErr(peerpb.DRPCRegisterPeer(mux, peer.NewServer(receiver, running{}, nil)))
+	is.NoErr(peerpb.DRPCRegisterPeer(mux, peer.NewServer(receiver, runningStore{}, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
-	group.Go(func() { _ = drpcserver.New(peer.SealHandler(mux, nil)).Serve(ctx, l) })
+	group.Go(func() { _ = drpcserver.New(peer.NewHandler(mux, nil)).Serve(ctx, l) })
 	pool := peer.NewPool(peer.PoolConfig{MaxPerPeer: 30, MaxIdle: maxIdle, DialTimeout: time.Second, LocalIP: net.IPv4(127, 0, 0, 1)})
 	t.Cleanup(func() {
 		pool.Close()
@@ -144,8 +144,8 @@
 	return peer.NewClient(pool, "node_1"), pool, address
 }
 
-// send sends one request, whose context ends as soon as its answer is there.
-func send(t *testing.T, client *peer.Client, address string, depth int) {
+// sendCall sends one request, whose context ends as soon as its answer is there.
+func sendCall(t *testing.T, client *peer.Client, address string, depth int) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	_, err := client.Call(ctx, address, &call.Request{
@@ -157,11 +157,11 @@
 // Pattern: a flood of requests that are refused at once. The context of each ends as soon as its answer is there.
 func TestAnsweredCallsKeepTheirConnection(t *testing.T) {
 	is := is.New(t)
-	l := &acceptCounter{}
+	l := &countingListener{}
 	refuse := receiverFunc(func(*call.Request) call.Reply { return call.Refused(call.NotRun, call.ReasonOverload, time.Second) })
-	client, _, address := serve(t, refuse, time.Minute, l)
+	client, _, address := startNode(t, refuse, time.Minute, l)
 	for range 300 {
-		send(t, client, address, 0)
+		sendCall(t, client, address, 0)
 	}
 	is.Equal(l.accepted.Load(), int64(1))
 }
@@ -170,12 +170,12 @@
 // more for the end of the call.
 func TestNodeIsWokenUpOnceForEachCall(t *testing.T) {
 	is := is.New(t)
-	l := &acceptCounter{}
+	l := &countingListener{}
 	refuse := receiverFunc(func(*call.Request) call.Reply { return call.Refused(call.NotRun, call.ReasonOverload, time.Second) })
-	client, _, address := serve(t, refuse, time.Minute, l)
+	client, _, address := startNode(t, refuse, time.Minute, l)
 	const calls = 100
 	for range calls {
-		send(t, client, address, 0)
+		sendCall(t, client, address, 0)
 	}
 	is.True(l.reads.Load() <= calls+1)
 }
@@ -187,7 +187,7 @@
 	const burst, maxIdle = 20, 100 * time.Millisecond
 	var together sync.WaitGroup
 	together.Add(burst)
-	client, pool, address := serve(t, receiverFunc(func(r *call.Request) call.Reply {
+	client, pool, address := startNode(t, receiverFunc(func(r *call.Request) call.Reply {
 		if r.Depth == 0 { // one of the burst
 			together.Done()
 			together.Wait()
@@ -196,12 +196,12 @@
 	}), maxIdle, nil)
 	var group conc.WaitGroup
 	for range burst {
-		group.Go(func() { send(t, client, address, 0) })
+		group.Go(func() { sendCall(t, client, address, 0) })
 	}
 	group.Wait()
-	is.Equal(pool.Open()[address], burst)
+	is.Equal(pool.OpenCounts()[address], burst)
 	for begin := time.Now(); time.Since(begin) < 2*maxIdle; time.Sleep(maxIdle / 10) {
-		send(t, client, address, 1)
+		sendCall(t, client, address, 1)
 	}
-	is.Equal(pool.Open()[address], 1)
+	is.Equal(pool.OpenCounts()[address], 1)
 }
--- a/internal/traffic/peer/seal.go
+++ b/internal/traffic/peer/seal.go
@@ -13,38 +13,38 @@
 	"storj.io/drpc/drpcenc"
 )
 
-// errDamaged says that a message was changed on its way.
-var errDamaged = errors.New("message does not match its checksum")
+// errChecksumMismatch says that a message was changed on its way.
+var errChecksumMismatch = errors.New("message does not match its checksum")
 
 const (
-	// sealSize is the length of the checksum before each message, in bytes.
-	sealSize = 8
+	// checksumSize is the length of the checksum before each message, in bytes.
+	checksumSize = 8
 	// dictionaryID names the dictionary in each message.
 	dictionaryID = 1
-	// maxMessage bounds an unpacked message, in bytes.
-	maxMessage = 8 << 20
-	// packWindow is how far back a packed message repeats itself, in bytes.
-	packWindow = 64 << 10
+	// maxMessageSize bounds an unpacked message, in bytes.
+	maxMessageSize = 8 << 20
+	// compressionWindow is how far back a packed message repeats itself, in bytes.
+	compressionWindow = 64 << 10
 )
 
-// commonWords stand in most messages.
-var commonWords = []string{
+// commonTerms stand in most messages.
+var commonTerms = []string{
 	"application/octet-stream", "application/json", "Content-Type", "Accept-Encoding", "identity", "User-Agent", "Accept", "*/*", "Host",
 }
 
-// Packer makes messages small and unpacks them. All nodes of a fleet need the same one.
-type Packer struct {
+// Compressor makes messages small and unpacks them. All nodes of a fleet need the same one.
+type Compressor struct {
 	encoder *zstd.Encoder
 	decoder *zstd.Decoder
 }
 
-// NewPacker returns a packer for messages in which the words stand often.
-func NewPacker(words ...string) (*Packer, error) {
-	dictionary := []byte(strings.Join(append(words, commonWords...), "\n"))
+// NewCompressor returns a packer for messages in which the words stand often.
+func NewCompressor(terms ...string) (*Compressor, error) {
+	dictionary := []byte(strings.Join(append(terms, commonTerms...), "\n"))
 	encoder, err := zstd.NewWriter(nil,
 		zstd.WithEncoderDictRaw(dictionaryID, dictionary),
 		zstd.WithEncoderConcurrency(1),
-		zstd.WithWindowSize(packWindow),
+		zstd.WithWindowSize(compressionWindow),
 		zstd.WithEncoderCRC(false),
 		zstd.WithLowerEncoderMem(true))
 	if err != nil {
@@ -53,143 +53,143 @@
 	decoder, err := zstd.NewReader(nil,
 		zstd.WithDecoderDictRaw(dictionaryID, dictionary),
 		zstd.WithDecoderConcurrency(1),
-		zstd.WithDecoderMaxMemory(maxMessage),
+		zstd.WithDecoderMaxMemory(maxMessageSize),
 		zstd.WithDecoderLowmem(true))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return &Packer{encoder: encoder, decoder: decoder}, nil
+	return &Compressor{encoder: encoder, decoder: decoder}, nil
 }
 
 // The first byte of a message says how it stands.
 const (
-	plainForm  = 0
-	packedForm = 1
+	formPlain      = 0
+	formCompressed = 1
 )
 
-// errForm says that a message stands in a form that this node doesn't know.
-var errForm = errors.New("message is in an unknown form")
+// errUnknownForm says that a message stands in a form that this node doesn't know.
+var errUnknownForm = errors.New("message is in an unknown form")
 
-// pack appends the message in the packed form.
-func (p *Packer) pack(buffer, message []byte) []byte {
-	return p.encoder.EncodeAll(message, append(buffer, packedForm))
+// compress appends the message in the packed form.
+func (p *Compressor) compress(buffer, message []byte) []byte {
+	return p.encoder.EncodeAll(message, append(buffer, formCompressed))
 }
 
-// open returns the message, and whether it was packed.
-func (p *Packer) open(message []byte) ([]byte, bool, error) {
+// decode returns the message, and whether it was packed.
+func (p *Compressor) decode(message []byte) ([]byte, bool, error) {
 	switch {
 	case len(message) == 0:
-		return nil, false, errForm
-	case message[0] == plainForm:
+		return nil, false, errUnknownForm
+	case message[0] == formPlain:
 		return message[1:], false, nil
-	case message[0] == packedForm && p != nil:
-		opened, err := p.decoder.DecodeAll(message[1:], nil)
-		return opened, true, trace.Wrap(err)
+	case message[0] == formCompressed && p != nil:
+		decompressed, err := p.decoder.DecodeAll(message[1:], nil)
+		return decompressed, true, trace.Wrap(err)
 	}
-	return nil, false, errForm
+	return nil, false, errUnknownForm
 }
 
-// sealed is an encoding that puts a checksum behind each message, so that damage to any field is found. No message has a
+// messageEncoding is an encoding that puts a checksum behind each message, so that damage to any field is found. No message has a
 // checksum of a part of its own.
-type sealed struct {
+type messageEncoding struct {
 	drpc.Encoding
-	packer *Packer
-	// packs says that messages are sent packed.
-	packs bool
-	// wasPacked is set where the message that was read was packed; nil for nobody who asks.
-	wasPacked *bool
+	compressor *Compressor
+	// compress says that messages are sent packed.
+	compress bool
+	// wasCompressed is set where the message that was read was packed; nil for nobody who asks.
+	wasCompressed *bool
 }
 
 // Marshal returns the encoded message and its checksum.
-func (s sealed) Marshal(m drpc.Message) ([]byte, error) {
+func (s messageEncoding) Marshal(m drpc.Message) ([]byte, error) {
 	return s.MarshalAppend(nil, m)
 }
 
 // MarshalAppend appends the checksum and the encoded message.
-func (s sealed) MarshalAppend(buffer []byte, m drpc.Message) ([]byte, error) {
+func (s messageEncoding) MarshalAppend(buffer []byte, m drpc.Message) ([]byte, error) {
 	start := len(buffer)
-	var none [sealSize]byte
-	buffer, err := s.encode(append(buffer, none[:]...), m)
+	var placeholder [checksumSize]byte
+	buffer, err := s.encode(append(buffer, placeholder[:]...), m)
 	if err != nil {
 		return nil, err
 	}
 	message := buffer[start:]
-	binary.LittleEndian.PutUint64(message, xxhash.Sum64(message[sealSize:]))
+	binary.LittleEndian.PutUint64(message, xxhash.Sum64(message[checksumSize:]))
 	return buffer, nil
 }
 
 // encode appends the message in its form.
-func (s sealed) encode(buffer []byte, m drpc.Message) ([]byte, error) {
-	if !s.packs || s.packer == nil {
-		return drpcenc.MarshalAppend(m, s.Encoding, append(buffer, plainForm))
+func (s messageEncoding) encode(buffer []byte, m drpc.Message) ([]byte, error) {
+	if !s.compress || s.compressor == nil {
+		return drpcenc.MarshalAppend(m, s.Encoding, append(buffer, formPlain))
 	}
 	encoded, err := s.Encoding.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
-	return s.packer.pack(buffer, encoded), nil
+	return s.compressor.compress(buffer, encoded), nil
 }
 
 // Unmarshal reads the message where its checksum is right.
-func (s sealed) Unmarshal(buffer []byte, m drpc.Message) error {
-	if len(buffer) < sealSize {
-		return errDamaged
+func (s messageEncoding) Unmarshal(buffer []byte, m drpc.Message) error {
+	if len(buffer) < checksumSize {
+		return errChecksumMismatch
 	}
-	checksum, message := buffer[:sealSize], buffer[sealSize:]
+	checksum, message := buffer[:checksumSize], buffer[checksumSize:]
 	if binary.LittleEndian.Uint64(checksum) != xxhash.Sum64(message) {
-		return errDamaged
+		return errChecksumMismatch
 	}
-	encoded, packed, err := s.packer.open(message)
+	encoded, compressed, err := s.compressor.decode(message)
 	if err != nil {
 		return err
 	}
-	if s.wasPacked != nil {
-		*s.wasPacked = packed
+	if s.wasCompressed != nil {
+		*s.wasCompressed = compressed
 	}
 	return s.Encoding.Unmarshal(encoded, m)
 }
 
-// sealedConn is a connection whose messages carry checksums.
-type sealedConn struct {
+// encodedConn is a connection whose messages carry checksums.
+type encodedConn struct {
 	drpc.Conn
-	packer *Packer
-	packs  bool
+	compressor *Compressor
+	compress   bool
 }
 
 // Invoke makes one RPC.
-func (c sealedConn) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
-	return c.Conn.Invoke(ctx, rpc, sealed{Encoding: enc, packer: c.packer, packs: c.packs}, in, out)
+func (c encodedConn) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
+	return c.Conn.Invoke(ctx, rpc, messageEncoding{Encoding: enc, compressor: c.compressor, compress: c.compress}, in, out)
 }
 
-// sealedHandler serves RPCs whose messages carry checksums.
-type sealedHandler struct {
-	handler drpc.Handler
-	packer  *Packer
+// encodedHandler serves RPCs whose messages carry checksums.
+type encodedHandler struct {
+	handler    drpc.Handler
+	compressor *Compressor
 }
 
-// SealHandler returns a handler for RPCs that come over a Pool with the same packer.
-func SealHandler(h drpc.Handler, packer *Packer) drpc.Handler {
-	return sealedHandler{handler: h, packer: packer}
+// NewHandler returns a handler for RPCs that come over a Pool with the same packer.
+func NewHandler(h drpc.Handler, compressor *Compressor) drpc.Handler {
+	return encodedHandler{handler: h, compressor: compressor}
 }
 
 // HandleRPC serves one RPC.
-func (h sealedHandler) HandleRPC(stream drpc.Stream, rpc string) error {
-	return h.handler.HandleRPC(&sealedStream{Stream: stream, packer: h.packer}, rpc)
+func (h encodedHandler) HandleRPC(stream drpc.Stream, rpc string) error {
+	return h.handler.HandleRPC(&encodedStream{Stream: stream, compressor: h.compressor}, rpc)
 }
 
-// sealedStream is the server's side of one RPC. It answers in the form in which it was asked.
-type sealedStream struct {
+// encodedStream is the server's side of one RPC. It answers in the form in which it was asked.
+type encodedStream struct {
 	drpc.Stream
-	packer *Packer
-	packs  bool
+	compressor *Compressor
+	compress   bool
 }
 
 // MsgSend sends a message with its checksum.
-func (s *sealedStream) MsgSend(m drpc.Message, enc drpc.Encoding) error {
-	return s.Stream.MsgSend(m, sealed{Encoding: enc, packer: s.packer, packs: s.packs})
+func (s *encodedStream) MsgSend(m drpc.Message, enc drpc.Encoding) error {
+	return s.Stream.MsgSend(m, messageEncoding{Encoding: enc, compressor: s.compressor, compress: s.compress})
 }
 
 // MsgRecv receives a message and checks it.
-func (s *sealedStream) MsgRecv(m drpc.Message, enc drpc.Encoding) error {
-	return s.Stream.MsgRecv(m, sealed{Encoding: enc, packer: s.packer, wasPacked: &s.packs})
+func (s *encodedStream) MsgRecv(m drpc.Message, enc drpc.Encoding) error {
+	return s.Stream.MsgRecv(m, messageEncoding{Encoding: enc, compressor: s.compressor, wasCompressed: &s.compress})
 }
--- a/internal/traffic/peer/seal_test.go
+++ b/internal/traffic/peer/seal_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestEveryFlippedBitIsFound(t *testing.T) {
-	headers := headerBlock(http.Header{"X": {"y"}})
+	headers := encodeHeaders(http.Header{"X": {"y"}})
 	body := bytes.Repeat([]byte("ballroom"), 100)
 	for name, sent := range map[string]proto.Message{
 		"request":           &peerpb.CallRequest{AttemptId: "a", Key: "k", Rank: 3, Path: "/bookings", Headers: headers},
@@ -33,53 +33,53 @@
 		"resolved reply":    &peerpb.ResolveReply{State: peerpb.ResolveReply_STATE_DONE, Reply: &peerpb.CallReply{AttemptId: "a", Body: body}},
 		"keys handed over":  &peerpb.HandoverRequest{Keys: []*peerpb.RememberedKey{{Key: "k", Reply: &peerpb.CallReply{Body: body}}}},
 	} {
-		t.Run(name, func(t *testing.T) { everyFlippedBitIsFound(t, sent) })
+		t.Run(name, func(t *testing.T) { testEncodingsDetectBitFlips(t, sent) })
 	}
 }
 
-func everyFlippedBitIsFound(t *testing.T, sent proto.Message) {
+func testEncodingsDetectBitFlips(t *testing.T, sent proto.Message) {
 	t.Helper()
-	packer, err := NewPacker("X-Some-Header")
+	packer, err := NewCompressor("X-Some-Header")
 	is.New(t).NoErr(err)
-	for name, enc := range map[string]sealed{
+	for name, enc := range map[string]messageEncoding{
 		"plain":  {Encoding: protoEncoding{}},
-		"packed": {Encoding: protoEncoding{}, packer: packer, packs: true},
+		"packed": {Encoding: protoEncoding{}, compressor: packer, compress: true},
 	} {
-		t.Run(name, func(t *testing.T) { everyFlippedBitOf(t, enc, sent) })
+		t.Run(name, func(t *testing.T) { testBitFlips(t, enc, sent) })
 	}
 }
 
-func everyFlippedBitOf(t *testing.T, enc sealed, sent proto.Message) {
+func testBitFlips(t *testing.T, enc messageEncoding, sent proto.Message) {
 	is := is.New(t)
 	encoded, err := enc.Marshal(sent)
 	is.NoErr(err)
 	received := sent.ProtoReflect().New().Interface()
 	for bit := range 8 * len(encoded) {
 		encoded[bit/8] ^= 1 << (bit % 8)
-		is.Equal(enc.Unmarshal(encoded, received), errDamaged)
+		is.Equal(enc.Unmarshal(encoded, received), errChecksumMismatch)
 		encoded[bit/8] ^= 1 << (bit % 8)
 	}
 	is.NoErr(enc.Unmarshal(encoded, received))
 	is.True(proto.Equal(sent, received))
-	is.Equal(enc.Unmarshal(encoded[:3], received), errDamaged)
+	is.Equal(enc.Unmarshal(encoded[:3], received), errChecksumMismatch)
 }
 
 // Bytes between availability zones are what a call costs most.
 func TestPackedMessagesAreSmaller(t *testing.T) {
 	is := is.New(t)
-	packer, err := NewPacker("X-Request-Name", "X-Calling-Service")
+	packer, err := NewCompressor("X-Request-Name", "X-Calling-Service")
 	is.NoErr(err)
 	id := "b5d47934b518c678.858882962b8c3d29.360816f9491c73f4"
 	request := &peerpb.CallRequest{
 		AttemptId: "2fj49fk3m2k1", RootId: id, Service: "keys", Kind: "key_lookup", Method: "GET", Path: "/keys/44?page=1",
-		Headers: headerBlock(http.Header{
+		Headers: encodeHeaders(http.Header{
 			"Accept": {"*/*"}, "Accept-Encoding": {"identity"}, "Host": {"keys.example"},
 			"User-Agent": {"sdk-client/1.9.3"}, "X-Request-Name": {id}, "X-Calling-Service": {"stock"},
 		}),
 	}
-	plain, err := sealed{Encoding: protoEncoding{}}.Marshal(request)
+	plain, err := messageEncoding{Encoding: protoEncoding{}}.Marshal(request)
 	is.NoErr(err)
-	packed, err := sealed{Encoding: protoEncoding{}, packer: packer, packs: true}.Marshal(request)
+	packed, err := messageEncoding{Encoding: protoEncoding{}, compressor: packer, compress: true}.Marshal(request)
 	is.NoErr(err)
 	is.True(len(packed) < len(plain))
 }
--- a/internal/traffic/peer/server.go
+++ b/internal/traffic/peer/server.go
@@ -13,9 +13,9 @@
 	Receive(ctx context.Context, r *call.Request) call.Reply
 }
 
-// Keeper remembers attempts and keys.
-type Keeper interface {
-	Resolve(q Question) Resolution
+// OutcomeStore remembers attempts and keys.
+type OutcomeStore interface {
+	Resolve(q ResolveQuery) Resolution
 	// TakeOver takes in a part of a leaving node's keys. False says that no part will ever be taken; an error, that
 	// the part is for another process, which may have taken it.
 	TakeOver(ctx context.Context, p HandoverPart) (bool, error)
@@ -23,7 +23,7 @@
 
 // Promiser answers as a keeper of shards.
 type Promiser interface {
-	Promise(q PromiseQuestion) PromiseAnswer
+	Promise(q PromiseQuery) PromiseResult
 }
 
 // Server answers the RPCs of other nodes.
@@ -31,14 +31,14 @@
 	peerpb.DRPCPeerUnimplementedServer
 
 	receiver Receiver
-	keeper   Keeper
+	outcomes OutcomeStore
 	promiser Promiser
 }
 
 // NewServer returns a server that hands requests to the receiver, questions about them to the keeper, and questions
 // about shards to the promiser.
-func NewServer(receiver Receiver, keeper Keeper, promiser Promiser) *Server {
-	return &Server{receiver: receiver, keeper: keeper, promiser: promiser}
+func NewServer(receiver Receiver, outcomes OutcomeStore, promiser Promiser) *Server {
+	return &Server{receiver: receiver, outcomes: outcomes, promiser: promiser}
 }
 
 // Call runs one attempt.
