--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -1,28 +1,29 @@
-// Package admission decides which requests a backend server runs now, which wait, and which are shed.
+// Package admission decides which requests a backend server runs now, which are queued, and which are shed.
 //
-// A Gate holds an adaptive limit of requests in flight and a short queue. Slots go to the most urgent rank first;
-// within a rank turns are shared between kinds by their shares, within a kind between callers, and a caller's older
-// roots go before its younger ones. Because a root keeps its start time down the whole chain, every gate of the chain
-// prefers the same roots.
+// A Gate holds an adaptive in-flight limit and a short queue. Free slots go to the most urgent rank first. Within a
+// rank, kinds share the slots in proportion to their shares; within a kind, callers share them equally; and the
+// requests of one caller are served in the order in which their root requests started. A root request keeps its start
+// time along the whole call chain, so every gate on the chain prefers the same root requests.
 //
-// A request is refused as soon as it is plain that it would wait longer than its rank may, or past its deadline. To
-// make room, the least urgent rank loses first, and of that rank the kind and then the caller with the longest queue
-// for its share. Every refusal says when to come back: the time in which the queue drains, times how far the offered
-// load of the rank exceeds what is started.
+// A request is refused as soon as its expected queueing delay exceeds the limit of its rank, or its deadline. To make
+// room, the gate sheds the least urgent rank first, and within that rank from the kind, and then the caller, with the
+// longest queue relative to its share. Every refusal carries a Retry-After: the time in which the queue drains, times
+// the ratio of offered to started requests of the rank.
 //
-// The limit follows what the backend server is seen to do; what it announces is only a hint. See Limit.
+// The in-flight limit follows the observed behaviour of the backend server. The slots that the backend server announces
+// are only a hint; see Limit.
 //
 // # Usage
 //
-// The package does no I/O, starts nothing and reads no clock. The caller passes the time and carries out what is
-// returned:
+// The package does no I/O, starts no goroutines and reads no clock. The caller passes the time and carries out the
+// returned decisions:
 //
-//	verdict := gate.Offer(now, ticket)   // run it, let it wait, or shed it; names any ticket shed in its place
-//	next := gate.Finish(now, sample)     // tickets that may run now, and tickets that waited too long
+//	verdict := gate.Offer(now, ticket)   // run, enqueue or shed the ticket; lists tickets displaced by it
+//	next := gate.Finish(now, sample)     // tickets that may run now, and tickets that expired in the queue
 //	next = gate.Advance(now)             // the same, when only time has passed
 //
 // Every offered ticket gets exactly one answer: from Offer itself, or later as displaced, run, expired or withdrawn. A
-// Gate is not safe for concurrent use; the traffic side guards it with one mutex.
+// Gate is not safe for concurrent use; package backend guards it with a mutex.
 package admission
 
 import "time"
@@ -30,48 +31,49 @@
 // Ranks is the number of ranks; rank 0 is the most urgent.
 const Ranks = 10
 
-// Ticket stands for one request at the gate.
+// Ticket represents one request at the gate.
 type Ticket struct {
 	Rank int
 	Kind string
-	// Share weighs the kind against others of its rank; at least 1.
+	// Share is the weight of the kind relative to other kinds of its rank; at least 1.
 	Share int
-	// Caller is who sent the root request.
+	// Caller is the sender of the root request.
 	Caller    string
 	RootStart time.Time
 	Deadline  time.Time
-	// SaturatedLimit is the limit, where the request took the last slot of it when it began, else 0. The gate sets it.
+	// SaturatedLimit is the in-flight limit at the start of the request if the request took the last slot, else 0. The
+	// gate sets it.
 	SaturatedLimit int
 
-	// sequence orders tickets of equal RootStart.
+	// sequence orders tickets with equal RootStart.
 	sequence uint64
 	expires  time.Time
-	// deadlineFirst says that the ticket expires because of its deadline.
+	// deadlineFirst reports whether the ticket expires because of its deadline rather than its queue timeout.
 	deadlineFirst bool
 	// expiryIndex is the ticket's index in the heap of expiry times.
 	expiryIndex int
 }
 
-// Action is what becomes of an offered ticket.
+// Action is the immediate decision on an offered ticket.
 type Action int
 
-// The actions.
+// Possible values of Action.
 const (
 	Run Action = iota
 	Enqueue
 	Shed
 )
 
-// Cause says why a ticket was refused.
+// Cause is the reason why a ticket was refused.
 type Cause int
 
-// The causes.
+// Possible values of Cause.
 const (
-	// Overload means that the ticket would wait too long, or that more urgent work took its place.
+	// Overload means that the ticket's expected queueing delay is too long, or that more urgent work displaced it.
 	Overload Cause = iota
-	// QueueTimeout means that the ticket's time in the queue is over.
+	// QueueTimeout means that the ticket stayed in the queue for too long.
 	QueueTimeout
-	// DeadlineTooNear means that the request can't end before its deadline.
+	// DeadlineTooNear means that the request can't finish before its deadline.
 	DeadlineTooNear
 )
 
@@ -79,46 +81,46 @@
 type Refusal struct {
 	Ticket *Ticket
 	Cause  Cause
-	// RetryAfter is when the request may be sent again.
+	// RetryAfter is the time after which the request may be sent again.
 	RetryAfter time.Duration
 }
 
-// Verdict answers an offer.
+// Verdict is the answer to an offer.
 type Verdict struct {
 	Action Action
-	// Refusal is set where the action is Shed.
+	// Refusal is set if Action is Shed.
 	Refusal Refusal
-	// Displaced are tickets that waited and are shed to make room.
+	// Displaced lists queued tickets that are shed to make room.
 	Displaced []Refusal
 }
 
-// Dequeued is what may happen after a slot is freed or time passes.
+// Dequeued lists the tickets that leave the queue after a slot was freed or time has passed.
 type Dequeued struct {
 	Run     []*Ticket
 	Expired []Refusal
 }
 
-// Sample is what one finished request tells about its backend server.
+// Sample is the measurement of one finished request.
 type Sample struct {
 	Kind string
-	// ServiceTime is the time in the backend server, without its own calls down the chain.
+	// ServiceTime is the time spent in the backend server, without the calls that the request itself made.
 	ServiceTime time.Duration
 	// HoldTime is the whole time for which the request held its slot.
 	HoldTime time.Duration
-	// Overloaded says that the backend server itself shed the request.
+	// Overloaded reports whether the backend server itself shed the request.
 	Overloaded bool
-	// Incomplete says that the request ended before an answer, so that Took is only a lower bound.
+	// Incomplete reports whether the request ended before a reply, so that ServiceTime is only a lower bound.
 	Incomplete bool
-	// Failed says that the answer was a failure, whose latency means nothing.
+	// Failed reports whether the reply was a failure, whose latency carries no information.
 	Failed bool
-	// SaturatedLimit is that of the request's ticket.
+	// SaturatedLimit is copied from the request's ticket.
 	SaturatedLimit int
 
-	// inFlight counts the requests in flight when this one finished.
+	// inFlight is the number of requests in flight when this one finished, itself included.
 	inFlight int
 }
 
-// isSuccess reports whether the request had a whole good answer.
+// isSuccess reports whether the request got a complete, successful reply.
 func (s *Sample) isSuccess() bool {
 	return !s.Overloaded && !s.Incomplete && !s.Failed
 }
--- a/internal/decide/admission/demand.go
+++ b/internal/decide/admission/demand.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// demandWindow is the time over which offers and starts are counted.
+	// demandWindow is the length of a window in which offers and starts are counted.
 	demandWindow = 500 * time.Millisecond
-	// shedTimeout is how long a shed ticket tells that its rank is being shed.
+	// shedTimeout is how long after a shed ticket its rank counts as being shed.
 	shedTimeout = 250 * time.Millisecond
-	// presenceTimeout is how long a rank counts as present after an offer.
+	// presenceTimeout is how long after an offer a rank counts as present.
 	presenceTimeout = time.Second
 )
 
-// rankCounts counts what became of the tickets of one rank.
+// rankCounts counts the tickets of one rank.
 type rankCounts struct {
 	offered int
 	started int
 }
 
-// demand tells how much of each rank was lately offered, started and shed.
+// demand tracks how many tickets of each rank were recently offered and started, and when each rank was last shed.
 type demand struct {
 	current   [Ranks]rankCounts
 	previous  [Ranks]rankCounts
@@ -44,7 +44,7 @@
 	d.lastShed[rank] = now
 }
 
-// rotate begins a new window where the present one is over.
+// rotate starts a new window if the current one is over.
 func (d *demand) rotate(now time.Time) {
 	if now.Before(d.windowEnd) {
 		return
@@ -57,14 +57,14 @@
 	d.windowEnd = now.Add(demandWindow)
 }
 
-// offeredRatio returns how many tickets of the rank are offered for each that is started, at least 1.
+// offeredRatio returns the ratio of offered to started tickets of the rank, at least 1.
 func (d *demand) offeredRatio(rank int) float64 {
 	offered := d.current[rank].offered + d.previous[rank].offered
 	started := d.current[rank].started + d.previous[rank].started
 	return max(float64(offered)/float64(max(started, 1)), 1)
 }
 
-// moreUrgentPresent reports whether work of a more urgent rank was offered lately.
+// moreUrgentPresent reports whether a ticket of a more urgent rank was offered recently.
 func (d *demand) moreUrgentPresent(now time.Time, rank int) bool {
 	for r := range rank {
 		if isRecent(now, d.lastOffer[r], presenceTimeout) {
@@ -74,8 +74,8 @@
 	return false
 }
 
-// sheddingRank returns the most urgent rank of which nothing is run although it is offered; every less urgent rank is
-// shed too. Where the most urgent rank that loses tickets still runs some, it is the rank after that. 0 means none.
+// sheddingRank returns the most urgent rank that is shed entirely, together with every less urgent rank; 0 means none.
+// While the most urgent rank that loses tickets still has some of them started, the result is the next less urgent rank.
 func (d *demand) sheddingRank(now time.Time) int {
 	for r := range Ranks {
 		if !isRecent(now, d.lastShed[r], shedTimeout) {
--- a/internal/decide/admission/fair.go
+++ b/internal/decide/admission/fair.go
@@ -9,23 +9,23 @@
 type queue interface {
 	// push adds a ticket.
 	push(t *Ticket)
-	// next takes out the ticket whose turn it is, from a queue that isn't empty.
+	// next removes and returns the ticket to run next. The queue must not be empty.
 	next() *Ticket
-	// shed takes out the ticket that is given up first, from a queue that isn't empty.
+	// shed removes and returns the ticket to shed first. The queue must not be empty.
 	shed() *Ticket
-	// remove takes out a ticket that is in the queue.
+	// remove removes a ticket that is in the queue.
 	remove(t *Ticket)
 	length() int
 }
 
-// flow is the part of a fairQueue with one name.
+// flow holds the tickets of a fairQueue that have the same key.
 type flow struct {
 	name   string
 	queue  queue
 	weight float64
-	// startTag is the virtual time of the flow's next turn.
+	// startTag is the virtual time at which the flow is served next.
 	startTag float64
-	// startTagIndex and loadIndex are the flow's places in the two heaps; both are meaningless while it is empty.
+	// startTagIndex and loadIndex are the flow's indexes in the two heaps; they are undefined while the flow is empty.
 	startTagIndex int
 	loadIndex     int
 }
@@ -34,22 +34,22 @@
 	return float64(f.queue.length()) / f.weight
 }
 
-// fairQueue shares turns between flows in proportion to their weights, by start-time fair queueing: a turn moves a
-// flow's virtual time on by the inverse of its weight, and the flow that is furthest behind goes next. A flow that
-// was idle starts at the present virtual time, so that it can't save up turns.
+// fairQueue serves flows in proportion to their weights, by start-time fair queueing: serving a ticket advances the
+// flow's start tag by the inverse of its weight, and the flow with the smallest start tag is served next. A flow that
+// was idle resumes at the current virtual time, so that it can't accumulate credit.
 type fairQueue struct {
 	key      func(*Ticket) string
 	weight   func(*Ticket) float64
 	newQueue func() queue
 
 	flows map[string]*flow
-	// byStartTag orders the flows with tickets by their next turn, loads by how long their queue is for their weight.
+	// byStartTag orders the non-empty flows by start tag, byLoad by queue length relative to weight.
 	byStartTag indexedHeap[*flow]
 	byLoad     indexedHeap[*flow]
-	// virtualTime is the virtual time of the last turn.
+	// virtualTime is the start tag of the ticket served last.
 	virtualTime float64
 	count       int
-	// sweepThreshold is how many flows without tickets there may be before the next sweep.
+	// sweepThreshold is the number of empty flows above which the next sweep removes some.
 	sweepThreshold int
 }
 
@@ -111,7 +111,7 @@
 	q.afterRemoval(f)
 }
 
-// afterRemoval puts the heaps in order after a ticket left the flow.
+// afterRemoval restores the heap order after a ticket was removed from the flow.
 func (q *fairQueue) afterRemoval(f *flow) {
 	q.count--
 	if f.queue.length() == 0 {
@@ -133,11 +133,11 @@
 	return f
 }
 
-// minIdleFlows is how many flows without tickets are always kept.
+// minIdleFlows is the number of empty flows that are always kept.
 const minIdleFlows = 256
 
-// sweep forgets flows without tickets. While others wait, a flow that had its turn lately is kept until the others
-// have caught up, else it could come first again and again.
+// sweep deletes empty flows. While other flows wait, an empty flow that is ahead of the virtual time is kept: if its
+// start tag were forgotten, the flow could be served first again and again.
 func (q *fairQueue) sweep() {
 	if q.count == 0 {
 		clear(q.flows)
@@ -159,7 +159,7 @@
 	return len(q.flows) - q.byStartTag.Len()
 }
 
-// ageQueue holds tickets in the order of their roots' start.
+// ageQueue holds tickets in the order in which their root requests started.
 type ageQueue struct {
 	tickets []*Ticket
 }
@@ -200,7 +200,7 @@
 	return cmp.Compare(a.sequence, b.sequence)
 }
 
-// newRankQueue returns the queue of one rank: fair between kinds, then between callers, then by age.
+// newRankQueue returns the queue of one rank: fair between kinds, then between callers, then ordered by root start.
 func newRankQueue() *fairQueue {
 	newCallers := func() queue {
 		return newFairQueue(
--- a/internal/decide/admission/fullness.go
+++ b/internal/decide/admission/fullness.go
@@ -6,76 +6,80 @@
 )
 
 const (
-	// stepRatio of the slots lies between a level and the next one, but at least one slot.
+	// stepRatio is the distance between neighbouring levels as a ratio of the announced slots; at least one slot.
 	stepRatio = 0.05
-	// minUsedRatio of the slots is always used.
+	// minUsedRatio is the least ratio of the announced slots that a level may have.
 	minUsedRatio = 0.7
-	// farTrialSteps is how many steps a far trial goes down, to find what slows down from far below all slots on.
+	// farTrialSteps is the number of steps that the far trial goes down. It finds backend servers that slow down from
+	// far below all slots.
 	farTrialSteps = 4
-	// candidateBatch and usedTurn are how many requests begin at the level on trial, and at the one in use, before the other has its turn.
+	// candidateBatch and currentBatch are the numbers of requests that start at the candidate level and at the current
+	// level before the trial switches to the other level.
 	candidateBatch = 24
 	currentBatch   = 48
-	// minComparedSamples is how many requests must have ended at both levels for them to be compared, and mostCompared how many at the
-	// one on trial settle that it is no better.
+	// minComparedSamples is the number of requests that must have ended at both levels before they are compared.
+	// maxCandidateSamples is the number of requests at the candidate level after which it is rejected unless it is better.
 	minComparedSamples  = 48
 	maxCandidateSamples = 1200
-	// requiredStandardErrors is how many standard errors apart two levels must be.
+	// requiredStandardErrors is the difference between two levels, in standard errors, that counts as significant.
 	requiredStandardErrors = 2.5
-	// maxRelativeTime bounds the time of one request over the mean of its kind, so that single ones count little.
+	// maxRelativeTime caps a request's time relative to the mean of its kind, so that outliers have little weight.
 	maxRelativeTime = 4
-	// saturationTimeout is the time without full slots after which what a trial has shown no longer counts.
+	// saturationTimeout is the time without a saturated limit after which the measurements of a trial are discarded.
 	saturationTimeout = 2 * time.Second
-	// minTrialPause and longestTrialRest bound the time between two rounds of trials that found nothing better.
+	// minTrialPause and maxTrialPause bound the pause after a round of trials that found no better level.
 	minTrialPause = 5 * time.Second
 	maxTrialPause = time.Minute
-	// minKindWeight is the least weight of one request in the mean time of its kind.
+	// minKindWeight is the least weight of one request in the moving average of its kind.
 	minKindWeight = 0.02
 )
 
-// slotOptimizer finds how many of the announced slots are worth using. Some backend servers slow down when they are nearly full, and then do
-// less with all of their slots than with some. While requests wait, a trial lets the level in use and another one take turns, so short
-// that both meet the same load, and compares the requests that they do in a second. Times count as parts of the mean time of their
-// kind, so that another mix of kinds isn't taken for another speed.
+// slotOptimizer finds how many of the announced slots are worth using. Some backend servers slow down when they are
+// nearly full, and then have a lower throughput with all of their slots than with fewer. While requests are queued, a
+// trial alternates between the current level and a candidate level and compares their throughputs. The batches are so
+// short that both levels meet the same load. Times are taken relative to the mean of the request's kind, so that a
+// change in the mix of kinds isn't mistaken for a change in speed.
 type slotOptimizer struct {
 	slots     int
 	current   level
 	candidate level
-	// trialActive says that a trial is on, and trialsTurn that the level on trial has its turn.
+	// trialActive reports whether a trial is running, and candidateActive whether the candidate level is in force.
 	trialActive, candidateActive bool
-	// batchLeft is how many requests begin before the other level's turn.
+	// batchLeft is the number of requests to start before the trial switches to the other level.
 	batchLeft int
-	// stepIndex is the place in trialMoves of the present or next trial, and refused counts the trials in a row that found nothing better.
+	// stepIndex is the index in trialSteps of the current or next trial, and rejections counts the trials in succession
+	// that found no better level.
 	stepIndex, rejections int
-	// pauseUntil is when the next trial may begin, and rest the time of the last rest.
+	// pauseUntil is the earliest start of the next trial, and pause the length of the last pause.
 	pauseUntil  time.Time
 	pause       time.Duration
 	saturatedAt time.Time
 	kinds       map[string]kindMean
 }
 
-// level is a number of slots, with what requests took that began when so many were in use.
+// level is a number of slots, with the times of the requests that started while all of these slots were in use.
 type level struct {
 	slots int
 	count float64
 	sum   float64
-	// sumSquares is the sum of the squares.
+	// sumSquares is the sum of the squared times.
 	sumSquares float64
 }
 
-// kindMean is the recent mean time of one kind.
+// kindMean is the moving average of the service time of one kind.
 type kindMean struct {
 	count int
 	mean  float64
 }
 
-// trialSteps are the trials in turn, in steps up from the level in use.
+// trialSteps lists the trials of a round, each as a number of steps up from the current level.
 var trialSteps = [...]int{-1, 1, -farTrialSteps}
 
 func newSlotOptimizer() *slotOptimizer {
 	return &slotOptimizer{kinds: map[string]kindMean{}}
 }
 
-// announce takes in how many slots there are.
+// announce sets the number of announced slots.
 func (f *slotOptimizer) announce(slots int) {
 	if slots == f.slots {
 		return
@@ -83,7 +87,7 @@
 	*f = slotOptimizer{slots: slots, current: level{slots: slots}, kinds: f.kinds}
 }
 
-// value returns how many slots to use now.
+// value returns the number of slots to use now.
 func (f *slotOptimizer) value() int {
 	if f.trialActive && f.candidateActive {
 		return f.candidate.slots
@@ -91,7 +95,8 @@
 	return f.current.slots
 }
 
-// begin counts a request that began with so many slots in use, and may end the turn of a level.
+// begin records that a request started with inFlight slots in use, itself included. Only requests that reach the level in
+// force count: they may start a trial or switch between the levels of a running one.
 func (f *slotOptimizer) begin(now time.Time, inFlight int) {
 	if inFlight < f.value() {
 		return
@@ -115,7 +120,7 @@
 	}
 }
 
-// beginTrial begins the next trial that there is room for, where one is due.
+// beginTrial starts the next trial if one is due and its candidate level is allowed.
 func (f *slotOptimizer) beginTrial(now time.Time) {
 	if now.Before(f.pauseUntil) {
 		return
@@ -131,7 +136,7 @@
 	f.candidate = level{slots: slots}
 }
 
-// rejectTrial ends a trial that found nothing better. After a round of such there is a rest.
+// rejectTrial ends a trial that found no better level. After a whole round of rejected trials there is a pause.
 func (f *slotOptimizer) rejectTrial(now time.Time) {
 	f.trialActive = false
 	f.stepIndex = (f.stepIndex + 1) % len(trialSteps)
@@ -144,7 +149,7 @@
 	f.pauseUntil = now.Add(f.pause)
 }
 
-// end takes in how long a request took that began when so many slots were in use, which were all at that time.
+// end records the service time of a request that started while all of saturatedLimit slots were in use.
 func (f *slotOptimizer) end(now time.Time, kind string, saturatedLimit int, serviceTime time.Duration) {
 	relative, known := f.relativeTime(kind, float64(serviceTime))
 	if !known || !f.trialActive {
@@ -159,11 +164,11 @@
 	}
 }
 
-// relativeTime returns the time as a part of the mean of its kind, where that is known.
+// relativeTime returns the service time relative to the mean of its kind, and whether that mean was known before.
 func (f *slotOptimizer) relativeTime(kind string, serviceTime float64) (float64, bool) {
 	k, known := f.kinds[kind]
 	if !known && len(f.kinds) >= maxKinds {
-		clear(f.kinds) // most are of routes that are gone
+		clear(f.kinds) // Most entries belong to routes that no longer exist.
 	}
 	k.count++
 	k.mean += max(minKindWeight, 1/float64(k.count)) * (serviceTime - k.mean)
@@ -171,7 +176,7 @@
 	return min(serviceTime/max(k.mean, 1), maxRelativeTime), known
 }
 
-// evaluate ends the trial where it has shown enough.
+// evaluate ends the trial if its result is significant or maxCandidateSamples is reached.
 func (f *slotOptimizer) evaluate(now time.Time) {
 	if min(f.current.count, f.candidate.count) < minComparedSamples {
 		return
@@ -194,12 +199,12 @@
 	l.sumSquares += relative * relative
 }
 
-// throughput is how many requests end in the mean time of one.
+// throughput returns the number of requests that end in the mean time of one request.
 func (l *level) throughput() float64 {
 	return float64(l.slots) * l.count / l.sum
 }
 
-// variance is that of the logarithm of the rate.
+// variance returns the variance of the logarithm of the throughput.
 func (l *level) variance() float64 {
 	mean := l.sum / l.count
 	return (l.sumSquares/l.count - mean*mean) / (mean * mean * l.count)
--- a/internal/decide/admission/fullness_test.go
+++ b/internal/decide/admission/fullness_test.go
@@ -12,21 +12,21 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
 )
 
-// saturatedServer is a gate before a backend server that always has more requests than slots.
+// saturatedServer simulates a gate in front of a backend server that always has more requests than slots.
 type saturatedServer struct {
 	gate        *admission.Gate
 	random      *rand.Rand
 	now         time.Time
 	completions completionHeap
 	ended       int
-	// slowAbove slots in flight the backend server takes slowBy times as long.
+	// slowFactor multiplies the service times while more than slowAbove requests are in flight.
 	slowAbove  int
 	slowFactor float64
-	// timeFactor is how many times as long as usual all requests take.
+	// timeFactor multiplies all service times.
 	timeFactor float64
 }
 
-// completion is when a request ends.
+// completion is the end of a request.
 type completion struct {
 	at     time.Time
 	sample admission.Sample
@@ -60,7 +60,7 @@
 	workSigma = 0.5
 )
 
-// run lets time pass and returns how many requests ended in a second.
+// run advances the time by d and returns how many requests ended in a second.
 func (s *saturatedServer) run(d time.Duration) float64 {
 	s.ended = 0
 	for end := s.now.Add(d); s.now.Before(end); {
@@ -105,7 +105,7 @@
 	}
 }
 
-// rate is how many requests end in a second with so many slots in use.
+// rate returns the expected number of requests that end in a second with the given number of slots in use.
 func (s *saturatedServer) rate(slots int) float64 {
 	mean := (3*quickWork + longWork).Seconds() / 4 * s.timeFactor * math.Exp(workSigma*workSigma/2)
 	if slots > s.slowAbove {
@@ -114,19 +114,20 @@
 	return float64(slots) / mean
 }
 
-// Pattern: backend servers that slow down when they are nearly full. All slots in use then do less than some of them.
-func TestNearlyFullBackendServers(t *testing.T) {
+// Some backend servers slow down when they are nearly full, so that all slots yield less throughput than fewer slots. The gate
+// must find the level with the highest throughput.
+func TestSlowdownNearFullSlots(t *testing.T) {
 	for name, test := range map[string]struct {
 		slots, slowAbove int
 		slowBy           float64
 	}{
-		"twelve slots":          {12, 11, 1.3},
-		"fifty slots":           {50, 47, 1.3},
-		"many slots":            {165, 156, 1.3},
-		"slow from far below":   {60, 48, 1.6},
-		"not slowed":            {12, 12, 1},
-		"many slots not slowed": {165, 165, 1},
-		"two slots":             {2, 1, 1.2},
+		"twelve slots":             {12, 11, 1.3},
+		"fifty slots":              {50, 47, 1.3},
+		"many slots":               {165, 156, 1.3},
+		"slow far below all slots": {60, 48, 1.6},
+		"no slowdown":              {12, 12, 1},
+		"many slots, no slowdown":  {165, 165, 1},
+		"two slots":                {2, 1, 1.2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -136,13 +137,13 @@
 			s.run(settling)
 			got := s.run(measured)
 			best := max(s.rate(test.slots), s.rate(test.slowAbove))
-			t.Logf("%.0f a second, %.0f with all slots, %.0f can be done", got, s.rate(test.slots), best)
+			t.Logf("%.0f requests a second, %.0f with all slots, %.0f at best", got, s.rate(test.slots), best)
 			is.True(got >= 0.95*best)
 		})
 	}
 }
 
-// What slows all requests down, however many are in flight, takes no slots away.
+// A slowdown that does not depend on the number of requests in flight must not reduce the slots in use.
 func TestSlowBackendServerKeepsItsSlots(t *testing.T) {
 	is := is.New(t)
 	s := newSaturatedServer(50)
@@ -153,6 +154,6 @@
 		s.run(3 * time.Second)
 	}
 	got := s.run(20 * time.Second)
-	t.Logf("%.0f a second, %.0f can be done", got, s.rate(50))
+	t.Logf("%.0f requests a second, %.0f at best", got, s.rate(50))
 	is.True(got >= 0.95*s.rate(50))
 }
--- a/internal/decide/admission/gate.go
+++ b/internal/decide/admission/gate.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// GateConfig sets a Gate up.
+// GateConfig configures a Gate.
 type GateConfig struct {
 	Limit LimitConfig
-	// QueuePerSlot bounds the queue, in entries for each slot of the limit.
+	// QueuePerSlot is the maximum queue length, in tickets for each slot of the in-flight limit.
 	QueuePerSlot float64
-	// MaxDelayLeastUrgent is how long a ticket of the least urgent rank may be expected to stand in the queue when it is offered.
+	// MaxDelayLeastUrgent is the maximum expected queueing delay of an offered ticket of the least urgent rank.
 	MaxDelayLeastUrgent time.Duration
-	// MaxDelayMostUrgent is the same for rank 0; the ranks between have waits between.
+	// MaxDelayMostUrgent is the same for rank 0; the limits of the ranks between are interpolated.
 	MaxDelayMostUrgent time.Duration
-	// ReserveInterval is how long a slot may take to get free before one is kept for more urgent work.
+	// ReserveInterval is the mean time between two freed slots from which on the last free slot is reserved for more
+	// urgent work.
 	ReserveInterval time.Duration
-	// MaxRetryAfter bounds the time after which a refused request may come back.
+	// MaxRetryAfter is the upper limit of the Retry-After of refusals.
 	MaxRetryAfter time.Duration
 }
 
@@ -28,19 +29,19 @@
 	sequence uint64
 	totals   Totals
 	sheds    [Ranks]RankSheds
-	// pausedUntil holds starts back after the backend server shed a request.
+	// pausedUntil is the time before which no ticket is started, because the backend server shed a request.
 	pausedUntil time.Time
 }
 
-// Totals counts tickets of each rank since the start.
+// Totals counts the tickets of each rank since the gate was created.
 type Totals struct {
 	Offered [Ranks]uint64 `json:"offered"`
 	Started [Ranks]uint64 `json:"started"`
-	// Shed are those refused for overload, at once or out of the queue.
+	// Shed counts tickets refused for overload, on offer or from the queue.
 	Shed [Ranks]uint64 `json:"shed"`
-	// Late are those refused because of their deadline.
+	// Late counts tickets refused because of their deadline.
 	Late [Ranks]uint64 `json:"late"`
-	// Withdrawn are those whose caller went away while they waited.
+	// Withdrawn counts queued tickets whose caller gave up.
 	Withdrawn [Ranks]uint64 `json:"withdrawn"`
 }
 
@@ -60,7 +61,7 @@
 	return g
 }
 
-// Offer asks for a slot. A ticket that has to wait is returned by a later Finish, Cancel, Advance or Offer.
+// Offer asks for a slot. A later Finish, Cancel, Advance or Offer returns a ticket that is enqueued.
 func (g *Gate) Offer(now time.Time, t *Ticket) Verdict {
 	g.demand.offered(now, t.Rank)
 	g.totals.Offered[t.Rank]++
@@ -76,7 +77,7 @@
 	return g.shedExcess(now, t)
 }
 
-// Finish frees the slot of a request that ended and learns from its sample.
+// Finish frees the slot of a request that ended and records its sample.
 func (g *Gate) Finish(now time.Time, s Sample) Dequeued {
 	s.inFlight = g.inFlight
 	g.inFlight--
@@ -85,8 +86,9 @@
 	return g.Advance(now)
 }
 
-// pause holds starts back until a slot of the backend server should be free, where it shed a request: the freed slot
-// of the gate isn't one of the backend server, and all that waits would be shed in one moment.
+// pause stops starts after the backend server shed a request, until the backend server should have freed a slot. The
+// shed request held a slot of the gate, but none of the backend server; without the pause the backend server would shed
+// the whole queue at once.
 func (g *Gate) pause(now time.Time, s Sample) {
 	if !s.Overloaded || g.limit.isFixed() {
 		g.pausedUntil = time.Time{}
@@ -101,13 +103,13 @@
 	maxPause = 50 * time.Millisecond
 )
 
-// Cancel frees a slot whose request did not run.
+// Cancel frees the slot of a request that did not run.
 func (g *Gate) Cancel(now time.Time) Dequeued {
 	g.inFlight--
 	return g.Advance(now)
 }
 
-// Advance drops tickets that waited too long and starts those for which there are slots.
+// Advance removes expired tickets from the queue and starts queued tickets for which there are slots.
 func (g *Gate) Advance(now time.Time) Dequeued {
 	next := Dequeued{Expired: g.expire(now)}
 	for r := range g.ranks {
@@ -124,29 +126,29 @@
 	return next
 }
 
-// Withdraw takes a waiting ticket out, for a caller that went away. It must only be called for one that still waits.
+// Withdraw removes a queued ticket whose caller gave up. The ticket must still be queued.
 func (g *Gate) Withdraw(t *Ticket) {
 	g.totals.Withdrawn[t.Rank]++
 	g.expiry.remove(t)
 	g.ranks[t.Rank].remove(t)
 }
 
-// Announce sets the slots and connections that the backend server claims.
+// Announce sets the slots and connections that the backend server announces.
 func (g *Gate) Announce(slots, connections int) {
 	g.limit.Announce(slots, connections)
 }
 
-// InFlight returns how many requests hold a slot.
+// InFlight returns the number of requests that hold a slot.
 func (g *Gate) InFlight() int {
 	return g.inFlight
 }
 
-// Queued returns how many requests wait.
+// Queued returns the number of queued requests.
 func (g *Gate) Queued() int {
 	return g.expiry.Len()
 }
 
-// QueuedByRank returns how many requests of each rank wait.
+// QueuedByRank returns the number of queued requests of each rank.
 func (g *Gate) QueuedByRank() [Ranks]int {
 	var counts [Ranks]int
 	for r, q := range g.ranks {
@@ -155,36 +157,36 @@
 	return counts
 }
 
-// LimitValue returns the limit in force.
+// LimitValue returns the in-flight limit in force.
 func (g *Gate) LimitValue() int {
 	return g.limit.Value()
 }
 
-// HoldTime returns how long requests lately held their slots; 0 where that isn't known.
+// HoldTime returns the recent mean time for which requests held their slots; 0 if unknown.
 func (g *Gate) HoldTime() time.Duration {
 	return g.limit.HoldTime()
 }
 
-// SheddingRank returns the most urgent rank of which all is being shed, with every less urgent one; 0 for none.
+// SheddingRank returns the most urgent rank that is shed entirely, together with every less urgent rank; 0 means none.
 func (g *Gate) SheddingRank(now time.Time) int {
 	return g.demand.sheddingRank(now)
 }
 
-// IsMoreUrgentPresent reports whether work of a more urgent rank was offered lately.
+// IsMoreUrgentPresent reports whether a ticket of a more urgent rank was offered recently.
 func (g *Gate) IsMoreUrgentPresent(now time.Time, rank int) bool {
 	return g.demand.moreUrgentPresent(now, rank)
 }
 
-// Totals returns the counts since the start.
+// Totals returns the counts since the gate was created.
 func (g *Gate) Totals() Totals {
 	return g.totals
 }
 
-// minRetryAfter is the least time after which a refused request may come back.
+// minRetryAfter is the least Retry-After of a refusal.
 const minRetryAfter = 50 * time.Millisecond
 
-// RetryAfter estimates when a request of the rank may come back: when the queue ahead of it has drained, put off by as
-// much as the rank's load exceeds what is run of it.
+// RetryAfter estimates when a request of the rank may come back: the time in which the queue ahead of it drains, times
+// the ratio of offered to started requests of the rank.
 func (g *Gate) RetryAfter(rank int) time.Duration {
 	drain := g.limit.HoldTime() * time.Duration(g.queuedUpTo(rank)+1) / time.Duration(g.limit.Value())
 	delay := time.Duration(float64(drain) * g.demand.offeredRatio(rank))
@@ -213,7 +215,7 @@
 	return !now.Add(g.limit.MinHoldTime(now, t.Kind)).Before(t.Deadline)
 }
 
-// mayStart reports whether there is a slot for the rank.
+// mayStart reports whether a slot is available to the rank.
 func (g *Gate) mayStart(now time.Time, rank int) bool {
 	free := g.limit.Value() - g.inFlight
 	if free <= 0 || now.Before(g.pausedUntil) {
@@ -222,8 +224,8 @@
 	return free > 1 || !g.reservesLastSlot(now, rank)
 }
 
-// reservesLastSlot reports whether the last free slot is kept for work that is more urgent than the rank: where such work is
-// about and would else have to wait long for a slot to get free.
+// reservesLastSlot reports whether the last free slot is reserved for work that is more urgent than the rank. It is if
+// such work was offered recently and slots are freed so seldom that the work would be queued for long.
 func (g *Gate) reservesLastSlot(now time.Time, rank int) bool {
 	limit := g.limit.Value()
 	if limit < 2 || g.limit.HoldTime()/time.Duration(limit) < g.config.ReserveInterval {
@@ -245,7 +247,7 @@
 	g.ranks[t.Rank].push(t)
 }
 
-// shedExcess sheds what would wait too long now that the ticket waits too.
+// shedExcess sheds tickets whose expected queueing delay became too long because t was enqueued.
 func (g *Gate) shedExcess(now time.Time, t *Ticket) Verdict {
 	verdict := Verdict{Action: Enqueue}
 	ahead := g.queuedUpTo(t.Rank)
@@ -267,8 +269,8 @@
 	return verdict
 }
 
-// maxQueued returns how many tickets of the rank and of more urgent ones may wait: those that the slots take in within
-// the rank's wait, within the bound of the queue.
+// maxQueued returns how many tickets of the rank and of more urgent ranks may be queued: as many as the slots take up
+// within the maximum queueing delay of the rank, and at most QueuePerSlot for each slot, but at least one.
 func (g *Gate) maxQueued(rank int) int {
 	limit := float64(g.limit.Value())
 	perSlot := g.config.QueuePerSlot
@@ -278,11 +280,11 @@
 	return max(int(limit*perSlot), 1)
 }
 
-// expiryPercent of its rank's wait is when a ticket leaves the queue. Slots get free in bursts, so that a ticket whose
-// turn is due may wait longer than was expected.
+// expiryPercent is the queue timeout of a ticket as a percentage of its rank's maximum queueing delay. It is over 100
+// because slots are freed in bursts, so that the next ticket in the queue may wait longer than was expected.
 const expiryPercent = 150
 
-// maxQueueingDelay returns how long a ticket of the rank may be expected to wait.
+// maxQueueingDelay returns the maximum expected queueing delay of an offered ticket of the rank.
 func (g *Gate) maxQueueingDelay(rank int) time.Duration {
 	step := (g.config.MaxDelayMostUrgent - g.config.MaxDelayLeastUrgent) / (Ranks - 1)
 	return g.config.MaxDelayMostUrgent - step*time.Duration(rank)
--- a/internal/decide/admission/gate_test.go
+++ b/internal/decide/admission/gate_test.go
@@ -40,7 +40,7 @@
 	return &admission.Ticket{Rank: rank, Kind: kind, Share: 1, Caller: caller, RootStart: now, Deadline: now.Add(time.Second)}
 }
 
-// model checks every answer of a gate against what the gate was asked.
+// model tracks the tickets offered to a gate and checks each of the gate's answers.
 type model struct {
 	*rapid.T
 	gate    *admission.Gate
@@ -51,7 +51,7 @@
 
 func (m *model) answered(t *admission.Ticket) {
 	if !m.waiting[t] {
-		m.Fatalf("ticket of rank %d was answered, but did not wait", t.Rank)
+		m.Fatalf("ticket of rank %d was answered but was not queued", t.Rank)
 	}
 	delete(m.waiting, t)
 }
@@ -59,25 +59,25 @@
 func (m *model) run(t *admission.Ticket) {
 	for w := range m.waiting {
 		if w.Rank < t.Rank {
-			m.Fatalf("rank %d runs while rank %d waits", t.Rank, w.Rank)
+			m.Fatalf("a ticket of rank %d runs while one of rank %d is queued", t.Rank, w.Rank)
 		}
 	}
 	m.running = append(m.running, t)
 	if len(m.running) > m.gate.LimitValue() {
-		m.Fatalf("%d run with a limit of %d", len(m.running), m.gate.LimitValue())
+		m.Fatalf("%d requests are in flight with a limit of %d", len(m.running), m.gate.LimitValue())
 	}
 }
 
 func (m *model) refused(r admission.Refusal) {
 	if r.RetryAfter <= 0 {
-		m.Fatalf("a refusal says not when to come back")
+		m.Fatalf("refusal without a positive RetryAfter")
 	}
 	if r.Cause != admission.Overload {
 		return
 	}
 	for w := range m.waiting {
 		if w.Rank > r.Ticket.Rank {
-			m.Fatalf("rank %d is shed while rank %d waits", r.Ticket.Rank, w.Rank)
+			m.Fatalf("a ticket of rank %d is shed while one of rank %d is queued", r.Ticket.Rank, w.Rank)
 		}
 	}
 }
@@ -164,29 +164,29 @@
 			},
 			"": func(r *rapid.T) {
 				if m.gate.InFlight() != len(m.running) || m.gate.Queued() != len(m.waiting) {
-					r.Fatalf("gate has %d and %d, model %d and %d", m.gate.InFlight(), m.gate.Queued(), len(m.running), len(m.waiting))
+					r.Fatalf("gate has %d in flight and %d queued, want %d and %d", m.gate.InFlight(), m.gate.Queued(), len(m.running), len(m.waiting))
 				}
 			},
 		})
 		m.now = m.now.Add(time.Minute)
 		m.apply(m.gate.Advance(m.now))
 		if len(m.waiting) > 0 {
-			r.Fatalf("%d tickets never got an answer", len(m.waiting))
+			r.Fatalf("%d tickets were never answered", len(m.waiting))
 		}
 	})
 }
 
-func TestOfferRefusesWhatCannotEnd(t *testing.T) {
+func TestOfferRefusesUnreachableDeadline(t *testing.T) {
 	tests := map[string]struct {
 		deadline time.Duration
 		pause    time.Duration
 		want     admission.Action
 	}{
-		"deadline has passed":              {0, 0, admission.Shed},
-		"less time than the kind takes":    {20 * time.Millisecond, 0, admission.Shed},
-		"enough time":                      {80 * time.Millisecond, 0, admission.Run},
-		"what the kind took is long ago":   {20 * time.Millisecond, 2 * time.Second, admission.Run},
-		"passed, and nothing known lately": {-time.Millisecond, 2 * time.Second, admission.Shed},
+		"deadline has passed":             {0, 0, admission.Shed},
+		"less time than the hold time":    {20 * time.Millisecond, 0, admission.Shed},
+		"enough time":                     {80 * time.Millisecond, 0, admission.Run},
+		"hold time is outdated":           {20 * time.Millisecond, 2 * time.Second, admission.Run},
+		"passed, and no recent hold time": {-time.Millisecond, 2 * time.Second, admission.Shed},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -205,8 +205,8 @@
 	}
 }
 
-// A request that the backend server shed frees no slot there, so none that waits is sent after it at once.
-func TestShedFreesNoSlot(t *testing.T) {
+// A request that the backend server sheds frees no slot there. Without a pause, the gate would send it the whole queue at once.
+func TestPauseAfterBackendServerSheds(t *testing.T) {
 	is := is.New(t)
 	gate := admission.NewGate(testConfig())
 	for range 8 + 20 {
@@ -216,19 +216,19 @@
 		next := gate.Finish(epoch, admission.Sample{Kind: "lookups", Overloaded: true})
 		is.Equal(len(next.Run), 0)
 	}
-	is.True(len(gate.Advance(epoch.Add(60*time.Millisecond)).Run) > 0) // the pause ends by itself
+	is.True(len(gate.Advance(epoch.Add(60*time.Millisecond)).Run) > 0) // the pause ends after a time
 }
 
-// A flood of one kind, or of one caller, leaves the others of its rank their share.
+// A flood of one kind, or from one caller, must not take the share of others of the same rank.
 func TestFloodWithinRank(t *testing.T) {
 	tests := map[string]struct {
 		flood, other         *admission.Ticket
 		otherRate, wantOther float64
 	}{
-		"one kind floods":               {newTicket(epoch, 5, "lookups", "a"), newTicket(epoch, 5, "orders", "a"), 50, 0.99},
-		"one caller floods":             {newTicket(epoch, 5, "lookups", "a"), newTicket(epoch, 5, "lookups", "b"), 50, 0.99},
-		"both want more than the half":  {newTicket(epoch, 5, "lookups", "a"), newTicket(epoch, 5, "orders", "b"), 400, 0.22},
-		"a less urgent flood is no foe": {newTicket(epoch, 7, "lookups", "a"), newTicket(epoch, 5, "orders", "a"), 150, 0.99},
+		"one kind floods":          {newTicket(epoch, 5, "lookups", "a"), newTicket(epoch, 5, "orders", "a"), 50, 0.99},
+		"one caller floods":        {newTicket(epoch, 5, "lookups", "a"), newTicket(epoch, 5, "lookups", "b"), 50, 0.99},
+		"both want more than half": {newTicket(epoch, 5, "lookups", "a"), newTicket(epoch, 5, "orders", "b"), 400, 0.22},
+		"the flood is less urgent": {newTicket(epoch, 7, "lookups", "a"), newTicket(epoch, 5, "orders", "a"), 150, 0.99},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -241,28 +241,28 @@
 			good := float64(s.good[label(test.other)]) / float64(s.sent[label(test.other)])
 			is.True(good >= test.wantOther)
 			total := s.good[label(test.other)] + s.good[label(test.flood)]
-			is.True(total >= 900) // nine tenths of what 10 slots run in 5 s
+			is.True(total >= 900) // nine tenths of what 10 slots can serve in 5 s
 		})
 	}
 }
 
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+func TestRefusalsCarryRetryAfter(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(10, 10, 50*time.Millisecond)
 	s.stream(100, newTicket(epoch, 0, "sheets", "a"))
 	s.stream(1000, newTicket(epoch, 7, "archive", "a"))
 	s.run(3 * time.Second)
-	is.True(s.gate.RetryAfter(7) > 4*s.gate.RetryAfter(0)) // ten times too much is offered
+	is.True(s.gate.RetryAfter(7) > 4*s.gate.RetryAfter(0)) // ten times what is left for rank 7 is offered
 	is.Equal(s.gate.SheddingRank(s.now), 8)
 	s.finishAll()
-	is.Equal(s.gate.SheddingRank(s.now), 0)                           // nothing outlives its evidence
-	is.True(s.gate.RetryAfter(7) <= 300*time.Millisecond)             // also where it was far more
-	is.True(s.longestRefusal <= 300*time.Millisecond)                 // urgent waits are the longest
-	is.Equal(s.good["sheets a"], s.sent["sheets a"])                  // urgent work lost nothing
-	is.True(s.longestQueueingDelay["sheets a"] < 60*time.Millisecond) // and waited for one slot at most
+	is.Equal(s.gate.SheddingRank(s.now), 0)                           // no rank is being shed any more
+	is.True(s.gate.RetryAfter(7) <= 300*time.Millisecond)             // the offered ratio is low again
+	is.True(s.longestRefusal <= 300*time.Millisecond)                 // the maximum delay of rank 0
+	is.Equal(s.good["sheets a"], s.sent["sheets a"])                  // no urgent request was refused
+	is.True(s.longestQueueingDelay["sheets a"] < 60*time.Millisecond) // nor queued for longer than about one service time
 }
 
-// fullGate returns a gate with 10 slots in use and tickets of all ranks that wait.
+// fullGate returns a gate with all 10 slots in use and the given number of queued tickets of all ranks.
 func fullGate(waiting int) *admission.Gate {
 	config := testConfig()
 	config.MaxDelayLeastUrgent, config.MaxDelayMostUrgent, config.QueuePerSlot = time.Hour, time.Hour, float64(waiting)/10
@@ -277,7 +277,7 @@
 	return gate
 }
 
-// BenchmarkOfferFinish ends a request, which lets another run, and offers one more.
+// BenchmarkOfferFinish finishes a request, which starts a queued one, and offers another one.
 func BenchmarkOfferFinish(b *testing.B) {
 	for _, waiting := range []int{12, 300, 2100} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
@@ -294,7 +294,7 @@
 	}
 }
 
-// BenchmarkShed offers requests that are refused at once.
+// BenchmarkShed offers tickets that are shed at once.
 func BenchmarkShed(b *testing.B) {
 	for _, waiting := range []int{12, 300, 2100} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
--- a/internal/decide/admission/grey_test.go
+++ b/internal/decide/admission/grey_test.go
@@ -9,9 +9,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
 )
 
-// Grey failure: a backend server sheds half of its requests at random while it has free slots. A limit that takes that for
-// overload gives away the other half, and is slow to come back.
-func TestSheddingAtRandomKeepsTheSlots(t *testing.T) {
+// Grey failure: a backend server sheds half of its requests at random while it has free slots. If that counted as overload, the
+// limit would shrink, lose the requests that the backend server can serve, and recover slowly.
+func TestRandomSheddingKeepsFixedLimit(t *testing.T) {
 	is := is.New(t)
 	config := admission.GateConfig{
 		Limit: admission.LimitConfig{
@@ -25,7 +25,7 @@
 	now := time.Now()
 	for n := range 400 {
 		verdict := gate.Offer(now, &admission.Ticket{Kind: "keys", Rank: 1, Share: 1, Deadline: now.Add(time.Second)})
-		is.Equal(verdict.Action, admission.Run) // nothing else is in flight
+		is.Equal(verdict.Action, admission.Run) // no other request is in flight
 		now = now.Add(5 * time.Millisecond)
 		gate.Finish(now, admission.Sample{Kind: "keys", HoldTime: 5 * time.Millisecond, ServiceTime: 5 * time.Millisecond, Overloaded: n%2 == 0})
 	}
--- a/internal/decide/admission/heap.go
+++ b/internal/decide/admission/heap.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// indexedHeap keeps items in the order of less. Each item holds its own index, so that it can be moved or removed.
+// indexedHeap is a heap ordered by less. Each item stores its own index, so that it can be moved or removed.
 type indexedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
@@ -43,5 +43,5 @@
 func (h *indexedHeap[T]) fix(item T)    { heap.Fix(h, *h.index(item)) }
 func (h *indexedHeap[T]) remove(item T) { heap.Remove(h, *h.index(item)) }
 
-// top returns the first item of a heap that isn't empty.
+// top returns the first item. The heap must not be empty.
 func (h *indexedHeap[T]) top() T { return h.items[0] }
--- a/internal/decide/admission/latency.go
+++ b/internal/decide/admission/latency.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// maxKinds bounds the kinds whose latency is told apart; further ones share an entry.
+// maxKinds is the maximum number of kinds that are tracked separately; further kinds share one entry.
 const maxKinds = 256
 
-// kindLatency is what is known of one kind's time in the backend server.
+// kindLatency holds the latency statistics of one kind at the backend server.
 type kindLatency struct {
-	// baseline is the lowest mean of a window seen.
+	// baseline is the lowest mean of any window.
 	baseline time.Duration
-	// lastSeen is when a whole answer was last seen.
+	// lastSeen is the time of the last complete sample.
 	lastSeen time.Time
-	// minHoldTime is the least time for which requests with a whole answer lately held a slot.
+	// minHoldTime is the recent minimum of the hold times of complete samples.
 	minHoldTime recentMin
 
 	count      int
@@ -19,13 +19,13 @@
 	incomplete bool
 }
 
-// latencyTracker compares each kind's latency with its own baseline, so that a changing mix of quick and slow kinds isn't
-// taken for a change of the backend server.
+// latencyTracker compares each kind's latency with the kind's own baseline, so that a change in the mix of fast and slow
+// kinds isn't mistaken for a change of the backend server.
 type latencyTracker struct {
 	retention time.Duration
 	slack     time.Duration
 	kinds     map[string]*kindLatency
-	// sweepAfter is when kinds that are no longer seen are next forgotten.
+	// sweepAfter is the earliest time of the next removal of unused kinds.
 	sweepAfter time.Time
 }
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// closeWindow returns the mean of each request's latency over its kind's baseline, 0 where there was none.
+// closeWindow ends the window and returns the mean ratio of latency to the kind's baseline; 0 without samples.
 func (l *latencyTracker) closeWindow(now time.Time) float64 {
 	l.sweep(now)
 	requests := 0
@@ -66,7 +66,7 @@
 	return ratioSum / float64(requests)
 }
 
-// sweep forgets the kinds that were not seen for long.
+// sweep removes kinds that were not seen for the retention time.
 func (l *latencyTracker) sweep(now time.Time) {
 	if now.Before(l.sweepAfter) {
 		return
@@ -91,7 +91,7 @@
 	return float64(mean) / float64(k.baseline+slack)
 }
 
-// minNonzero returns the lower of the two, where 0 stands for none.
+// minNonzero returns the lower of the two values, where a known value of 0 means that there is none.
 func minNonzero(known, mean time.Duration) time.Duration {
 	if known == 0 {
 		return mean
@@ -99,10 +99,10 @@
 	return min(known, mean)
 }
 
-// latencyTimeout is how long the last answers of a kind say what the next one will take.
+// latencyTimeout is how long the latency of a kind is used to predict the next request of that kind.
 const latencyTimeout = time.Second
 
-// recentMin is the least of the values seen in the last evidenceTime, or up to twice that.
+// recentMin is the minimum of the values observed within latencyTimeout, or up to twice that.
 type recentMin struct {
 	current  time.Duration
 	previous time.Duration
@@ -124,8 +124,8 @@
 	return minNonzero(r.current, r.previous)
 }
 
-// minHoldTime returns the least time that a request of the kind takes, with its calls down the chain; 0 where too little is
-// known lately.
+// minHoldTime returns the recent minimum of the kind's hold times, calls made by the requests included; 0 if there is no
+// recent sample.
 func (l *latencyTracker) minHoldTime(now time.Time, kind string) time.Duration {
 	k, ok := l.kinds[kind]
 	if !ok || now.Sub(k.lastSeen) > latencyTimeout {
--- a/internal/decide/admission/limit.go
+++ b/internal/decide/admission/limit.go
@@ -5,119 +5,124 @@
 	"time"
 )
 
-// LimitConfig sets a Limit up.
+// LimitConfig configures a Limit.
 type LimitConfig struct {
-	// Fixed keeps the limit at those of the announced slots that are worth using, where the announcement is known to be true. A
-	// backend server that sheds below its slots then fails a part of its requests; fewer in flight would not cure that.
+	// Fixed keeps the limit at the announced slots that are worth using; see slotOptimizer. It is for backend servers whose
+	// announcement is known to be true. If such a backend server sheds below its slots, it fails a fraction of its
+	// requests, and a lower in-flight limit would not help.
 	Fixed bool
-	// Initial is where the limit starts, below what is announced.
+	// Initial is the initial limit, unless fewer slots are announced.
 	Initial int
 	Min     int
 	Max     int
-	// Tolerance is how many times its baseline latency may be before the limit shrinks.
+	// Tolerance is the ratio of latency to baseline above which the limit shrinks.
 	Tolerance float64
-	// LatencySlack is added to each baseline, so that noise of quick requests counts little.
+	// LatencySlack is added to each baseline, so that noise in the latency of fast requests has little weight.
 	LatencySlack time.Duration
-	// DecreaseFactor is the factor by which the limit shrinks at most in one window in which the backend server shed.
+	// DecreaseFactor is the lowest factor by which the limit shrinks in one window in which the backend server shed.
 	DecreaseFactor float64
-	// TrialDecreaseFactor is the factor by which the limit shrinks in a trial whether it is too high.
+	// TrialDecreaseFactor is the factor by which the limit shrinks in a trial of a lower limit.
 	TrialDecreaseFactor float64
-	// GrowthRatio is the part of the limit added after the first clean window; each further clean window adds one more part.
+	// GrowthRatio is the relative growth after the first clean window; each further clean window adds as much again.
 	GrowthRatio float64
-	// Window is the least time for which samples are gathered before the limit moves.
+	// Window is the minimum time for which samples are collected before the limit is adjusted.
 	Window time.Duration
-	// MaxWindow is the most time.
+	// MaxWindow is the maximum time.
 	MaxWindow time.Duration
 	// KindRetention is how long the baseline of a kind that is no longer seen is kept.
 	KindRetention time.Duration
-	// TrialDelay is how long latency is high before a trial of a lower limit. Each trial in succession that showed the
-	// limit right doubles it, up to MaxRetrialTime.
+	// TrialDelay is how long latency must be high before a lower limit is tried. Each trial in succession that is
+	// reverted doubles the delay, up to MaxTrialDelay.
 	TrialDelay    time.Duration
 	MaxTrialDelay time.Duration
 }
 
-// Limit is an adaptive bound of requests in flight. It starts low, grows ever faster while it is used and all goes
-// well, and shrinks when the backend server sheds or its latency rises.
+// Limit is an adaptive in-flight limit. It starts low, grows at an increasing rate while it is used without trouble, and
+// shrinks when the backend server sheds or its latency rises.
 //
-// High latency alone does not tell too much concurrency from slow work: shrinking cures the first and makes the second
-// worse. So the limit remembers how many requests in flight the backend server was seen to run well. Above that, high
-// latency shrinks the limit at once, and the limit grows only on trial: it stays higher only where more requests then
-// end. Below, high latency is taken for slow work, and the limit shrinks only on trial, after a time: it stays lower
-// only where no fewer requests end. A limit above the announced slots is reached only on trial as well.
+// High latency alone does not distinguish too much concurrency from slow work: a lower limit cures the first and worsens
+// the second. So the limit remembers how many requests in flight the backend server has handled at low latency. Above
+// that number, high latency shrinks the limit at once, and the limit grows only in trials: a higher limit is kept only if
+// throughput rises. Below that number, high latency is attributed to slow work, and the limit shrinks only in trials,
+// after a delay: a lower limit is kept only if throughput does not fall. A limit above the announced slots is also
+// reached only in trials.
 type Limit struct {
 	config  LimitConfig
 	latency *latencyTracker
-	// slotOptimizer decides where the limit is fixed.
+	// slotOptimizer chooses the limit if it is fixed.
 	slotOptimizer *slotOptimizer
 	value         float64
-	// ceiling is the highest value; it follows the announced slots and what trials above them showed.
+	// ceiling is the upper limit of value; it follows the announced slots and the results of trials above them.
 	ceiling     float64
 	announced   int
 	connections int
 
 	window window
 	trial  trial
-	// cleanWindows counts the windows without trouble since the last one with it.
+	// cleanWindows counts the windows without trouble since the last window with trouble.
 	cleanWindows int
-	// provenInFlight is how many requests in flight the backend server was seen to run well.
+	// provenInFlight is the number of requests in flight that the backend server has handled at low latency.
 	provenInFlight float64
-	// slowSince is when latency became high; zero while it isn't. The next trial of a lower limit begins retrialTime
-	// after it.
+	// slowSince is the time at which latency became high; zero while it is low. The next trial of a lower limit starts
+	// trialDelay later.
 	slowSince  time.Time
 	trialDelay time.Duration
-	// shedInFlight is where the backend server last shed; until shedUntil the limit does not grow back to it.
+	// shedInFlight is the number of requests in flight at the last shed; the limit stays below it until shedInFlightUntil.
 	shedInFlight      float64
 	shedInFlightUntil time.Time
-	// aboveCeiling and below hold back trials of a limit above the ceiling, and of a higher one below it.
+	// aboveCeiling and belowCeiling delay trials of a higher limit above and below the ceiling.
 	aboveCeiling raiseDelay
 	belowCeiling raiseDelay
 	holdTime     time.Duration
-	// change is the last one of the value, reason why it moved last, and cold that nothing has gone wrong yet.
+	// change is the last change of the limit, reason is why value was last adjusted, and cold reports whether there was
+	// no trouble yet.
 	change LimitChange
 	reason LimitReason
 	cold   bool
 }
 
-// window is what was seen since the limit last moved.
+// window accumulates samples since the last adjustment of the limit.
 type window struct {
 	start time.Time
-	// value is the limit at the start.
+	// value is the limit at the start of the window.
 	value float64
 	ended int
 	shed  int
 	peak  int
-	// blocked counts requests that would have run at once had the limit been higher.
+	// blocked counts requests that would have started at once under a higher limit.
 	blocked       int
 	totalHoldTime time.Duration
 }
 
-// windowSummary is what a window showed.
+// windowSummary is the result of a closed window.
 type windowSummary struct {
 	window
-	// used says that most of the limit was in flight, or that requests had to wait.
+	// used reports whether most of the limit was in flight, or requests were blocked.
 	used bool
-	// saturated says that about every second request had to wait, so that throughput shows what the limit allows.
+	// saturated reports whether at least one request was blocked for every two that ended, so that the limit determines
+	// the throughput.
 	saturated bool
-	// latencyRatio is the mean of the latencies over their baselines; 0 where there was none.
+	// latencyRatio is the mean ratio of latency to baseline; 0 without samples.
 	latencyRatio float64
-	// throughput is how many requests ended in a second.
+	// throughput is the number of requests that ended in a second.
 	throughput float64
 }
 
 const (
-	// usedRatio of the limit must be in flight for the limit to count as used.
+	// usedRatio is the least ratio of peak requests in flight to the limit for the limit to count as used.
 	usedRatio = 0.8
-	// healthyLatencyRatio is the most that latency is over its baselines where all goes well.
+	// healthyLatencyRatio is the highest latency ratio that counts as trouble-free.
 	healthyLatencyRatio = 1.25
-	// provenMargin is how far the limit may be above what was seen to run well before high latency shrinks it at once.
+	// provenMargin is the ratio of the limit to provenInFlight above which high latency shrinks the limit at once.
 	provenMargin = 1.25
-	// initialCleanWindows is how many clean windows a new limit counts as past, so that it doubles from the start.
+	// initialCleanWindows is the initial count of clean windows; it lets a new limit double in its first window.
 	initialCleanWindows = 9
-	// shedInFlightTimeout is how long the limit stays below a value at which the backend server shed.
+	// shedInFlightTimeout is how long the limit stays below the number of requests in flight at which the backend server
+	// shed.
 	shedInFlightTimeout = time.Second
 )
 
-// NewLimit returns a limit at its initial value.
+// NewLimit returns a limit with its initial value.
 func NewLimit(config LimitConfig) *Limit {
 	l := &Limit{
 		config:        config,
@@ -143,18 +148,18 @@
 	return max(int(l.value), 1)
 }
 
-// HoldTime returns the recent mean time for which a request holds its slot; 0 before the first.
+// HoldTime returns the recent mean time for which a request holds its slot; 0 before the first sample.
 func (l *Limit) HoldTime() time.Duration {
 	return l.holdTime
 }
 
-// MinHoldTime returns the least time that a request of the kind lately held its slot; 0 where that isn't known.
+// MinHoldTime returns the recent minimum time for which a request of the kind holds its slot; 0 if unknown.
 func (l *Limit) MinHoldTime(now time.Time, kind string) time.Duration {
 	return l.latency.minHoldTime(now, kind)
 }
 
-// Announce sets the slots and connections that the backend server claims. The slots are a hint for the ceiling, the
-// connections a bound.
+// Announce sets the slots and connections that the backend server announces. The slots are a hint for the ceiling; the
+// connections are a hard limit.
 func (l *Limit) Announce(slots, connections int) {
 	l.connections = connections
 	if slots != l.announced && slots > 0 {
@@ -168,7 +173,7 @@
 	l.clamp()
 }
 
-// Begin notes that a request took a slot, and returns the limit where that was the last one, else 0.
+// Begin records that a request took a slot. It returns the limit if that was the last slot, else 0.
 func (l *Limit) Begin(now time.Time, inFlight int) int {
 	value := l.Value()
 	if l.isFixed() {
@@ -180,12 +185,12 @@
 	return value
 }
 
-// NoteBlocked notes that a request would have run at once had the limit been higher.
+// NoteBlocked records that a request would have started at once under a higher limit.
 func (l *Limit) NoteBlocked() {
 	l.window.blocked++
 }
 
-// Observe learns from one sample.
+// Observe records one sample.
 func (l *Limit) Observe(now time.Time, s Sample) {
 	defer l.recordChange(now)
 	w := &l.window
@@ -212,7 +217,8 @@
 	}
 }
 
-// windowOver reports whether the window is long enough to hold about one request for each slot, or more in a trial.
+// windowOver reports whether the window holds about one request for each slot, or more in a trial, or has reached its
+// maximum length.
 func (l *Limit) windowOver(now time.Time) bool {
 	length := now.Sub(l.window.start)
 	least, requests := l.config.Window, l.Value()
@@ -253,7 +259,7 @@
 	l.window = window{start: now, value: l.value}
 }
 
-// updateProven notes how many requests in flight went well, and since when latency is high.
+// updateProven updates provenInFlight, and the time since which latency is high.
 func (l *Limit) updateProven(now time.Time, s windowSummary) {
 	if s.latencyRatio > 0 && s.latencyRatio <= healthyLatencyRatio {
 		l.provenInFlight = math.Max(l.provenInFlight, math.Min(float64(s.peak), l.value))
@@ -291,18 +297,18 @@
 	}
 }
 
-// mayGrow reports whether the limit is used and the latency low enough for the limit to grow without a trial.
+// mayGrow reports whether the limit is used and latency is low enough for the limit to grow without a trial.
 func (l *Limit) mayGrow(s windowSummary) bool {
 	return s.used && s.latencyRatio < (1+l.config.Tolerance)/2
 }
 
-// isSlow reports whether the limit is used and the latency too high.
+// isSlow reports whether the limit is used and latency is too high.
 func (l *Limit) isSlow(s windowSummary) bool {
 	return s.used && s.latencyRatio > l.config.Tolerance
 }
 
-// backOff goes below the requests with which the backend server shed one, at once but not far in one window, because
-// a single answer may have other causes.
+// backOff lowers the limit below the number of requests in flight at which the backend server shed. It acts at once, but
+// the decrease in one window is limited by DecreaseFactor, because a single refusal may have other causes.
 func (l *Limit) backOff(now time.Time, s Sample) {
 	if l.trial.raised && l.trial.state > measuringBefore {
 		l.revertRaise(now, l.trial)
@@ -333,12 +339,12 @@
 	l.value = math.Max(l.value, float64(l.config.Min))
 }
 
-// isFixed reports whether the limit stays at the announced slots.
+// isFixed reports whether the limit stays at the announced slots that are worth using.
 func (l *Limit) isFixed() bool {
 	return l.config.Fixed && l.announced > 0
 }
 
-// hardLimit returns the bound that holds whatever the backend server is seen to do.
+// hardLimit returns the upper limit that holds whatever the backend server's behaviour.
 func (l *Limit) hardLimit() float64 {
 	if l.connections > 0 {
 		return float64(min(l.connections, l.config.Max))
--- a/internal/decide/admission/simulation_test.go
+++ b/internal/decide/admission/simulation_test.go
@@ -12,8 +12,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/retry"
 )
 
-// simulation drives one gate in front of one model of a backend server, in simulated time. The backend server has
-// slots and a queue, first come first served.
+// simulation runs a gate in front of a simulated backend server, in simulated time. The backend server has slots and a
+// first-in first-out queue.
 type simulation struct {
 	gate    *admission.Gate
 	random  *rand.Rand
@@ -22,7 +22,7 @@
 	slots   int
 	queue   int
 
-	// requeues is how many further turns a request gets that the backend server shed, and used how many it had.
+	// requeues is how often a request that the backend server sheds may be requeued, and requeued counts that by ticket.
 	requeues int
 	requeued map[*admission.Ticket]int
 
@@ -50,7 +50,7 @@
 type event struct {
 	at     time.Time
 	ticket *admission.Ticket
-	// offer says that the ticket comes to the gate, else its request ends.
+	// offer reports whether the ticket is offered to the gate; otherwise its request ends.
 	offer bool
 }
 
@@ -84,7 +84,7 @@
 	s.streams = append(s.streams, &stream{interval: time.Duration(float64(time.Second) / rate), template: *template, next: s.now})
 }
 
-// run lets time pass in steps of a millisecond.
+// run advances the time by d in steps of a millisecond.
 func (s *simulation) run(d time.Duration) {
 	s.peak, s.ended, s.refused, s.arrived = 0, 0, 0, 0
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(time.Millisecond) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// finishAll ends the load and lets what is in flight end.
+// finishAll stops the load and waits for the requests in flight.
 func (s *simulation) finishAll() {
 	s.streams = nil
 	s.run(2 * time.Second)
@@ -122,7 +122,7 @@
 	s.finish(e.ticket)
 }
 
-// arrive lets a ticket come to the gate.
+// arrive offers a ticket to the gate.
 func (s *simulation) arrive(t *admission.Ticket) {
 	s.offered[t] = s.now
 	if s.gate.Offer(s.now, t).Action == admission.Run {
@@ -139,7 +139,7 @@
 	}
 }
 
-// send hands a request to the backend server.
+// send sends a request to the backend server.
 func (s *simulation) send(t *admission.Ticket) {
 	s.longestQueueingDelay[label(t)] = max(s.longestQueueingDelay[label(t)], s.now.Sub(s.offered[t]))
 	s.started[t] = s.now
@@ -155,9 +155,9 @@
 	}
 }
 
-// requeue lets a request that the backend server shed come to the gate again.
+// requeue offers a request that the backend server shed to the gate again.
 func (s *simulation) requeue(t *admission.Ticket) {
-	wait, again := retry.DecideRequeue(retry.RequeueCandidate{
+	delay, again := retry.DecideRequeue(retry.RequeueCandidate{
 		Shed: true, SafeToRepeat: true, AttemptsLeft: s.requeues - s.requeued[t], TimeLeft: t.Deadline.Sub(s.now), HoldTime: s.gate.HoldTime(),
 	})
 	if !again {
@@ -165,7 +165,7 @@
 	}
 	next := *t
 	s.requeued[&next] = s.requeued[t] + 1
-	heap.Push(&s.events, event{at: s.now.Add(wait), ticket: &next, offer: true})
+	heap.Push(&s.events, event{at: s.now.Add(delay), ticket: &next, offer: true})
 }
 
 func (s *simulation) begin(t *admission.Ticket) {
@@ -188,17 +188,18 @@
 	s.apply(s.gate.Finish(s.now, admission.Sample{Kind: t.Kind, ServiceTime: took, HoldTime: took}))
 }
 
-// The limit finds what the backend server can do, whatever it announces, and keeps the queue in front of the gate.
+// The limit must find the capacity of the backend server whatever the server announces, and keep requests queued at the gate
+// rather than in the backend server.
 func TestLimitFindsCapacity(t *testing.T) {
 	tests := map[string]struct {
 		announced, slots, queue int
 		service                 time.Duration
 		wantPeak                int
 	}{
-		"announces the truth":            {35, 35, 100, 100 * time.Millisecond, 44},
+		"announces its slots":            {35, 35, 100, 100 * time.Millisecond, 44},
 		"announces ten times its slots":  {100, 10, 1000, 50 * time.Millisecond, 30},
 		"announces a tenth of its slots": {4, 40, 100, 50 * time.Millisecond, 60},
-		"sheds beyond its slots":         {100, 10, 0, 50 * time.Millisecond, 30},
+		"sheds above its slots":          {100, 10, 0, 50 * time.Millisecond, 30},
 		"slow work":                      {35, 35, 100, 200 * time.Millisecond, 44},
 	}
 	for name, test := range tests {
@@ -210,25 +211,25 @@
 			s.stream(1.5*capacity, newTicket(epoch, 5, "lookups", "a"))
 			s.run(20 * time.Second)
 			s.run(5 * time.Second)
-			t.Logf("%d ended of %.0f possible, peak %d, limit %d", s.ended, 5*capacity, s.peak, s.gate.LimitValue())
-			is.True(float64(s.ended) >= 0.9*5*capacity) // nine tenths of what the backend server can do
+			t.Logf("%d of %.0f possible ended, peak %d, limit %d", s.ended, 5*capacity, s.peak, s.gate.LimitValue())
+			is.True(float64(s.ended) >= 0.9*5*capacity) // nine tenths of the capacity
 			is.True(s.peak <= test.wantPeak)
 		})
 	}
 }
 
-// After a slow spell, however long, goodput is back within 5 s.
+// After a slow period of any length, goodput must recover within 5 s.
 func TestLimitRecovers(t *testing.T) {
 	tests := map[string]struct {
-		spell   time.Duration
-		service time.Duration
-		slots   int
-		queue   int
+		slowPeriod time.Duration
+		service    time.Duration
+		slots      int
+		queue      int
 	}{
-		"slow for 5 s":                   {5 * time.Second, 500 * time.Millisecond, 35, 1000},
-		"slow for half a minute":         {30 * time.Second, 500 * time.Millisecond, 35, 1000},
-		"one slot that sheds the others": {10 * time.Second, 100 * time.Millisecond, 1, 0},
-		"stands for 10 s":                {10 * time.Second, 2 * time.Second, 35, 1000},
+		"slow for 5 s":             {5 * time.Second, 500 * time.Millisecond, 35, 1000},
+		"slow for half a minute":   {30 * time.Second, 500 * time.Millisecond, 35, 1000},
+		"one slot, sheds the rest": {10 * time.Second, 100 * time.Millisecond, 1, 0},
+		"nearly stopped for 10 s":  {10 * time.Second, 2 * time.Second, 35, 1000},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -239,26 +240,26 @@
 			s.run(5 * time.Second)
 			before := float64(s.ended) / float64(s.arrived)
 			s.service, s.slots, s.queue = test.service, test.slots, test.queue
-			s.run(test.spell / 2)
+			s.run(test.slowPeriod / 2)
 			refused := s.refused
-			s.run(test.spell / 2)
+			s.run(test.slowPeriod / 2)
 			limit := s.gate.LimitValue()
-			t.Logf("%d ended in the second half of the spell, %d refused by the backend server in the first", s.ended, refused)
+			t.Logf("%d ended in the second half of the slow period, %d refused by the backend server in the first half", s.ended, refused)
 			if test.service < time.Second {
-				possible := float64(test.slots) * float64(test.spell/2) / float64(test.service)
+				possible := float64(test.slots) * float64(test.slowPeriod/2) / float64(test.service)
 				is.True(float64(s.ended) >= 0.9*possible)
 			}
 			s.service, s.slots, s.queue = 40*time.Millisecond, 35, 1000
 			s.run(5 * time.Second)
 			s.run(5 * time.Second)
 			after := float64(s.ended) / float64(s.arrived)
-			t.Logf("limit %d at the end of the spell, %d now; %.3f served before, %.3f now", limit, s.gate.LimitValue(), before, after)
+			t.Logf("limit %d at the end of the slow period, %d now; %.3f served before, %.3f now", limit, s.gate.LimitValue(), before, after)
 			is.True(after >= 0.95*before)
 		})
 	}
 }
 
-// A backend server that lost slots for good is found out, although it ran more before.
+// The limit must shrink after a backend server permanently lost slots, although it handled more requests before.
 func TestLimitFollowsLostSlots(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(35, 35, 40*time.Millisecond)
@@ -267,7 +268,7 @@
 	s.slots = 10
 	s.run(30 * time.Second)
 	s.run(5 * time.Second)
-	t.Logf("%d ended of 1250 possible, peak %d", s.ended, s.peak)
+	t.Logf("%d of 1250 possible ended, peak %d", s.ended, s.peak)
 	is.True(s.ended >= 1125) // nine tenths
 	is.True(s.peak <= 30)
 }
@@ -282,23 +283,23 @@
 	is.True(s.ended >= 900) // nine tenths of 1000 a second
 }
 
-// Pattern: a backend server announces more slots than it has and sheds by itself, each rank alike. Requests that it shed get
-// another turn at the gate, where the urgent go first.
-func TestUrgentWorkWhereTheBackendServerSheds(t *testing.T) {
+// A backend server that announces more slots than it has sheds by itself, regardless of rank. Shed requests are requeued at the
+// gate, which starts the urgent ones first; without that, urgent requests are lost.
+func TestRequeueProtectsUrgentWork(t *testing.T) {
 	const service, slots = 100 * time.Millisecond, 10
 	for name, test := range map[string]struct {
-		turns int
-		// enough is whether 99% of the urgent work is served.
+		requeues int
+		// enough reports whether 99% of the urgent requests are served.
 		enough bool
 	}{
-		"no other turn": {0, false},
-		"one":           {1, true},
-		"two":           {2, true},
+		"no requeue":   {0, false},
+		"one requeue":  {1, true},
+		"two requeues": {2, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSimulation(3*slots, slots, service)
-			s.queue, s.requeues = 0, test.turns
+			s.queue, s.requeues = 0, test.requeues
 			possible := slots / service.Seconds()
 			urgent := newTicket(s.now, 0, "sheets", "a")
 			s.stream(possible/4, urgent)
@@ -307,7 +308,7 @@
 			is.True(s.refused > 0)
 			s.finishAll()
 			served := float64(s.good[label(urgent)]) / float64(s.sent[label(urgent)])
-			t.Logf("%.3f of the urgent work served", served)
+			t.Logf("%.3f of the urgent requests served", served)
 			is.Equal(served >= 0.99, test.enough)
 		})
 	}
--- a/internal/decide/admission/stats.go
+++ b/internal/decide/admission/stats.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// LimitReason says why a limit last changed.
+// LimitReason is the reason for the last change of a limit.
 type LimitReason string
 
-// The reasons of a limit.
+// Possible values of LimitReason.
 const (
 	LimitInitial       LimitReason = "initial"
 	LimitAnnounced     LimitReason = "announced"
@@ -22,7 +22,7 @@
 	LimitRaiseReverted LimitReason = "higher_taken_back"
 )
 
-// LimitReasons is the catalogue of the reasons of a limit.
+// LimitReasons describes the reasons for changes of a limit.
 var LimitReasons = map[LimitReason]string{
 	LimitInitial:       "The limit is where it starts; nothing has moved it yet.",
 	LimitAnnounced:     "The backend server announced fewer slots or connections than the limit.",
@@ -41,11 +41,12 @@
 	From   int         `json:"from"`
 	To     int         `json:"to"`
 	Reason LimitReason `json:"reason"`
-	// At is zero while the limit is where it started.
+	// At is zero while the limit has its initial value.
 	At time.Time `json:"at"`
 }
 
-// recordChange keeps what the limit has become since the last look, with the reason for which it moved last.
+// recordChange updates the last change if the limit differs from the last recorded one. The recorded reason is that of
+// the last adjustment.
 func (l *Limit) recordChange(now time.Time) {
 	value := l.Value()
 	if value == l.change.To {
@@ -54,7 +55,7 @@
 	l.change = LimitChange{From: l.change.To, To: value, Reason: l.reason, At: now}
 }
 
-// growthReason tells the growth of a limit that nothing has gone wrong with from that of others.
+// growthReason returns the reason for growth, which differs between a limit without any trouble so far and others.
 func (l *Limit) growthReason() LimitReason {
 	if l.cold {
 		return LimitColdRamp
@@ -62,10 +63,10 @@
 	return LimitGrew
 }
 
-// ShedReason says why a ticket was refused. Reasons that callers are told too have the same names there.
+// ShedReason is the reason why a ticket was refused. Reasons that callers are told too have the same names there.
 type ShedReason string
 
-// The reasons of refusals.
+// Possible values of ShedReason.
 const (
 	ShedOverload     ShedReason = "overload"
 	ShedDisplaced    ShedReason = "displaced"
@@ -73,7 +74,7 @@
 	ShedDeadline     ShedReason = "deadline"
 )
 
-// ShedReasons is the catalogue of the reasons of refusals.
+// ShedReasons describes the reasons for refusals.
 var ShedReasons = map[ShedReason]string{
 	ShedOverload:     "The request would have waited longer than its rank may, or found the queue full.",
 	ShedDisplaced:    "The request waited, and more urgent work or work of a kind or caller with less took its place.",
@@ -81,7 +82,7 @@
 	ShedDeadline:     "The request could not end before its deadline.",
 }
 
-// overloadReason tells a ticket that lost its place in the queue to the offered one from the offered one itself.
+// overloadReason distinguishes the offered ticket from a queued ticket that the offered one displaced.
 func overloadReason(victim, offered *Ticket) ShedReason {
 	if victim == offered {
 		return ShedOverload
@@ -96,14 +97,14 @@
 	return ShedQueueTimeout
 }
 
-// RankSheds are the refusals of one rank since the start.
+// RankSheds counts the refusals of one rank since the gate was created.
 type RankSheds struct {
 	ByReason map[ShedReason]uint64 `json:"by_reason,omitempty"`
-	// Last is the newest refusal; its time is zero where there was none.
+	// Last is the most recent refusal; its time is zero if there was none.
 	Last LastShed `json:"last"`
 }
 
-// LastShed is the newest refusal of a rank.
+// LastShed is the most recent refusal of a rank.
 type LastShed struct {
 	Reason ShedReason `json:"reason"`
 	Kind   string     `json:"kind"`
@@ -119,24 +120,24 @@
 	s.Last = LastShed{Reason: reason, Kind: t.Kind, At: now}
 }
 
-// clone returns the refusals apart from those that are still counted.
+// clone returns a copy that shares no data with s.
 func (s *RankSheds) clone() RankSheds {
 	return RankSheds{ByReason: maps.Clone(s.ByReason), Last: s.Last}
 }
 
-// Stats are what a Gate decides by, and why, for the dump.
+// Stats holds the state of a Gate and the reasons for it, for the dump.
 type Stats struct {
 	Limit int `json:"limit"`
-	// Ceiling is the highest value that the limit may grow to without a trial.
+	// Ceiling is the highest limit that can be reached without a trial.
 	Ceiling int `json:"ceiling"`
-	// Proven is how many requests in flight the backend server was seen to run well.
+	// Proven is the number of requests in flight that the backend server has handled at low latency.
 	Proven int         `json:"proven"`
 	Change LimitChange `json:"last_change"`
-	// Sheds are the refusals of each rank.
+	// Sheds holds the refusals of each rank.
 	Sheds [Ranks]RankSheds `json:"sheds_by_rank"`
 }
 
-// Stats returns what the gate decides by.
+// Stats returns the state of the gate.
 func (g *Gate) Stats(now time.Time) Stats {
 	g.limit.recordChange(now)
 	s := Stats{
--- a/internal/decide/admission/stats_test.go
+++ b/internal/decide/admission/stats_test.go
@@ -9,13 +9,13 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
 )
 
-// phase is a time in which all requests of a backend server end in one way.
+// phase is a number of windows in which all requests end with the same sample.
 type phase struct {
 	windows int
 	sample  admission.Sample
 }
 
-// runPhases keeps the gate full and returns how the limit changed in the last phase, by reason.
+// runPhases keeps the gate full and returns the changes of the limit in the last phase, by reason.
 func runPhases(gate *admission.Gate, phases ...phase) map[admission.LimitReason]admission.LimitChange {
 	now := epoch
 	changes := map[admission.LimitReason]admission.LimitChange{}
@@ -36,7 +36,7 @@
 	return changes
 }
 
-// fillAndFinish starts as many requests as the gate lets and ends them all, while as many others want to run.
+// fillAndFinish starts as many requests as the gate admits, offers as many more that have to queue, and ends all that run.
 func fillAndFinish(gate *admission.Gate, now time.Time, s admission.Sample) {
 	for wanted := 0; wanted <= gate.InFlight(); {
 		t := newTicket(now, 0, "sheets", "crew")
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestLimitSaysWhyItStands(t *testing.T) {
+func TestLimitChangeReasons(t *testing.T) {
 	good := admission.Sample{ServiceTime: 10 * time.Millisecond, HoldTime: 10 * time.Millisecond}
 	late := admission.Sample{ServiceTime: 200 * time.Millisecond, HoldTime: 200 * time.Millisecond}
 	overloaded := admission.Sample{Overloaded: true}
@@ -63,16 +63,16 @@
 		want   admission.LimitReason
 		higher bool
 	}{
-		"nothing was seen":              {want: admission.LimitInitial},
-		"fewer slots than the start":    {slots: 4, want: admission.LimitAnnounced},
-		"used and quick from the start": {phases: []phase{{4, good}}, want: admission.LimitColdRamp, higher: true},
-		"the backend server sheds":      {phases: []phase{{4, good}, {1, overloaded}}, want: admission.LimitOverloaded},
-		"quick again after a shed":      {phases: []phase{{4, good}, {1, overloaded}, {12, good}}, want: admission.LimitGrew, higher: true},
-		"late with more than ran well":  {phases: []phase{{4, good}, {4, late}}, want: admission.LimitHighLatency},
-		"more than announced":           {slots: 8, phases: []phase{{60, good}}, want: admission.LimitRaiseTrial, higher: true},
-		"late with more than announced": {slots: 8, phases: []phase{{60, good}, {20, late}}, want: admission.LimitRaiseReverted},
-		"late for long":                 {slots: 8, phases: []phase{{4, good}, {90, late}}, want: admission.LimitLowerTrial},
-		"a lower limit was no help":     {slots: 8, phases: []phase{{4, good}, {90, late}}, want: admission.LimitLowerReverted, higher: true},
+		"no sample yet":                  {want: admission.LimitInitial},
+		"fewer slots than initially":     {slots: 4, want: admission.LimitAnnounced},
+		"used and fast from the start":   {phases: []phase{{4, good}}, want: admission.LimitColdRamp, higher: true},
+		"the backend server sheds":       {phases: []phase{{4, good}, {1, overloaded}}, want: admission.LimitOverloaded},
+		"fast again after a shed":        {phases: []phase{{4, good}, {1, overloaded}, {12, good}}, want: admission.LimitGrew, higher: true},
+		"slow above the proven number":   {phases: []phase{{4, good}, {4, late}}, want: admission.LimitHighLatency},
+		"above the announced slots":      {slots: 8, phases: []phase{{60, good}}, want: admission.LimitRaiseTrial, higher: true},
+		"slow above the announced slots": {slots: 8, phases: []phase{{60, good}, {20, late}}, want: admission.LimitRaiseReverted},
+		"slow for a long time":           {slots: 8, phases: []phase{{4, good}, {90, late}}, want: admission.LimitLowerTrial},
+		"a lower limit did not help":     {slots: 8, phases: []phase{{4, good}, {90, late}}, want: admission.LimitLowerReverted, higher: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestGateSaysWhyItRefused(t *testing.T) {
+func TestShedReasons(t *testing.T) {
 	is := is.New(t)
 	gate := admission.NewGate(testConfig())
 	gate.Announce(1, 1)
@@ -103,9 +103,9 @@
 	}
 	offer(epoch, 0, time.Second) // runs
 	for range 5 {
-		offer(epoch, 7, time.Second) // four places in the queue
+		offer(epoch, 7, time.Second) // four fit into the queue
 	}
-	offer(epoch, 2, time.Second) // takes a place of rank 7
+	offer(epoch, 2, time.Second) // displaces one of rank 7
 	offer(epoch, 3, 0)
 	later := epoch.Add(time.Second)
 	gate.Advance(later)
--- a/internal/decide/admission/trial.go
+++ b/internal/decide/admission/trial.go
@@ -5,62 +5,63 @@
 	"time"
 )
 
-// trialState is how far a trial is.
+// trialState is the state of a trial.
 type trialState int
 
 const (
 	noTrial trialState = iota
-	// measuringBefore takes the throughput before the change. The window that gave rise to the trial doesn't do for that,
-	// because it may hold the moment at which the backend server changed.
+	// measuringBefore measures the throughput before the change. The window that triggered the trial is not used for this,
+	// because the backend server may have changed in the middle of it.
 	measuringBefore
-	// settling waits until requests of the time before the change have ended.
+	// settling lasts one window, in which requests that started before the change end.
 	settling
-	// measuringAfter takes the throughput after the change.
+	// measuringAfter measures the throughput after the change.
 	measuringAfter
 )
 
-// trial is a change of the limit that throughput has to bear out. The zero trial is none.
+// trial is a change of the limit that is kept or reverted depending on throughput. The zero value is no trial.
 type trial struct {
 	state trialState
-	// raised says that the limit goes up, above that it goes above the ceiling.
+	// raised reports whether the limit goes up, and aboveCeiling whether it goes above the ceiling.
 	raised       bool
 	aboveCeiling bool
-	// before, rate and excess are the limit, the requests ended in a second and the latency before the change.
+	// previousLimit, throughput and latencyRatio are the limit and the measurements before the change.
 	previousLimit float64
 	throughput    float64
 	latencyRatio  float64
 }
 
 const (
-	// trialRequestsPerSlot and leastTrialRequests must end in each compared window of a trial for its figures to mean
-	// something.
+	// trialRequestsPerSlot and minTrialRequests set the number of requests that must end in each compared window of a
+	// trial for the comparison to be meaningful.
 	trialRequestsPerSlot = 3
 	minTrialRequests     = 30
-	// minRaiseDelay and maxRaiseWait bound the time between trials of a higher limit.
+	// minRaiseDelay and maxRaiseDelay bound the time between trials of a higher limit.
 	minRaiseDelay = 2 * time.Second
 	maxRaiseDelay = time.Minute
-	// raiseFactor is how far a trial goes up.
+	// raiseFactor is the factor by which a trial raises the limit.
 	raiseFactor = 1.25
-	// maxRaiseLatencyRatio is how far latency may rise in a trial of a higher limit.
+	// maxRaiseLatencyRatio is the factor by which latency may rise in a trial of a higher limit.
 	maxRaiseLatencyRatio = 1.1
-	// raiseWindowFactor is how many times longer than others the windows of a trial of a higher limit are.
+	// raiseWindowFactor is the factor by which the windows of a trial of a higher limit are longer than others.
 	raiseWindowFactor = 5
-	// minTrialEffect is the part of a change of the limit that must show in the throughput: for a higher limit to stay, and
-	// for a lower one to be taken back.
+	// minTrialEffect is the fraction of the relative change of the limit that must show in the throughput. With less, a
+	// higher limit is reverted; with more, a lower limit is.
 	minTrialEffect = 0.5
 )
 
-// measuresThroughput reports whether the window's throughput is one of the two that are compared.
+// measuresThroughput reports whether the throughput of the window is compared with that of another one.
 func (t trial) measuresThroughput() bool {
 	return t.state == measuringBefore || t.state == measuringAfter
 }
 
-// expectedThroughput returns the throughput that divides a change to the value that shows from one that doesn't.
+// expectedThroughput returns the throughput below which the change to the value is reverted.
 func (t trial) expectedThroughput(value float64) float64 {
 	return t.throughput * (1 + minTrialEffect*(value/t.previousLimit-1))
 }
 
-// expectedLatencyRatio is the same for the latency, which falls with the limit where requests queue in the backend server.
+// expectedLatencyRatio returns the latency ratio above which a lower limit is reverted: where requests queue in the
+// backend server, latency falls with the limit.
 func (t trial) expectedLatencyRatio(value float64) float64 {
 	return t.latencyRatio * (1 + minTrialEffect*(value/t.previousLimit-1))
 }
@@ -76,7 +77,7 @@
 	}
 }
 
-// settle ends a trial above the ceiling at once where the backend server got slow.
+// settle reverts a trial above the ceiling at once if the backend server became slow.
 func (l *Limit) settle(now time.Time, s windowSummary) {
 	t := l.trial
 	t.state = measuringAfter
@@ -87,8 +88,8 @@
 	}
 }
 
-// planRaise begins a trial of a higher limit where requests have to wait. Above the ceiling they must have waited for
-// some time.
+// planRaise starts a trial of a higher limit if requests are blocked. Above the ceiling, they must have been blocked for
+// the duration of the delay.
 func (l *Limit) planRaise(now time.Time, s windowSummary) {
 	aboveCeiling := l.value >= l.ceiling
 	switch {
@@ -100,22 +101,22 @@
 	}
 }
 
-// raiseDelay is a wait that doubles with each failure in succession.
+// raiseDelay is a delay that doubles with each failure in succession.
 type raiseDelay struct {
 	until time.Time
 	delay time.Duration
 }
 
-func (h *raiseDelay) failed(now time.Time) {
-	h.until = now.Add(h.delay)
-	h.delay = min(2*h.delay, maxRaiseDelay)
+func (d *raiseDelay) failed(now time.Time) {
+	d.until = now.Add(d.delay)
+	d.delay = min(2*d.delay, maxRaiseDelay)
 }
 
-func (h *raiseDelay) succeeded() {
-	h.delay = minRaiseDelay
+func (d *raiseDelay) succeeded() {
+	d.delay = minRaiseDelay
 }
 
-// beginTrial changes the limit, where what gave rise to the trial still holds.
+// beginTrial changes the limit if the condition that triggered the trial still holds.
 func (l *Limit) beginTrial(s windowSummary) {
 	raised := l.trial.raised
 	l.trial = trial{}
@@ -145,7 +146,7 @@
 	l.value *= l.config.TrialDecreaseFactor
 }
 
-// concludeTrial ends a trial.
+// concludeTrial keeps or reverts the change of the limit.
 func (l *Limit) concludeTrial(now time.Time, s windowSummary) {
 	t := l.trial
 	l.trial = trial{}
@@ -179,7 +180,7 @@
 	}
 }
 
-// revertRaise goes back to what was before a higher limit that did not help.
+// revertRaise restores the previous limit after a higher one did not help.
 func (l *Limit) revertRaise(now time.Time, t trial) {
 	l.reason = LimitRaiseReverted
 	l.value = t.previousLimit
