--- a/internal/decide/trees/trees.go
+++ b/internal/decide/trees/trees.go
@@ -1,18 +1,18 @@
-// Package trees bounds how many requests of each kind run at once on a backend server while the calls that they make have
-// to wait further down. A request whose calls are turned away, or wait until it is too late, has cost work at every level
-// for nothing; the one place where few refusals help is before it starts. In a closed circle of requests and calls a bound
-// of the requests bounds the queues below, from the first moment of a burst on.
+// Package trees limits how many requests of each kind are in flight on a backend server while the calls that they make are
+// queued further down the call tree. A request whose calls are refused, or queued until the deadline, has wasted work at
+// every level. A refusal costs least before the request starts. If the number of requests that wait for their own calls is
+// limited, the queues below are limited too, even at the start of a burst.
 //
-// Each finished request tells how many may run beside it for calls to stand in queues for a small part of their time: as
-// many as ran beside it, times what the waits leave of its time. The bound follows what they tell; up only while it is
-// used. Calls that are less urgent wait longer than urgent ones at the same backend server, so the bounds of less urgent
-// kinds go down first.
+// Each finished request yields an estimate of the in-flight limit at which calls are queued for a small fraction of the
+// request's duration: the number of requests in flight, times the fraction of the duration that was not queueing delay.
+// The limit follows these estimates, but rises only while it is used. Less urgent calls are queued for longer than urgent
+// ones at the same backend server, so the limits of less urgent kinds fall first.
 //
 // # Usage
 //
 //	start, ok := limits.Begin(now, trees.Offer{Kind: kind})
 //	if !ok { ... refuse ... }
-//	limits.End(now, start, trees.Sample{Took: took, Waited: waited, Calls: calls})
+//	limits.End(now, start, trees.Sample{Duration: duration, QueueingDelay: delay, Calls: calls})
 //
 // The package does no I/O and reads no clock. Limits is not safe for concurrent use.
 package trees
@@ -22,27 +22,27 @@
 	"time"
 )
 
-// Config sets Limits up.
+// Config configures Limits.
 type Config struct {
-	// Initial is the bound of a kind of which nothing is known, or InitialPart of the slots where that is more. Min is the
-	// least and Max the highest bound.
+	// Initial is the initial in-flight limit of a kind, or InitialSlotRatio times the announced slots if that is higher.
+	// Min and Max bound all limits.
 	Initial, InitialSlotRatio, Min, Max float64
-	// TargetDelayRatio is the part of its time that the calls of a request should stand in queues.
+	// TargetDelayRatio is the desired ratio of the queueing delay of a request's calls to the request's duration.
 	TargetDelayRatio float64
-	// IdleGrowth is how much further the bound goes while calls don't wait at all, as a part of it.
+	// IdleGrowth is the relative growth of the limit while calls are not queued at all.
 	IdleGrowth float64
-	// Headroom is how many requests more than a request tells the bound goes for.
+	// Headroom is added to the estimate of the limit that a request yields.
 	Headroom float64
-	// SpilledRatio is the part of the bound up to which requests may run that another availability zone had no room for.
+	// SpilledRatio is the fraction of the limit that is open to requests spilled from other availability zones.
 	SpilledRatio float64
-	// Gain is the part of the way that the bound goes while as many requests end as it holds, and RegainGain the same on the way back
-	// to what lately went well.
+	// Gain is the fraction of the distance to the estimate that the limit covers while as many requests end as it
+	// allows. RecoveryGain is the same for the return to a limit that recently worked well.
 	Gain, RecoveryGain float64
-	// UsedTimeout is how long ago the bound was reached at most for it to count as used.
+	// UsedTimeout is how long after it was last reached the limit counts as used.
 	UsedTimeout time.Duration
 }
 
-// DefaultConfig holds where nothing else is set.
+// DefaultConfig is the default configuration.
 var DefaultConfig = Config{
 	Initial: 16,
 
@@ -61,84 +61,86 @@
 	UsedTimeout:  150 * time.Millisecond,
 }
 
-// Sample is what a finished request showed.
+// Sample is the measurement of one finished request.
 type Sample struct {
 	Duration time.Duration
-	// QueueingDelay is how long its calls, and those below them, stood in queues.
+	// QueueingDelay is the total queueing delay of its calls and of the calls below them.
 	QueueingDelay time.Duration
-	// Calls is how many calls it made itself.
+	// Calls is the number of calls that the request itself made.
 	Calls int
-	// Refused says that one of its calls was turned away for want of room.
+	// Refused reports whether one of its calls was refused because of overload.
 	Refused bool
 }
 
-// Limits holds the bounds of all kinds.
+// Limits holds the in-flight limits of all kinds.
 type Limits struct {
 	config Config
-	// slots are those of the backend server.
+	// slots is the number of slots that the backend server announces.
 	slots float64
 	kinds map[string]*limit
 }
 
-// NewLimits returns limits that know no kind.
+// NewLimits returns limits without any kind.
 func NewLimits(config Config) *Limits {
 	return &Limits{config: config, kinds: map[string]*limit{}}
 }
 
-// Announce sets the slots of the backend server.
+// Announce sets the number of slots of the backend server.
 func (l *Limits) Announce(slots int) {
 	l.slots = float64(slots)
 }
 
-// limit is the bound of one kind.
+// limit is the in-flight limit of one kind.
 type limit struct {
 	value    float64
 	inFlight int
-	// observed says that a request of the kind has ended, and calls that one made calls. Until then the kind is bounded: a flood
-	// may come first.
+	// observed reports whether a request of the kind has ended, and makesCalls whether one made calls. A kind is limited
+	// until the first request has ended, because the first requests may be a flood.
 	observed   bool
 	makesCalls bool
-	// duration is the recent time of a request, and share the recent part of it that calls stood in queues.
+	// duration is the moving average of request durations, and delayRatio that of the ratio of queueing delay to duration.
 	duration   time.Duration
 	delayRatio float64
-	// endedAt is when a request ended last, and proven how many ran at once lately while their calls waited as little as they should.
+	// endedAt is when a request last ended. provenInFlight is the recent maximum of requests in flight at which the
+	// queueing delay of calls was within the target; it decays over time.
 	endedAt        time.Time
 	provenInFlight float64
-	// usedAt is when the bound was last reached.
+	// usedAt is when the limit was last reached.
 	usedAt time.Time
 }
 
 const (
-	// sampleWeight is the least weight of one request in the recent values, and sampleTime the time in which most of what was is
-	// forgotten.
+	// sampleWeight is the least weight of one request in the moving averages, and sampleTimeConstant their time constant.
 	sampleWeight       = 0.2
 	sampleTimeConstant = 200 * time.Millisecond
-	// disproofFactor is how many times as long as they should calls wait where too many requests run.
+	// disproofFactor is the ratio of queueing delay to its target above which too many requests are in flight.
 	disproofFactor = 2
-	// provenTimeConstant is the time in which most of what went well is forgotten.
+	// provenTimeConstant is the time constant with which provenInFlight decays.
 	provenTimeConstant = time.Minute
-	// negligibleDelayRatio is the part of the time below which calls don't wait at all.
+	// negligibleDelayRatio is the delay ratio below which calls count as not queued at all.
 	negligibleDelayRatio = 0.03
-	// refusedDelayRatio is the part of its time that a request with a call that was turned away counts as having waited.
+	// refusedDelayRatio is the least delay ratio of a request with a refused call.
 	refusedDelayRatio = 0.5
 )
 
-// Start is a request that has started.
+// Start identifies a request that has started.
 type Start struct {
 	kind string
-	// inFlight is how many of its kind ran then, with it.
+	// inFlight is the number of requests of the kind in flight at the start, itself included.
 	inFlight int
 }
 
 // Offer is a request that asks to start.
 type Offer struct {
 	Kind string
-	// Spilled says that another availability zone, which has instances of its own, had no room for it.
+	// Spilled reports whether the request comes from another availability zone that has instances of its own but no free
+	// capacity.
 	Spilled bool
 }
 
-// Begin counts a request that starts, or reports false where the bound of its kind is reached. Where all zones are overloaded, one that
-// spilled over from another zone would only take the place of one that costs no bytes between zones.
+// Begin counts a request that starts, or returns false if the limit of its kind is reached. Spilled requests have a lower
+// limit: if all availability zones are overloaded, a spilled request would only displace a local one, which causes no
+// traffic between zones.
 func (l *Limits) Begin(now time.Time, o Offer) (Start, bool) {
 	k := l.kind(o.Kind)
 	inFlightLimit := k.value
@@ -155,12 +157,12 @@
 	return Start{kind: o.Kind, inFlight: k.inFlight}, true
 }
 
-// Cancel takes back a Begin whose request did not start.
+// Cancel undoes Begin for a request that did not start.
 func (l *Limits) Cancel(s Start) {
 	l.kind(s.kind).inFlight--
 }
 
-// End takes in how a request ended.
+// End records the end of a request.
 func (l *Limits) End(now time.Time, start Start, s Sample) {
 	k := l.kind(start.kind)
 	inFlight := float64(start.inFlight+k.inFlight) / 2
@@ -180,14 +182,14 @@
 	l.updateProven(now, k, start.inFlight, s)
 	k.endedAt = now
 	if k.delayRatio < negligibleDelayRatio && k.value < k.provenInFlight {
-		l.adjust(now, k, k.provenInFlight, l.config.RecoveryGain) // whatever held the calls up is over
+		l.adjust(now, k, k.provenInFlight, l.config.RecoveryGain) // Calls are no longer queued.
 		return
 	}
 	l.adjust(now, k, inFlight*l.growthFactor(k, delayRatio)+l.config.Headroom, l.config.Gain)
 }
 
-// updateProven takes in how many requests ran at once, and whether their calls waited. A call that was turned away by a backend server with room
-// says nothing about that.
+// updateProven updates provenInFlight from the number of requests in flight and the queueing delay of the request's calls.
+// Refused calls don't lower it, because a backend server with free capacity may refuse calls too.
 func (l *Limits) updateProven(now time.Time, k *limit, inFlight int, s Sample) {
 	k.provenInFlight *= decay(now, k.endedAt, provenTimeConstant)
 	delayRatio := float64(s.QueueingDelay) / float64(s.Duration)
@@ -199,8 +201,8 @@
 	}
 }
 
-// growthFactor returns how many times as many requests may run for calls to wait as they should, where they waited for the share.
-// While there is no waiting at all it can't be told how far that is, and the answer is a good way up.
+// growthFactor returns the factor by which the number of requests may change for the queueing delay to reach its target.
+// While calls are not queued at all, that factor can't be measured; the result is then 1 + IdleGrowth.
 func (l *Limits) growthFactor(k *limit, delayRatio float64) float64 {
 	if k.delayRatio < negligibleDelayRatio {
 		return 1 + l.config.IdleGrowth
@@ -208,12 +210,12 @@
 	return (1 - delayRatio) / (1 - l.config.TargetDelayRatio)
 }
 
-// decay returns the part that is left of what was then.
+// decay returns the factor by which a value from time then has decayed, with time constant d.
 func decay(now, then time.Time, d time.Duration) float64 {
 	return math.Exp(-float64(now.Sub(then)) / float64(d))
 }
 
-// adjust takes the bound a part of the way to what a request told, at once where it holds no more than the gain.
+// adjust moves the limit towards the target. The fraction of the distance is the gain divided by the limit, at most maxWeight.
 func (l *Limits) adjust(now time.Time, k *limit, target, gain float64) {
 	if target > k.value && now.Sub(k.usedAt) > l.config.UsedTimeout {
 		return
@@ -222,21 +224,21 @@
 	k.value = min(max(k.value+weight*(target-k.value), l.config.Min), l.config.Max)
 }
 
-// maxWeight is how far one request may take the bound.
+// maxWeight is the greatest fraction of the distance that one request moves the limit.
 const maxWeight = 0.5
 
-// RetryAfter returns when a request of the kind that was refused may come back: when one of those that run has ended.
+// RetryAfter returns the Retry-After of a refused request: about the time until a running request of the kind ends.
 func (l *Limits) RetryAfter(kind string) time.Duration {
 	return l.kind(kind).duration / 2
 }
 
-// Value returns the bound of the kind, and whether it is in force.
+// Value returns the limit of the kind, and whether it is in force.
 func (l *Limits) Value(kind string) (float64, bool) {
 	k := l.kind(kind)
 	return k.value, k.makesCalls
 }
 
-// MakesCalls reports whether requests of some kind were seen to make calls.
+// MakesCalls reports whether a request of any kind made calls.
 func (l *Limits) MakesCalls() bool {
 	for _, k := range l.kinds {
 		if k.makesCalls {
--- a/internal/decide/trees/trees_test.go
+++ b/internal/decide/trees/trees_test.go
@@ -10,12 +10,12 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/trees"
 )
 
-// closedLoop is a closed circle of requests that each make eight calls, one after the other, to a service with few slots.
+// closedLoop simulates requests that each make eight calls, one after the other, to a service with few slots.
 type closedLoop struct {
 	limits *trees.Limits
 	slots  int
 	now    time.Time
-	// active are the requests, by when they started and how far they are.
+	// active holds the requests in flight, ordered by their start.
 	active []*request
 	queue  []*request
 	busy   int
@@ -38,11 +38,11 @@
 	callTime = 50 * time.Millisecond
 	ownTime  = 150 * time.Millisecond
 	calls    = 8
-	// requestTimeout is how long a request may take; one that is over it has failed.
+	// requestTimeout is the duration above which a request fails.
 	requestTimeout = 1200 * time.Millisecond
 )
 
-// tick moves everything one step on, with so many new requests.
+// tick advances the simulation by one step in which the given number of requests arrive.
 func (c *closedLoop) tick(arrivals int) {
 	c.now = c.now.Add(step)
 	for range arrivals {
@@ -53,13 +53,13 @@
 		}
 		c.active = append(c.active, &request{start: start, startedAt: c.now, callsLeft: calls, endsAt: c.now.Add(ownTime)})
 	}
-	var still []*request
+	var remaining []*request
 	for _, r := range c.active {
 		if !c.advance(r) {
-			still = append(still, r)
+			remaining = append(remaining, r)
 		}
 	}
-	c.active = still
+	c.active = remaining
 	for c.busy < c.slots && len(c.queue) > 0 {
 		r := c.queue[0]
 		c.queue = c.queue[1:]
@@ -69,7 +69,7 @@
 	}
 }
 
-// advance reports whether the request has ended.
+// advance moves the request to its next call if it is due, and reports whether the request has ended.
 func (c *closedLoop) advance(r *request) bool {
 	if r.endsAt.IsZero() || c.now.Before(r.endsAt) {
 		return false
@@ -94,16 +94,16 @@
 	return false
 }
 
-// Pattern: a flood of requests whose calls meet at one deep service. It comes to three times what the service can do.
-// Without a bound nearly all of them run out of time after most of their work.
-func TestFloodOfRequestsWithManyCalls(t *testing.T) {
+// A flood of requests whose calls go to one deep service offers three times its capacity. Without a limit, nearly all requests
+// time out after most of their work is done.
+func TestLimitUnderFloodOfRequestsWithManyCalls(t *testing.T) {
 	for name, test := range map[string]struct {
 		config  trees.Config
 		atLeast float64
 		atMost  float64
 	}{
-		"bounded":   {trees.DefaultConfig, 0.75, 1},
-		"unbounded": {trees.Config{Initial: 1e6, Min: 1e6, Max: 1e6}, 0, 0.3},
+		"limited":   {trees.DefaultConfig, 0.75, 1},
+		"unlimited": {trees.Config{Initial: 1e6, Min: 1e6, Max: 1e6}, 0, 0.3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -117,15 +117,15 @@
 				}
 				c.tick(arrivals)
 			}
-			t.Logf("%d done, %d failed, %d refused, %.0f can be done", c.done, c.failed, c.refused, capacity)
+			t.Logf("%d done, %d failed, %d refused, %.0f possible", c.done, c.failed, c.refused, capacity)
 			is.True(float64(c.done) >= test.atLeast*capacity)
 			is.True(float64(c.done) <= test.atMost*capacity)
 		})
 	}
 }
 
-// Kinds that make no calls are never bounded.
-func TestKindsWithoutCallsAreNotBounded(t *testing.T) {
+// Kinds that make no calls are not limited.
+func TestKindsWithoutCallsAreNotLimited(t *testing.T) {
 	is := is.New(t)
 	limits := trees.NewLimits(trees.DefaultConfig)
 	now := time.Now()
@@ -140,12 +140,12 @@
 	}
 }
 
-// Pattern: the deepest service sheds for a while, and is well again at once. What was refused meanwhile says nothing any more:
-// within three seconds 95% of the requests start again.
-func TestBoundAfterTheDeepestServiceShed(t *testing.T) {
+// The deepest service sheds for a while and then recovers at once. The refusals before must not hold the limit down: after three
+// seconds, 95% of the requests must start again.
+func TestLimitRecoversAfterDeepestServiceShed(t *testing.T) {
 	for name, perSecond := range map[string]int{
-		"a busy node": 100,
-		"a quiet one": 20,
+		"busy node":  100,
+		"quiet node": 20,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -162,7 +162,7 @@
 				}
 			}
 			run(5 * time.Second)
-			every = math.MaxInt // nobody comes while the circle empties
+			every = math.MaxInt // no arrivals until the requests in flight have ended
 			run(time.Second)
 			every = 1000 / perSecond
 			for range 100 {
@@ -174,14 +174,14 @@
 			run(3 * time.Second)
 			t.Logf("%d refused in the first three seconds", c.refused)
 			run(2 * time.Second)
-			t.Logf("%d refused in the next two", c.refused)
+			t.Logf("%d refused in the next two seconds", c.refused)
 			is.True(float64(c.refused) <= 0.05*2*float64(perSecond))
 		})
 	}
 }
 
-// After a flood the bound is back within seconds.
-func TestBoundComesBack(t *testing.T) {
+// After a flood, the limit must recover within seconds.
+func TestLimitRecoversAfterFlood(t *testing.T) {
 	is := is.New(t)
 	limits := trees.NewLimits(trees.DefaultConfig)
 	now := time.Now()
@@ -194,7 +194,7 @@
 	low, _ := limits.Value("sheet")
 	is.True(low < 3)
 	var running []trees.Start
-	for range 500 { // 5 s, in which the fleet is to be back
+	for range 500 { // 5 s, the time in which the fleet must recover
 		now = now.Add(10 * time.Millisecond)
 		for start, ok := limits.Begin(now, trees.Offer{Kind: "sheet"}); ok; start, ok = limits.Begin(now, trees.Offer{Kind: "sheet"}) {
 			running = append(running, start)
@@ -209,16 +209,16 @@
 	is.True(high >= trees.DefaultConfig.Initial)
 }
 
-// Pattern: all zones are overloaded, and send each other what they can't run. A zone's own requests go first, so that requests
-// don't change places between zones; where a zone has room, those of others get it.
-func TestOwnRequestsGoBeforeThoseOfOtherZones(t *testing.T) {
+// All availability zones are overloaded and spill requests to each other. Local requests take precedence, so that zones don't just
+// exchange requests; free capacity is open to spilled ones.
+func TestLocalRequestsBeforeSpilledOnes(t *testing.T) {
 	for name, test := range map[string]struct {
 		own         int
 		least, most int
 	}{
-		"own ones fill it":   {40, 0, 0},
-		"half of it is free": {10, 5, 6},
-		"all of it is free":  {0, 16, 16},
+		"filled by local ones": {40, 0, 0},
+		"half free":            {10, 5, 6},
+		"all free":             {0, 16, 16},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -229,14 +229,14 @@
 			for range test.own {
 				limits.Begin(now, trees.Offer{Kind: "sheet"})
 			}
-			far := 0
+			spilled := 0
 			for range 40 {
 				if _, ok := limits.Begin(now, trees.Offer{Kind: "sheet", Spilled: true}); ok {
-					far++
+					spilled++
 				}
 			}
-			is.True(far >= test.least)
-			is.True(far <= test.most)
+			is.True(spilled >= test.least)
+			is.True(spilled <= test.most)
 		})
 	}
 }
