--- a/internal/decide/throttle/failures.go
+++ b/internal/decide/throttle/failures.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Failures remembers for a short time how often which requests failed, so that those sent again are known as such.
-// One failure accounts for one request sent again: others that look the same are new. It is not safe for concurrent
-// use.
+// Failures records by fingerprint how many requests failed recently, to recognize requests that are sent again. Each failure
+// accounts for one request sent again; further requests with the same fingerprint count as new. Failures is not safe for
+// concurrent use.
 type Failures struct {
 	lifetime   time.Duration
 	maxEntries int
-	// recent and older are two generations; the older one is dropped when the recent one is full or old.
+	// recent and older are two generations of entries. When recent is full or expired, it replaces older.
 	recent    map[uint64]int
 	older     map[uint64]int
 	rotatedAt time.Time
 }
 
-// NewFailures returns an empty memory, of at most twice the bound, that forgets within one to two lives.
+// NewFailures returns an empty record. It holds at most 2*maxEntries fingerprints and forgets each of them after one to two
+// lifetimes.
 func NewFailures(lifetime time.Duration, maxEntries int) *Failures {
 	return &Failures{lifetime: lifetime, maxEntries: maxEntries, recent: map[uint64]int{}, older: map[uint64]int{}}
 }
 
-// Add remembers that the request with the fingerprint failed.
+// Add records that the request with the fingerprint failed.
 func (f *Failures) Add(now time.Time, fingerprint uint64) {
 	f.rotate(now)
 	if _, ok := f.recent[fingerprint]; !ok && len(f.recent) >= f.maxEntries {
@@ -28,13 +29,13 @@
 	f.recent[fingerprint]++
 }
 
-// IsEmpty reports whether no request failed lately, which spares the fingerprint of one.
+// IsEmpty reports whether no request failed recently; there is then no need to compute a fingerprint.
 func (f *Failures) IsEmpty(now time.Time) bool {
 	f.rotate(now)
 	return len(f.recent) == 0 && len(f.older) == 0
 }
 
-// Take reports whether the request failed lately, and takes one failure away.
+// Take reports whether a request with the fingerprint failed recently, and removes one failure.
 func (f *Failures) Take(now time.Time, fingerprint uint64) bool {
 	f.rotate(now)
 	return take(f.recent, fingerprint) || take(f.older, fingerprint)
--- a/internal/decide/throttle/sparse.go
+++ b/internal/decide/throttle/sparse.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// ratioDecrease and sparseUp are the factors by which one refused and one accepted request change the part that is admitted.
-	// Where they balance, a sixth of what all nodes admit together is refused further down, however many nodes there are.
+	// ratioDecrease and ratioIncrease are the factors by which one refused and one accepted request change the admitted
+	// ratio. They balance at about one refusal downstream for every six accepted requests, regardless of the number of nodes.
 	ratioDecrease = 0.7
 	ratioIncrease = 1.06
-	// ratioDoublingTime is the time without a refused request in which the part doubles.
+	// ratioDoublingTime is the time without a refused request in which the ratio doubles.
 	ratioDoublingTime = time.Second
-	// minRatio bounds the part below.
+	// minRatio is the lower limit of the ratio.
 	minRatio = 0.1
 )
 
-// admissionRatio decides for a node that sees few requests. Nodes that don't talk can't tell the rate that is accepted from one or
-// two requests in a window each, but each can learn which part of its own is.
+// admissionRatio decides for a node that receives few requests. Nodes that don't communicate can't measure the accepted rate
+// with one or two requests in a time constant each, but each node can learn which fraction of its own requests is accepted.
 type admissionRatio struct {
-	// refused is one less the part of the requests that is admitted, so that the zero value admits all.
+	// refused is 1 minus the admitted ratio, so that the zero value admits everything.
 	refused float64
-	// quietSince is when a request was refused last, or the part last doubled.
+	// quietSince is the time of the last refused request or of the last doubling.
 	quietSince time.Time
 }
 
-// value returns the part of the requests that is admitted.
+// value returns the ratio of requests to admit.
 func (s *admissionRatio) value(now time.Time) float64 {
 	for s.refused > 0 && now.Sub(s.quietSince) >= ratioDoublingTime {
 		s.quietSince = s.quietSince.Add(ratioDoublingTime)
@@ -35,7 +35,7 @@
 	s.refused = 1 - min(max(ratio, minRatio), 1)
 }
 
-// observe takes in what became of an admitted request.
+// observe records the result of an admitted request.
 func (s *admissionRatio) observe(now time.Time, r Result) {
 	switch r {
 	case Accepted:
--- a/internal/decide/throttle/stats.go
+++ b/internal/decide/throttle/stats.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Reason says why a Throttle stands where it does, or why it refused a request.
+// Reason is the reason for the state of a Throttle, or for a refusal.
 type Reason string
 
-// The reasons.
+// Possible values of Reason.
 const (
 	AdmitsAll        Reason = "admits_all"
 	AcceptedIsLess   Reason = "accepted_is_less"
@@ -13,7 +13,7 @@
 	RefusedResent    Reason = "resent"
 )
 
-// Reasons is the catalogue of the reasons.
+// Reasons describes the reasons.
 var Reasons = map[Reason]string{
 	AdmitsAll:        "No more is offered than was lately accepted down the chains, with headroom.",
 	AcceptedIsLess:   "Requests were refused down their chains, and more is offered than was lately accepted, with headroom.",
@@ -21,29 +21,29 @@
 	RefusedResent:    "The caller sent the request again, and the part for such requests is used up.",
 }
 
-// Refusal is a request that a Throttle refused itself. The zero Refusal is none.
+// Refusal is a request that a Throttle itself refused. The zero Refusal is none.
 type Refusal struct {
 	Reason Reason    `json:"reason"`
 	At     time.Time `json:"at"`
 }
 
-// Stats are what a Throttle goes by, for the dump. The counts are of about the last Config.Window and fade.
+// Stats holds the state of a Throttle, for the dump. The counts decay with Config.TimeConstant.
 type Stats struct {
 	Reason Reason `json:"reason"`
-	// RefusedShare is the part of the requests, from 0 to 1, that are refused here.
+	// RefusedShare is the fraction of requests that the throttle refuses, from 0 to 1.
 	RefusedShare float64 `json:"refused_share"`
-	// Accepted and RefusedBelow are what became of the admitted requests down their chains, and Peak is the highest
-	// accepted count, fading slowly. RefusedHere are those that the throttle refused itself.
+	// Accepted and RefusedBelow count the admitted requests that were accepted and refused along their call chains. Peak
+	// is the highest accepted count and decays slowly. RefusedHere counts the requests that the throttle itself refused.
 	Accepted     float64 `json:"accepted"`
 	Peak         float64 `json:"peak"`
 	RefusedBelow float64 `json:"refused_below"`
 	RefusedHere  float64 `json:"refused_here"`
-	// LastBelow is when an admitted request was last refused down its chain; zero for never.
+	// LastBelow is when an admitted request was last refused along its call chain; zero for never.
 	LastBelow time.Time `json:"last_below"`
 	LastHere  Refusal   `json:"last_here"`
 }
 
-// Stats returns what the throttle goes by.
+// Stats returns the state of the throttle.
 func (t *Throttle) Stats(now time.Time) Stats {
 	t.decay(now)
 	s := Stats{
--- a/internal/decide/throttle/stats_test.go
+++ b/internal/decide/throttle/stats_test.go
@@ -10,14 +10,14 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/throttle"
 )
 
-func TestThrottleSaysWhyItRefuses(t *testing.T) {
+func TestThrottleReasons(t *testing.T) {
 	is := is.New(t)
 	throttled := throttle.New(throttle.DefaultConfig)
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1_000_000, 0)
 	is.Equal(throttled.Stats(now), throttle.Stats{Reason: throttle.AdmitsAll})
 
-	// One of ten is accepted further down.
+	// One of ten requests is accepted downstream.
 	var below time.Time
 	refused := false
 	for i := range 1000 {
@@ -44,5 +44,5 @@
 	_, catalogued := throttle.Reasons[s.LastHere.Reason]
 	is.True(catalogued)
 
-	is.Equal(throttled.Stats(now.Add(time.Minute)).Reason, throttle.AdmitsAll) // it ends with its evidence
+	is.Equal(throttled.Stats(now.Add(time.Minute)).Reason, throttle.AdmitsAll) // the counts have decayed
 }
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -1,19 +1,21 @@
-// Package throttle decides at the entry which root requests are refused before any work is done for them, by what
-// became of the chains of others like them.
+// Package throttle decides at the entry node which root requests are refused before any work is done for them. It learns
+// from the results of earlier, similar root requests along their call chains.
 //
-// A Throttle watches the root requests of one kind and rank. While some of them are refused anywhere down their
-// chains, it admits about as many as were accepted, and a little more, so that it notices at once when more would be
-// accepted. Since it measures the accepted rate, the time that replies take can't make it refuse ever more. Callers
-// that send no more than their equal part are admitted before the others, those just above it are refused seldom, and
-// requests that are sent again get a bounded part and what new ones leave. A throttle that sees few requests can't tell that
-// rate; it learns which part of its own are accepted, and admits that part.
+// A Throttle handles the root requests of one kind and rank. While some of them are refused anywhere along their call
+// chains, it admits about as many requests as were accepted, plus some headroom to detect at once when more would be
+// accepted. Because it measures the accepted rate, slow replies can't make it refuse more and more requests.
+//
+// Callers that send no more than an equal share of the accepted rate are admitted first, and callers slightly above it are
+// seldom refused. Requests that are sent again get a limited fraction of the accepted rate, and the capacity that new
+// requests leave unused. A throttle that receives too few requests to measure the accepted rate instead learns which ratio
+// of its own requests is accepted, and admits that ratio.
 //
 // # Usage
 //
 //	verdict := t.Offer(now, random, throttle.Offer{Caller: "parish"})
 //	if verdict.Admitted {
 //		... send it ...
-//		t.Learn(now, throttle.Accepted)
+//		t.Observe(now, throttle.Accepted)
 //	}
 //
 // The package does no I/O and reads no clock. A Throttle is not safe for concurrent use.
@@ -24,55 +26,55 @@
 	"time"
 )
 
-// Source gives random numbers.
+// Source is a source of random numbers.
 type Source interface {
-	// Float64 returns a number from 0 up to, but not including, 1.
+	// Float64 returns a number in the half-open interval [0, 1).
 	Float64() float64
 }
 
-// Result is what became of an admitted request.
+// Result is the result of an admitted request.
 type Result int
 
-// The results.
+// Possible values of Result.
 const (
-	// Neutral tells nothing about overload.
+	// Neutral carries no information about overload.
 	Neutral Result = iota
-	// Accepted is a whole good answer.
+	// Accepted means a complete, successful reply.
 	Accepted
-	// Refused means that the request was shed, here or further down its chain.
+	// Refused means that the request was shed, at the entry node or further down its call chain.
 	Refused
 )
 
-// Config sets a Throttle up.
+// Config configures a Throttle.
 type Config struct {
-	// TimeConstant is the time constant with which counts fade.
+	// TimeConstant is the time constant with which the counts decay.
 	TimeConstant time.Duration
-	// PeakTimeConstant is the time constant with which the highest accepted rate fades.
+	// PeakTimeConstant is the time constant with which the peak of the accepted rate decays.
 	PeakTimeConstant time.Duration
-	// Headroom is the admitted rate over the accepted one just after a request was refused. It grows by HeadroomStep
-	// with each accepted request, but at most once in StepTime, up to MaxHeadroom, until the next one is refused.
+	// Headroom is the ratio of the admitted to the accepted rate just after a refusal. Until the next refusal, it grows by
+	// HeadroomStep with each accepted request, but at most once in each StepInterval, up to MaxHeadroom.
 	Headroom     float64
 	HeadroomStep float64
 	StepInterval time.Duration
 	MaxHeadroom  float64
-	// ProbeRatio is the part of the requests that is admitted in any case, and ProbeEvery the time without an
-	// admitted request after which one is.
+	// ProbeRatio is the ratio of requests that are always admitted. A request is also admitted if none was for
+	// ProbeInterval.
 	ProbeRatio    float64
 	ProbeInterval time.Duration
-	// ResentRatio is the part of the accepted rate that requests sent again get while some are refused, even where new
-	// ones would take it all.
+	// ResentRatio is the fraction of the accepted rate that is open to requests sent again while some are refused, even
+	// if new requests alone would use up the rate.
 	ResentRatio float64
-	// LowRateRequests is how many in a window tell too little about the rate that is accepted. A node that sees fewer learns which
-	// part of them is accepted instead; 0 for none.
+	// LowRateRequests is the count of requests below which the accepted rate can't be measured. A node with fewer
+	// requests learns the ratio of accepted requests instead; 0 turns this off.
 	LowRateRequests float64
-	// MaxCallers bounds the callers that are told apart; the others count as one.
+	// MaxCallers is the maximum number of callers that are counted separately; further callers count as one.
 	MaxCallers int
-	// MinRetryAfter and MaxRetryAfter bound what refused callers are told.
+	// MinRetryAfter and MaxRetryAfter bound the Retry-After of refused requests, before randomization.
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
 }
 
-// DefaultConfig holds where nothing else is set.
+// DefaultConfig is the default configuration.
 var DefaultConfig = Config{
 	TimeConstant:     250 * time.Millisecond,
 	PeakTimeConstant: 1500 * time.Millisecond,
@@ -92,42 +94,42 @@
 // Offer is a root request that asks to be admitted.
 type Offer struct {
 	Caller string
-	// Resent says that the caller has sent the request before.
+	// Resent reports whether the caller has sent the request before.
 	Resent bool
 }
 
-// Verdict answers an offer.
+// Verdict is the answer to an offer.
 type Verdict struct {
 	Admitted bool
-	// RetryAfter is when a refused request may be sent again. It differs from request to request, so that those
-	// refused together don't come back together.
+	// RetryAfter is the time after which a refused request may be sent again. It is randomized, so that requests refused
+	// together don't come back together.
 	RetryAfter time.Duration
 }
 
-// Throttle watches the root requests of one kind and rank.
+// Throttle handles the root requests of one kind and rank.
 type Throttle struct {
 	config Config
-	// decayedAt is when the counts were last faded.
+	// decayedAt is when the counts last decayed.
 	decayedAt time.Time
 
 	accepted float64
-	// peak is the highest count of accepted requests, fading slowly: chance refusals at a lower rate don't lower it.
+	// peak is the slowly decaying maximum of accepted: random refusals at a lower rate don't lower it.
 	peak         float64
 	refusedBelow float64
-	// refusedHere counts the requests that the throttle refused itself.
+	// refusedHere counts the requests that the throttle itself refused.
 	refusedHere float64
-	// newRequests and resent count the new requests that were offered, and those sent again.
+	// newRequests counts the offered requests that are new, and resent those that were sent before.
 	newRequests float64
 	resent      float64
 	callers     map[string]float64
 	// lowRate decides while there are few requests.
 	lowRate admissionRatio
 
-	// acceptedSinceRefusal counts the accepted requests since the last refused one, at refusedAt.
+	// acceptedSinceRefusal counts the accepted requests since the last refused one, which was at refusedBelowAt.
 	acceptedSinceRefusal float64
 	refusedBelowAt       time.Time
 	admittedAt           time.Time
-	// lastRefusal is the newest request that the throttle refused itself.
+	// lastRefusal is the last request that the throttle itself refused.
 	lastRefusal Refusal
 }
 
@@ -136,10 +138,10 @@
 	return &Throttle{config: config, callers: map[string]float64{}}
 }
 
-// otherCallers stands for the callers beyond the bound.
+// otherCallers is the name under which the callers above MaxCallers are counted.
 const otherCallers = ""
 
-// Offer decides on one request.
+// Offer decides whether a request is admitted.
 func (t *Throttle) Offer(now time.Time, random Source, o Offer) Verdict {
 	t.decay(now)
 	callerCount := t.countCaller(o.Caller)
@@ -151,7 +153,7 @@
 	if t.isLowRate() {
 		return t.offerAtLowRate(now, random)
 	}
-	t.lowRate = admissionRatio{} // what a rush showed says nothing about the few requests after it
+	t.lowRate = admissionRatio{} // The ratio learned under a high rate does not apply to a later low rate.
 	equalShare := t.accepted / float64(len(t.callers))
 	refusalRatio := t.refusalRatio(now)
 	switch {
@@ -159,7 +161,7 @@
 	case callerCount <= equalShare:
 	case o.Resent && t.refusedBelow > unthrottledRequests && random.Float64() < t.maxResent(now)/t.resent:
 	case o.Resent && t.refusedBelow > unthrottledRequests:
-		// Not counted, so that requests sent again don't take the place of new ones.
+		// Not counted in refusedHere, so that requests sent again don't take the place of new ones.
 		t.lastRefusal = Refusal{Reason: RefusedResent, At: now}
 		return Verdict{RetryAfter: t.retryAfter(random)}
 	case refusalRatio == 0:
@@ -172,10 +174,10 @@
 	return Verdict{Admitted: true}
 }
 
-// isLowRate reports whether so few requests came lately that they tell little about the rate that is accepted.
+// isLowRate reports whether there were too few requests recently to measure the accepted rate.
 func (t *Throttle) isLowRate() bool { return t.newRequests+t.resent < t.config.LowRateRequests }
 
-// offerAtLowRate decides on one of few requests.
+// offerAtLowRate decides on a request while there are few requests.
 func (t *Throttle) offerAtLowRate(now time.Time, random Source) Verdict {
 	if random.Float64() < t.lowRate.value(now) {
 		t.admittedAt = now
@@ -186,7 +188,7 @@
 	return Verdict{RetryAfter: t.retryAfter(random)}
 }
 
-// Observe takes in what became of an admitted request.
+// Observe records the result of an admitted request.
 func (t *Throttle) Observe(now time.Time, r Result) {
 	t.decay(now)
 	if t.isLowRate() {
@@ -210,19 +212,20 @@
 	return t.refusalRatio(now) > 0
 }
 
-// IsIdle reports whether nothing was counted lately, so that the throttle may be forgotten.
+// IsIdle reports whether all counts have decayed, so that the throttle may be deleted.
 func (t *Throttle) IsIdle(now time.Time) bool {
 	t.decay(now)
 	return t.accepted+t.refusedBelow+t.refusedHere+float64(len(t.callers)) < negligibleCount
 }
 
-// negligibleCount is the count below which nothing is left of one request.
+// negligibleCount is the count below which a single request counts as decayed.
 const negligibleCount = 0.05
 
-// unthrottledRequests is how many requests in a window are not throttled, so that few requests can't stop each other.
+// unthrottledRequests is the number of requests within the counts that are not throttled, so that a few requests can't
+// block each other.
 const unthrottledRequests = 1
 
-// refusalRatio is the part of the requests to refuse.
+// refusalRatio returns the ratio of requests to refuse.
 func (t *Throttle) refusalRatio(now time.Time) float64 {
 	offered := t.accepted + t.refusedBelow + t.refusedHere
 	if offered == 0 {
@@ -231,25 +234,26 @@
 	return max(0, (offered-unthrottledRequests-t.maxAdmitted(now))/offered)
 }
 
-// maxAdmitted is how many requests may be admitted in the time that the counts hold.
+// maxAdmitted returns the maximum number of admitted requests within the counts.
 func (t *Throttle) maxAdmitted(now time.Time) float64 {
 	steps := min(t.acceptedSinceRefusal, float64(now.Sub(t.refusedBelowAt))/float64(t.config.StepInterval))
 	return min(t.config.Headroom+t.config.HeadroomStep*steps, t.config.MaxHeadroom) * t.peak
 }
 
-// maxResent is how many of these may be requests sent again: a bounded part, and what new ones leave.
+// maxResent returns how many of these may be requests sent again: at least the limited fraction, or the capacity that new
+// requests leave unused.
 func (t *Throttle) maxResent(now time.Time) float64 {
 	return max(t.config.ResentRatio*t.accepted, t.maxAdmitted(now)-t.newRequests)
 }
 
 func (t *Throttle) retryAfter(random Source) time.Duration {
 	offered := t.accepted + t.refusedBelow + t.refusedHere
-	wait := time.Duration(float64(t.config.TimeConstant) * offered / (t.accepted + 1))
-	wait = min(max(wait, t.config.MinRetryAfter), t.config.MaxRetryAfter)
-	return time.Duration(float64(wait) * (0.5 + random.Float64()))
+	delay := time.Duration(float64(t.config.TimeConstant) * offered / (t.accepted + 1))
+	delay = min(max(delay, t.config.MinRetryAfter), t.config.MaxRetryAfter)
+	return time.Duration(float64(delay) * (0.5 + random.Float64()))
 }
 
-// countCaller adds one request of the caller and returns its count.
+// countCaller counts one request of the caller and returns the caller's count.
 func (t *Throttle) countCaller(caller string) float64 {
 	if _, ok := t.callers[caller]; !ok && len(t.callers) >= t.config.MaxCallers {
 		caller = otherCallers
@@ -258,7 +262,7 @@
 	return t.callers[caller]
 }
 
-// minDecayInterval is the shortest time after which counts are renewed.
+// minDecayInterval is the least time between two updates of the counts.
 const minDecayInterval = 5 * time.Millisecond
 
 func (t *Throttle) decay(now time.Time) {
--- a/internal/decide/throttle/throttle_test.go
+++ b/internal/decide/throttle/throttle_test.go
@@ -13,10 +13,10 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/throttle"
 )
 
-// downstream is a model of all that lies behind the entry: it accepts so many requests a second and answers late.
+// downstream simulates the services behind the entry node: it accepts perSecond requests a second and replies after a delay.
 type downstream struct {
 	perSecond float64
-	// refuseEvery is the number of requests of which one is refused whatever the rate; 0 for none.
+	// refuseEvery refuses one of every so many requests regardless of the rate; 0 for none.
 	refuseEvery int
 	taken       int
 	tokens      float64
@@ -52,14 +52,14 @@
 	}
 }
 
-// counts are what became of the requests of one source of load.
+// counts holds the results of the requests of one source of load.
 type counts struct {
 	offered  int
 	admitted int
 	good     int
 }
 
-// drive offers each source's requests, in whole numbers a millisecond step, for the time.
+// drive offers the requests of all sources for the duration d, at most one of each source in a step.
 func drive(t *throttle.Throttle, c *downstream, start time.Time, d time.Duration, sources map[string]source) map[string]counts {
 	random := rand.New(rand.NewPCG(1, 1))
 	sums := map[string]counts{}
@@ -96,13 +96,13 @@
 			th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: perSecond}
 			drive(th, c, start, time.Second, map[string]source{"a": {perSecond: 900}})
 			sum := drive(th, c, start.Add(time.Second), 4*time.Second, map[string]source{"a": {perSecond: 900}})["a"]
-			is.True(float64(sum.good) >= 0.9*4*perSecond)     // goodput stays near what can be done
-			is.True(float64(sum.admitted) <= 1.5*4*perSecond) // and little is wasted
+			is.True(float64(sum.good) >= 0.9*4*perSecond)     // goodput stays near the capacity
+			is.True(float64(sum.admitted) <= 1.5*4*perSecond) // and little work is wasted
 		})
 	}
 }
 
-// Many nodes with few requests each admit together no more than one node with all of them.
+// Many nodes with few requests each must together admit no more than a single node with all requests.
 func TestManyNodesAdmitWhatIsAccepted(t *testing.T) {
 	for name, test := range map[string]struct {
 		nodes                  int
@@ -122,14 +122,14 @@
 			}
 			driveAll(nodes, c, start, time.Second, test.offeredEach)
 			sum := driveAll(nodes, c, start.Add(time.Second), 4*time.Second, test.offeredEach)
-			t.Logf("%d admitted, %d good, of %.0f that can be done", sum.admitted, sum.good, 4*test.perSecond)
+			t.Logf("%d admitted, %d good, of %.0f possible", sum.admitted, sum.good, 4*test.perSecond)
 			is.True(float64(sum.good) >= 0.9*4*test.perSecond)
-			is.True(float64(sum.admitted) <= 1.5*4*test.perSecond) // as for one node
+			is.True(float64(sum.admitted) <= 1.5*4*test.perSecond) // the same limit as for one node
 		})
 	}
 }
 
-// driveAll offers each node's requests of one caller for the time.
+// driveAll offers requests of one caller to each node for the duration d.
 func driveAll(nodes []*throttle.Throttle, c *downstream, start time.Time, d time.Duration, perSecond float64) counts {
 	random := rand.New(rand.NewPCG(1, 1))
 	var sum counts
@@ -159,12 +159,12 @@
 	return sum
 }
 
-func TestChanceRefusalsDoNotThrottle(t *testing.T) {
+func TestRandomRefusalsDoNotThrottle(t *testing.T) {
 	is := is.New(t)
 	th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: 1000, refuseEvery: 10}
 	sum := drive(th, c, start, 10*time.Second, map[string]source{"a": {perSecond: 400}})["a"]
-	canBeDone := 0.9 * float64(sum.offered)
-	is.True(float64(sum.good) >= 0.9*canBeDone)
+	possible := 0.9 * float64(sum.offered)
+	is.True(float64(sum.good) >= 0.9*possible)
 }
 
 func TestRecovers(t *testing.T) {
@@ -174,15 +174,15 @@
 	c.perSecond = 1000
 	drive(th, c, start.Add(5*time.Second), 2*time.Second, map[string]source{"a": {perSecond: 500}})
 	sum := drive(th, c, start.Add(7*time.Second), time.Second, map[string]source{"a": {perSecond: 500}})["a"]
-	is.Equal(sum.admitted, sum.offered) // within 2 s of the end of a collapse to a hundredth
+	is.Equal(sum.admitted, sum.offered) // 2 s after the end of a collapse to a hundredth of the offered load
 }
 
-// What was refused in a rush says nothing about the few requests that come after it.
-func TestFewRequestsAfterARushAreAdmitted(t *testing.T) {
-	const rest = time.Second // between the rush and them
+// Refusals under a high rate must not affect a low rate of requests that follows.
+func TestLowRateAfterFloodIsAdmitted(t *testing.T) {
+	const rest = time.Second // between the flood and the low rate
 	for name, perSecond := range map[string]float64{
-		"at half of what can be done": 20,
-		"at a tenth of it":            4,
+		"at half of the capacity":    20,
+		"at a tenth of the capacity": 4,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestSparesCallersThatSendLittle(t *testing.T) {
+func TestCallersBelowEqualShareAreAdmitted(t *testing.T) {
 	is := is.New(t)
 	th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: 100}
 	sources := map[string]source{"heavy": {perSecond: 800}, "light": {perSecond: 30}}
@@ -204,7 +204,7 @@
 	is.True(float64(light.admitted) >= 0.9*float64(light.offered))
 }
 
-func TestBoundsResends(t *testing.T) {
+func TestResentRequestsAreLimited(t *testing.T) {
 	is := is.New(t)
 	th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: 100}
 	sources := map[string]source{"first": {perSecond: 200}, "resent": {perSecond: 700, resent: true}}
@@ -216,11 +216,11 @@
 	is.True(sums["resent"].admitted > 0)
 }
 
-// Requests that were taken for ones sent again get what new ones leave: where all look so, nothing stands idle.
-func TestResendsGetWhatNewOnesLeave(t *testing.T) {
+// Requests that count as sent again get the capacity that new requests leave unused, even if there are no new requests.
+func TestResentRequestsGetUnusedCapacity(t *testing.T) {
 	for name, sources := range map[string]map[string]source{
-		"few new ones": {"first": {perSecond: 30}, "resent": {perSecond: 700, resent: true}},
-		"no new ones":  {"resent": {perSecond: 700, resent: true}},
+		"few new requests": {"first": {perSecond: 30}, "resent": {perSecond: 700, resent: true}},
+		"no new requests":  {"resent": {perSecond: 700, resent: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -229,8 +229,8 @@
 			sums := drive(th, c, start.Add(time.Second), 4*time.Second, sources)
 			good, admitted := sums["first"].good+sums["resent"].good, sums["first"].admitted+sums["resent"].admitted
 			t.Logf("%d good, %d admitted, %+v", good, admitted, sums)
-			is.True(float64(good) >= 0.9*4*100)     // what can be done is done
-			is.True(float64(admitted) <= 1.5*4*100) // and little is wasted
+			is.True(float64(good) >= 0.9*4*100)     // goodput stays near the capacity
+			is.True(float64(admitted) <= 1.5*4*100) // and little work is wasted
 			is.True(float64(sums["first"].admitted) >= 0.9*float64(sums["first"].offered))
 		})
 	}
@@ -243,13 +243,13 @@
 	f.Add(start, 1)
 	is.True(f.Take(start, 1))
 	is.True(f.Take(start.Add(1100*time.Millisecond), 1))
-	is.True(!f.Take(start.Add(1100*time.Millisecond), 1)) // a third one that looks the same is new
+	is.True(!f.Take(start.Add(1100*time.Millisecond), 1)) // both failures are used up
 	f.Add(start, 1)
 	is.True(!f.Take(start.Add(4*time.Second), 1))
 	f.Add(start, 1)
 	for i := range uint64(1000) {
 		f.Add(start, 10+i)
 	}
-	is.True(!f.Take(start, 1)) // the memory is bounded
+	is.True(!f.Take(start, 1)) // the number of entries is limited
 	is.True(f.Take(start, 1009))
 }
