--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -1,48 +1,49 @@
-// Package retry decides whether a request may be tried again.
+// Package retry decides whether a request is attempted again.
 //
-// Two bounds hold at once: the attempts that the root request carries down its whole chain, and a budget for each
-// service that only successes fill. A reply marked final, an outcome that leaves it open whether a non-idempotent
-// request ran, and a spent deadline forbid another attempt.
+// Two limits apply together: the attempt allowance, which the root request carries along its whole call chain, and a retry
+// budget for each service, which is replenished only by successes. There is no further attempt if the reply is marked
+// final, if a non-idempotent request may have run, or if the deadline is spent.
 //
 // # Usage
 //
-//	if budget.Take() && attemptsLeft > 0 { ... }
+//	if retry.Decide(attempt, budget) == retry.Retry { ... }
 //
 // The package does no I/O and reads no clock.
 package retry
 
 import "time"
 
-// Verdict says what to do after a failed attempt.
+// Verdict is the decision after a failed attempt.
 type Verdict int
 
-// The verdicts.
+// Possible values of Verdict.
 const (
-	// GiveUp passes the reply up.
+	// GiveUp returns the reply to the caller.
 	GiveUp Verdict = iota
 	// Retry sends the request to another instance.
 	Retry
 )
 
-// Attempt is what is known after a failed attempt.
+// Attempt describes a failed attempt.
 type Attempt struct {
 	Idempotent bool
-	// Started says that the backend server may have begun the request.
+	// Started reports whether the backend server may have started the request.
 	Started bool
-	// Final is the mark of the reply.
+	// Final reports whether the reply is marked final.
 	Final bool
-	// FailedDownstream says that the failure came from further down the chain, where the node next to it has decided.
+	// FailedDownstream reports whether the failure comes from further down the call chain, where the node nearest to it
+	// has already decided about retries.
 	FailedDownstream bool
 	AttemptsLeft     int
 	TimeLeft         time.Duration
-	// Candidates is how many instances have not been tried.
+	// Candidates is the number of instances that have not been tried.
 	Candidates int
 }
 
-// MinTimeLeft is the least time before the deadline in which another attempt makes sense.
+// MinTimeLeft is the least remaining time before the deadline for another attempt.
 const MinTimeLeft = 2 * time.Millisecond
 
-// Decide applies the rules to a failed attempt and charges the budget where the answer is TryAgain.
+// Decide decides about a failed attempt and charges the budget if the result is Retry.
 func Decide(a Attempt, b *Budget) Verdict {
 	if a.Final || a.FailedDownstream || a.AttemptsLeft <= 0 || a.Candidates <= 0 || a.TimeLeft < MinTimeLeft {
 		return GiveUp
@@ -56,11 +57,11 @@
 	return Retry
 }
 
-// BudgetConfig sets a Budget up.
+// BudgetConfig configures a Budget.
 type BudgetConfig struct {
-	// EarnRatio is how much of an attempt each success earns, or with Turns each request.
+	// EarnRatio is the fraction of an attempt that each success earns, or each request in a RequeueBudget.
 	EarnRatio float64
-	// Max is the most that is kept.
+	// Max is the capacity of the budget.
 	Max float64
 }
 
@@ -75,17 +76,17 @@
 	return &Budget{config: config, tokens: config.Max}
 }
 
-// Earn adds what one success earns.
+// Earn credits one success.
 func (b *Budget) Earn() {
 	b.tokens = min(b.tokens+b.config.EarnRatio, b.config.Max)
 }
 
-// Take spends one retry and reports whether there was one.
+// Take spends one retry and reports whether one was left.
 func (b *Budget) Take() bool {
 	return b.TakeAbove(0)
 }
 
-// TakeAbove spends one retry where so many are left after it, and reports whether they are.
+// TakeAbove spends one retry if at least reserve remain after it, and reports whether it did.
 func (b *Budget) TakeAbove(reserve float64) bool {
 	if b.tokens < 1+reserve {
 		return false
@@ -94,18 +95,18 @@
 	return true
 }
 
-// Cap lowers what is kept to the most.
+// Cap lowers the number of retries left to the limit.
 func (b *Budget) Cap(limit float64) {
 	b.tokens = min(b.tokens, limit)
 }
 
-// PerNodeLimit returns how many retries one of so many nodes may keep, where the fleet as a whole may make so many at once. A
-// node keeps one at least, or it could never retry.
+// PerNodeLimit divides the retries that the fleet may make at once by the number of nodes. Each node gets at least one, as
+// it could otherwise never retry.
 func PerNodeLimit(fleet float64, nodes int) float64 {
 	return max(fleet/float64(max(nodes, 1)), 1)
 }
 
-// Tokens returns what is left.
+// Tokens returns the number of retries left.
 func (b *Budget) Tokens() float64 {
 	return b.tokens
 }
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -9,13 +9,13 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/retry"
 )
 
-// Pattern: everything fails on every node at once. Nodes that don't talk keep to what the fleet may do together.
-func TestFleetRetriesTogether(t *testing.T) {
+// All requests fail on all nodes at once. The retries of nodes that don't communicate must stay within the limit of the fleet.
+func TestFleetRetryLimit(t *testing.T) {
 	for name, test := range map[string]struct{ nodes, atMost int }{
-		"13 nodes":  {13, 36},
-		"60 nodes":  {60, 60}, // one each, or a node could never retry
-		"a few":     {3, 36},
-		"one alone": {1, 36},
+		"13 nodes": {13, 36},
+		"60 nodes": {60, 60}, // one each, as a node could otherwise never retry
+		"3 nodes":  {3, 36},
+		"1 node":   {1, 36},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -31,7 +31,7 @@
 				}
 			}
 			is.True(retried <= test.atMost)
-			is.True(retried >= min(test.nodes, test.atMost)) // and none goes without
+			is.True(retried >= min(test.nodes, test.atMost)) // each node can retry
 		})
 	}
 }
--- a/internal/decide/retry/turn_test.go
+++ b/internal/decide/retry/turn_test.go
@@ -9,54 +9,54 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/retry"
 )
 
-func TestTurnAgain(t *testing.T) {
+func TestDecideRequeue(t *testing.T) {
 	shed := retry.RequeueCandidate{Shed: true, SafeToRepeat: true, AttemptsLeft: 1, TimeLeft: time.Second, HoldTime: 100 * time.Millisecond}
 	for name, test := range map[string]struct {
-		change func(t *retry.RequeueCandidate)
-		wait   time.Duration
+		change func(c *retry.RequeueCandidate)
+		delay  time.Duration
 		again  bool
 	}{
-		"shed":                          {func(*retry.RequeueCandidate) {}, 100 * time.Millisecond, true},
-		"served":                        {func(t *retry.RequeueCandidate) { t.Shed = false }, 0, false},
-		"may have run, not idempotent":  {func(t *retry.RequeueCandidate) { t.SafeToRepeat = false }, 0, false},
-		"no attempt left":               {func(t *retry.RequeueCandidate) { t.AttemptsLeft = 0 }, 0, false},
-		"no time for another run":       {func(t *retry.RequeueCandidate) { t.TimeLeft = 190 * time.Millisecond }, 0, false},
-		"nothing known of the backend":  {func(t *retry.RequeueCandidate) { t.HoldTime = 0 }, 20 * time.Millisecond, true},
-		"requests that hold slots long": {func(t *retry.RequeueCandidate) { t.HoldTime = 500 * time.Millisecond }, 250 * time.Millisecond, true},
+		"shed":                         {func(*retry.RequeueCandidate) {}, 100 * time.Millisecond, true},
+		"served":                       {func(c *retry.RequeueCandidate) { c.Shed = false }, 0, false},
+		"may have run, not idempotent": {func(c *retry.RequeueCandidate) { c.SafeToRepeat = false }, 0, false},
+		"no attempt left":              {func(c *retry.RequeueCandidate) { c.AttemptsLeft = 0 }, 0, false},
+		"no time for another run":      {func(c *retry.RequeueCandidate) { c.TimeLeft = 190 * time.Millisecond }, 0, false},
+		"hold time unknown":            {func(c *retry.RequeueCandidate) { c.HoldTime = 0 }, 20 * time.Millisecond, true},
+		"long hold time":               {func(c *retry.RequeueCandidate) { c.HoldTime = 500 * time.Millisecond }, 250 * time.Millisecond, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			turn := shed
-			test.change(&turn)
-			wait, again := retry.DecideRequeue(turn)
-			is.Equal(wait, test.wait)
+			candidate := shed
+			test.change(&candidate)
+			delay, again := retry.DecideRequeue(candidate)
+			is.Equal(delay, test.delay)
 			is.Equal(again, test.again)
 		})
 	}
 }
 
-// Pattern: the backend servers of the deepest service shed most requests at random. The most urgent ones get the further turns, and
-// all turns together stay a small part of the requests.
-func TestTurnsGoToTheMostUrgent(t *testing.T) {
+// The backend servers of the deepest service shed half of the requests at random. The most urgent requests must get the requeues
+// that they need, and all requeues together must stay a small fraction of the requests.
+func TestRequeueBudgetPrefersMostUrgent(t *testing.T) {
 	is := is.New(t)
 	const perRequest, kept, urgentEvery, count = 0.1, 8, 10, 2000
-	turns := retry.NewRequeueBudget(retry.BudgetConfig{EarnRatio: perRequest, Max: kept})
-	urgent, urgentTurns, otherTurns := 0, 0, 0
+	budget := retry.NewRequeueBudget(retry.BudgetConfig{EarnRatio: perRequest, Max: kept})
+	urgent, urgentRequeues, otherRequeues := 0, 0, 0
 	for n := range count {
-		turns.Earn()
+		budget.Earn()
 		isUrgent := n%urgentEvery == 0
 		if isUrgent {
 			urgent++
 		}
-		if n%2 == 0 && turns.Take(isUrgent) { // shed
+		if n%2 == 0 && budget.Take(isUrgent) { // shed
 			if isUrgent {
-				urgentTurns++
+				urgentRequeues++
 			} else {
-				otherTurns++
+				otherRequeues++
 			}
 		}
 	}
-	t.Logf("%d of %d urgent ones, %d others", urgentTurns, urgent, otherTurns)
-	is.True(float64(urgentTurns) >= 0.95*float64(urgent))
-	is.True(float64(urgentTurns+otherTurns) <= perRequest*count+kept)
+	t.Logf("%d requeues for %d urgent requests, %d for others", urgentRequeues, urgent, otherRequeues)
+	is.True(float64(urgentRequeues) >= 0.95*float64(urgent))
+	is.True(float64(urgentRequeues+otherRequeues) <= perRequest*count+kept)
 }
