--- a/internal/decide/outcome/explore_opaque_test.go
+++ b/internal/decide/outcome/explore_opaque_test.go
@@ -8,47 +8,48 @@
 	"github.com/matryer/is"
 )
 
-// The exploration of a key without a time: nodes lag behind the agreed shard, homes ask earlier ones to move the key
-// and are slow to go on, requests are shed, entries are forgotten, and keys are handed over. The key must not begin to
-// run a second time within the window after it began to.
+// This file explores an opaque key, which carries no timestamp. Nodes learn a renewed shard late, new owners ask
+// earlier owners to move the key and continue after a delay, requests are shed, entries are dropped, and keys are
+// handed over. The key must not start to run twice within one window.
 
-// opaqueRules are the guards of opaque keys that a trial may take out.
+// opaqueRules selects the guards of opaque keys to disable, and which steps are explored.
 type opaqueRules struct {
-	// thirdNode adds a node, and handovers adds them and restarts.
+	// thirdNode adds a third node, and handovers adds handovers and restarts.
 	thirdNode bool
 	handovers bool
-	// prepare takes the first steps, after which the exploration begins.
+	// prepare runs the first steps, before the exploration starts.
 	prepare func(m *model)
-	// skipEarlierOwners lets a home run a key that earlier homes have not moved, and latest asks only the latest of them.
+	// skipEarlierOwners lets an owner run a key that earlier owners have not moved. askOnlyLatest asks only the latest
+	// of the earlier owners.
 	skipEarlierOwners bool
 	askOnlyLatest     bool
-	// skipAfterRefusal lets a home that has refused a key run it later without asking again.
+	// skipAfterRefusal lets an owner that has refused a key run it later without asking earlier owners again.
 	skipAfterRefusal bool
-	// forgetMoved lets a node that has moved a key forget that at once.
+	// forgetMoved lets a node that has moved a key drop its record of the move at once.
 	forgetMoved bool
-	// ignoreEpochEnd lets a home run keys after the end of the last epoch that it knows.
+	// ignoreEpochEnd lets an owner run keys after the end of the last epoch that it knows.
 	ignoreEpochEnd bool
-	// skipRecheck lets a home run a key without another look at the shard once earlier ones have moved it.
+	// skipRecheck lets an owner run a key without checking the shard again after the earlier owners have moved the key.
 	skipRecheck bool
-	// windowFromFirstCopy counts the window from when the key was first seen, whatever happened to it later.
+	// windowFromFirstCopy counts the window from the first copy, regardless of later runs and moves.
 	windowFromFirstCopy bool
-	// moveAfterHandover lets a node that has handed its keys over go on moving keys that it has not seen.
+	// moveAfterHandover lets a node that has handed over its keys still move keys that it has not seen.
 	moveAfterHandover bool
 }
 
 const (
 	opaqueKey = "opaque"
-	// opaqueWindow is in the model's milliseconds, and longer than the shard is renewed ahead.
+	// opaqueWindow is in the model's milliseconds, and is longer than a renewal extends the shard.
 	opaqueWindow = 3
-	// opaqueLastTime is when the exploration ends.
+	// opaqueLastTime is the time at which the exploration ends, in the model's milliseconds.
 	opaqueLastTime = 9
-	// maxOpaqueWrites bounds the versions of the shard.
+	// maxOpaqueWrites is the limit of versions of the shard.
 	maxOpaqueWrites = 4
 )
 
 var opaqueConfig = TableConfig{Window: opaqueWindow * time.Millisecond, MaxAhead: time.Hour, MaxKeys: 10, MaxBytes: 1 << 20}
 
-// pendingMove is a request whose home still asks earlier ones to move its key.
+// pendingMove is a request whose owner still asks earlier owners to move its key.
 type pendingMove struct {
 	earlier  []Node
 	deadline int64
@@ -70,7 +71,7 @@
 	return m
 }
 
-// tableTime is the time of the tables, which plays no part for keys that carry one.
+// tableTime is the time passed to the tables. Keys with a timestamp don't depend on it.
 func (m *model) tableTime() time.Time {
 	if m.rules.opaque == nil {
 		return modelTime
@@ -119,10 +120,10 @@
 	return states
 }
 
-// everyNode is the set of all nodes, as bits.
+// everyNode is the set of all nodes, one bit per node.
 const everyNode = 1<<3 - 1
 
-// renewShard renews the shard with the member as the home, and lets the nodes in reach, as bits, learn of it at once.
+// renewShard renews the shard with the member as the owner. The nodes in reach, one bit per node, learn of it at once.
 func (m *model) renewShard(member, reach int) bool {
 	next, changed := m.written.Renew(Renewal{
 		Until:      m.now + 2,
@@ -143,7 +144,8 @@
 	return true
 }
 
-// ownersToAsk returns the nodes that must have moved the key before the node runs it, where the node decides about it.
+// ownersToAsk returns the earlier owners that must move the key before the node runs it, and reports whether the node
+// owns the key now.
 func (m *model) ownersToAsk(n *modelNode) ([]Node, bool) {
 	now := m.now
 	if m.rules.opaque.ignoreEpochEnd {
@@ -156,7 +158,8 @@
 	return slices.DeleteFunc(earlier, n.answersFor), true
 }
 
-// receiveCopy brings a copy of the request to the node. It is run, or shed, unless earlier homes must be asked first.
+// receiveCopy delivers a copy of the request to the node. The copy is run or shed, unless earlier owners must be asked
+// first.
 func (m *model) receiveCopy(node int, end State) bool {
 	n := &m.nodes[node]
 	earlier, ok := m.ownersToAsk(n)
@@ -182,34 +185,35 @@
 	return m.rules.opaque.skipAfterRefusal && held
 }
 
-// askEarlierOwner asks one earlier home to move the key. Once all have, the key is run.
+// askEarlierOwner asks one earlier owner to move the key. After the last one has moved it, the key is run.
 func (m *model) askEarlierOwner(node int) bool {
 	n := &m.nodes[node]
 	if n.pendingMove == nil {
 		return false
 	}
 	n.copyBeforeChange()
-	left := *n.pendingMove
+	pending := *n.pendingMove
 	n.pendingMove = nil
-	if m.now > left.deadline {
+	if m.now > pending.deadline {
 		return true
 	}
-	if len(left.earlier) == 0 {
+	if len(pending.earlier) == 0 {
 		_, ok := m.ownersToAsk(n)
 		return !ok && !m.rules.opaque.skipRecheck || m.begin(n, Done)
 	}
-	switch m.moveFrom(n, left.earlier[0]) {
+	switch m.moveFrom(n, pending.earlier[0]) {
 	case Moved:
-		left.earlier = left.earlier[1:]
-		n.pendingMove = &left
+		pending.earlier = pending.earlier[1:]
+		n.pendingMove = &pending
 	case Absent:
-		n.pendingMove = &left
+		n.pendingMove = &pending
 		return false
 	}
 	return true
 }
 
-// moveFrom asks the node that answers for the earlier home to move the key. NotRun stands for one that can't be asked.
+// moveFrom asks the node that answers for the earlier owner to move the key. NotRun means that no such node can be
+// asked.
 func (m *model) moveFrom(n *modelNode, owner Node) State {
 	if n.answersFor(owner) {
 		return Moved
@@ -228,19 +232,19 @@
 	if m.rules.opaque.moveAfterHandover {
 		asked.table.closed = false
 	}
-	arrived := m.windowStart(asked)
+	start := m.windowStart(asked)
 	state := asked.table.Move(m.tableTime(), RequestCopy{ID: opaqueKey, Fingerprint: 1}, to).State
 	switch {
 	case state != Moved:
 	case m.rules.opaque.forgetMoved:
 		delete(asked.table.entries, opaqueKey)
 	case m.rules.opaque.windowFromFirstCopy:
-		asked.table.entries[opaqueKey].UnixMillis = arrived
+		asked.table.entries[opaqueKey].UnixMillis = start
 	}
 	return state
 }
 
-// windowStart returns the time from which the window of the key counts once it has moved or begins to run.
+// windowStart returns the time from which the key's window counts if the key is moved or run now.
 func (m *model) windowStart(n *modelNode) int64 {
 	if e, ok := n.table.entries[opaqueKey]; ok && m.rules.opaque.windowFromFirstCopy {
 		return e.UnixMillis
@@ -248,10 +252,10 @@
 	return m.now
 }
 
-// begin lets the node's table decide about a copy. A challenge is answered at once.
+// begin passes a copy to the node's table, and answers a challenge at once.
 func (m *model) begin(n *modelNode, end State) bool {
 	now := m.tableTime()
-	arrived := m.windowStart(n)
+	start := m.windowStart(n)
 	a := RequestCopy{ID: opaqueKey, Fingerprint: 1, Token: "token"}
 	verdict := n.table.Begin(now, a)
 	if verdict.Action == Challenge {
@@ -262,7 +266,7 @@
 		return false
 	}
 	if m.rules.opaque.windowFromFirstCopy {
-		n.table.entries[opaqueKey].UnixMillis = arrived
+		n.table.entries[opaqueKey].UnixMillis = start
 	}
 	n.table.Settle(now, opaqueKey, end, "", 0)
 	if end == Done {
@@ -278,16 +282,16 @@
 	return r
 }
 
-func TestNoStateInWhichAnOpaqueKeyRunsTwice(t *testing.T) {
+func TestOpaqueKeyRunsAtMostOncePerWindow(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		change func(*opaqueRules)
 		depth  int
 	}{
-		"two nodes":             {change: func(*opaqueRules) {}, depth: 8},
-		"three nodes":           {change: func(r *opaqueRules) { r.thirdNode = true }, depth: 6},
-		"nodes leave and start": {change: func(r *opaqueRules) { r.handovers = true }, depth: 6},
-		"after a handover":      {change: afterHandover, depth: 6},
+		"two nodes":              {change: func(*opaqueRules) {}, depth: 8},
+		"three nodes":            {change: func(r *opaqueRules) { r.thirdNode = true }, depth: 6},
+		"handovers and restarts": {change: func(r *opaqueRules) { r.handovers = true }, depth: 6},
+		"after a handover":       {change: afterHandover, depth: 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -300,7 +304,7 @@
 	}
 }
 
-// afterHandover begins after the second node has taken the first one's keys over.
+// afterHandover starts the exploration after the second node has taken over the keys of the first.
 func afterHandover(r *opaqueRules) {
 	r.handovers = true
 	r.prepare = func(m *model) {
@@ -309,7 +313,7 @@
 	}
 }
 
-// atEpochEnd begins when the second node is the home, for one more millisecond.
+// atEpochEnd starts the exploration when the second node owns the keys for one more millisecond.
 func atEpochEnd(r *opaqueRules) {
 	r.prepare = func(m *model) {
 		m.renewShard(1, everyNode)
@@ -317,21 +321,21 @@
 	}
 }
 
-func TestGuardsOfOpaqueKeysAreNeeded(t *testing.T) {
+func TestEveryGuardOfOpaqueKeysIsNeeded(t *testing.T) {
 	t.Parallel()
 	const depth = 8
 	for name, change := range map[string]func(*opaqueRules){
-		"earlier homes are not asked":               func(r *opaqueRules) { r.skipEarlierOwners = true },
-		"only the latest earlier home is asked":     func(r *opaqueRules) { r.thirdNode, r.askOnlyLatest = true, true },
-		"a key that was refused is not asked for":   func(r *opaqueRules) { r.skipAfterRefusal = true },
-		"a node forgets that a key has moved":       func(r *opaqueRules) { r.forgetMoved = true },
-		"a home goes on after the end of its epoch": func(r *opaqueRules) { r.ignoreEpochEnd = true },
-		"the window counts from the first copy":     func(r *opaqueRules) { r.windowFromFirstCopy = true },
-		"a home looks at the shard before it asks": func(r *opaqueRules) {
+		"earlier owners are not asked":                 func(r *opaqueRules) { r.skipEarlierOwners = true },
+		"only the latest earlier owner is asked":       func(r *opaqueRules) { r.thirdNode, r.askOnlyLatest = true, true },
+		"earlier owners are not asked after a refusal": func(r *opaqueRules) { r.skipAfterRefusal = true },
+		"the record of a move is dropped":              func(r *opaqueRules) { r.forgetMoved = true },
+		"a key runs after the end of the epoch":        func(r *opaqueRules) { r.ignoreEpochEnd = true },
+		"the window counts from the first copy":        func(r *opaqueRules) { r.windowFromFirstCopy = true },
+		"the shard is checked only before earlier owners are asked": func(r *opaqueRules) {
 			r.skipRecheck = true
 			atEpochEnd(r)
 		},
-		"a node moves keys after its handover": func(r *opaqueRules) {
+		"keys are moved after the handover": func(r *opaqueRules) {
 			r.moveAfterHandover = true
 			afterHandover(r)
 		},
@@ -341,7 +345,7 @@
 			broken := allOpaqueGuards()
 			change(broken.opaque)
 			steps, _ := explore(broken, depth)
-			t.Logf("broken after %d steps", steps)
+			t.Logf("a key ran twice after %d steps", steps)
 			is.True(steps > 0)
 		})
 	}
--- a/internal/decide/outcome/explore_test.go
+++ b/internal/decide/outcome/explore_test.go
@@ -10,38 +10,39 @@
 	"github.com/matryer/is"
 )
 
-// The exploration visits every state that a few steps can lead to: any copy of a request arrives anywhere at any
-// moment or never, the agreed shard is renewed for any members at any moment, any node learns it or lags behind for
-// good (a pause, a cut, an outage of the platform), answers to writes are lost, the end of the shard is moved by the
-// keepers' promise, processes restart, and keys are handed over by messages that are lost, late or doubled. The
-// product's own Shard, Promises and Table decide. Because writes compare and swap, what a writer had read before
-// plays no part.
-
-// rules are the guards that a trial may take out.
+// The exploration visits every state that a limited number of steps can reach. Copies of a request arrive at any node
+// at any time or never. The agreed shard is renewed with any members at any time, and each node learns of it or lags
+// behind for good, as in a pause, a network partition or an outage of the platform. Responses to writes are lost, the
+// keepers extend the shard, processes restart, and keys are handed over in messages that are lost, late or duplicated.
+// Shard, Promises and Table are the production types. What a writer read earlier needs no state of its own, because
+// writes compare and swap.
+
+// rules selects the guards to disable, and what is explored.
 type rules struct {
 	name string
-	// owner gives the node that may run a key at its time.
+	// owner returns the node that may run a key at its timestamp.
 	owner func(s Shard, key string, millis int64) (Node, bool)
-	// renew gives the successor of a shard at a time.
+	// renew returns the successor of a shard at a given time.
 	renew func(s Shard, r Renewal, now int64) (Shard, bool)
-	// blindWrites lets nodes write what they made of the shard that they know, without a comparison.
+	// blindWrites lets nodes write a successor of the shard that they know, without a comparison.
 	blindWrites bool
-	// skipKeeper lets a node write without asking a keeper, and unsettled lets one extend after a write without answer.
+	// skipKeeper lets a node write without asking a keeper. extendUnsettled lets a node extend the shard after a write
+	// without a response.
 	skipKeeper      bool
 	extendUnsettled bool
-	// sameIncarnation lets a restarted process pass for its former self.
+	// sameIncarnation lets a restarted process keep its incarnation.
 	sameIncarnation bool
-	// fixedShard leaves the agreed shard alone, so that more steps of the rest can be explored.
+	// fixedShard leaves the agreed shard unchanged, so that more of the other steps can be explored.
 	fixedShard bool
-	// deliverToAnyIncarnation lets a restarted process take over what was sent to its former self.
+	// deliverToAnyIncarnation lets a restarted process take over keys that were sent to its earlier incarnation.
 	deliverToAnyIncarnation bool
-	// handOverUnclosed lets a node go on with keys that it has handed over.
+	// handOverUnclosed lets a node keep running keys that it has handed over.
 	handOverUnclosed bool
-	// opaque explores a key without a time in the place of the others.
+	// opaque, if set, explores an opaque key instead of the keys with a timestamp.
 	opaque *opaqueRules
 }
 
-// maxRestarts is how many restarts and handovers are explored.
+// maxRestarts returns the limit of restarts, and that of handovers.
 func (r rules) maxRestarts() int {
 	if r.fixedShard {
 		return 3
@@ -57,7 +58,7 @@
 
 var modelConfig = TableConfig{Window: time.Hour, MaxAhead: time.Hour, MaxKeys: 10, MaxBytes: 1 << 20}
 
-// modelKeys have times in different epochs.
+// modelKeys have timestamps in different epochs.
 var modelKeys = []struct {
 	text   string
 	millis int64
@@ -69,10 +70,11 @@
 	table       *Table[string]
 	successorOf map[Node]bool
 	handedOver  bool
-	// promises are what the node promised as a keeper; unsettled is set while a write of its own has no answer.
+	// promises are the node's promises as a keeper. unsettled reports whether a write of the node has had no response
+	// yet.
 	promises  map[string]promise
 	unsettled bool
-	// pendingMove is set while a home asks earlier ones to move the opaque key. It is replaced, not changed.
+	// pendingMove is set while an owner asks earlier owners to move the opaque key. It is replaced, never changed.
 	pendingMove *pendingMove
 }
 
@@ -91,12 +93,12 @@
 	messages []message
 	restarts int
 	runs     []int
-	// lastRun is when the opaque key ran last; twice says that it ran again within the window.
+	// lastRun is when the opaque key last ran. ranTwice reports whether it ran again within the window.
 	lastRun  int64
 	ranTwice bool
 }
 
-// newModel returns two nodes that know one shard, of which the first is the writer and the home.
+// newModel returns two nodes that know the same shard. The first one is its writer and owns all keys.
 func newModel(r rules) model {
 	m := model{rules: r, runs: make([]int, len(modelKeys))}
 	for _, name := range []string{"a", "b"} {
@@ -115,7 +117,7 @@
 	return m
 }
 
-// copyBeforeChange gives the node a table and a map of its own before they change.
+// copyBeforeChange gives the node its own table and map, so that a change doesn't affect other states.
 func (n *modelNode) copyBeforeChange() {
 	n.successorOf = maps.Clone(n.successorOf)
 	copied := *n.table
@@ -127,7 +129,7 @@
 	n.table = &copied
 }
 
-// encode tells states apart.
+// encode returns a string that differs between different states.
 func (m model) encode() string {
 	b := []byte{byte(m.now), byte(m.writes), byte(m.restarts), byte(len(m.messages))}
 	b = appendShard(b, m.written)
@@ -210,7 +212,7 @@
 	return states
 }
 
-// step returns a function that adds the state after a step, where the step is possible.
+// step returns a function that takes a step on a copy of the state, and appends the copy if the step is possible.
 func (m model) step(states *[]model) func(func(*model) bool) {
 	return func(f func(*model) bool) {
 		c := m.clone()
@@ -238,7 +240,8 @@
 	return true
 }
 
-// learn takes a version of the shard in if it is newer. From the platform it also settles a write without answer.
+// learn updates the node's shard if the given version is newer. A version from the platform also settles a write
+// without a response.
 func (m *model) learn(node int, s Shard, platform bool) bool {
 	n := &m.nodes[node]
 	if platform {
@@ -250,28 +253,28 @@
 	return true
 }
 
-// write makes the member the home of all keys from now on, after asking a keeper. The writer gets the answer when it
-// learns what the platform holds, if ever.
+// write makes the member the owner of all keys in a new epoch, after asking a keeper. The writer gets no response until
+// it learns what the platform holds, which may be never.
 func (m *model) write(node, member, asked int) bool {
-	n := &m.nodes[node]
+	writer := &m.nodes[node]
 	base, ok := m.writeBase(node, asked)
 	if !ok || m.writes >= 4 {
 		return false
 	}
-	r := Renewal{Until: m.now + 2, Zone: "zone", Keepers: []Node{n.self, m.nodes[1-node].self}, Reserve: 2}
+	r := Renewal{Until: m.now + 2, Zone: "zone", Keepers: []Node{writer.self, m.nodes[1-node].self}, Reserve: 2}
 	r.Members = []Member{{Node: m.nodes[member].self}}
 	next, changed := m.rules.renew(base, r, m.now)
 	if !changed {
 		return false
 	}
-	n.unsettled = n.unsettled || (!m.rules.extendUnsettled && next.Term != m.written.Term)
+	writer.unsettled = writer.unsettled || (!m.rules.extendUnsettled && next.Term != m.written.Term)
 	m.written = next
 	m.writes++
 	return true
 }
 
-// writeBase returns the shard that the node builds on: the platform's, with the end that a keeper, which it asks, has
-// promised. The last choice stands for no keeper that can be asked.
+// writeBase returns the shard on which the node builds: the platform's, extended to the end that the asked keeper has
+// promised. An asked of 2 means that no keeper can be asked.
 func (m *model) writeBase(node, asked int) (Shard, bool) {
 	n := &m.nodes[node]
 	base := m.written
@@ -291,7 +294,7 @@
 	return base.Extend(keeper.writablePromises().Fence("shard", m.written.Term)), true
 }
 
-// keeper returns the node whose process is the keeper, or nil.
+// keeper returns the node that runs as the given process, or nil.
 func (m *model) keeper(k Node) *modelNode {
 	for i := range m.nodes {
 		if m.nodes[i].self == k {
@@ -301,7 +304,7 @@
 	return nil
 }
 
-// writablePromises returns the node's promises, which may change.
+// writablePromises returns a copy of the node's promises that may be changed.
 func (n *modelNode) writablePromises() *Promises {
 	n.promises = maps.Clone(n.promises)
 	if n.promises == nil {
@@ -310,7 +313,7 @@
 	return &Promises{byShard: n.promises}
 }
 
-// extend moves the end by the promise of both keepers.
+// extend moves the end of the shard if both keepers promise it.
 func (m *model) extend(node int) bool {
 	n := &m.nodes[node]
 	until := min(m.now+2, n.known.Limit)
@@ -389,7 +392,8 @@
 	return owner == n.self || n.successorOf[owner]
 }
 
-// explore returns the fewest steps to a state in which a key ran twice, or 0, and how many states there were.
+// explore returns the fewest steps to a state in which a key ran twice, or 0 if there is none, and the number of
+// visited states.
 func explore(r rules, depth int) (int, int) {
 	seen := map[string]bool{}
 	first := newModel(r)
@@ -416,29 +420,29 @@
 }
 
 const (
-	// modelDepth is the number of steps explored, and stillDepth where the shard is left alone.
+	// modelDepth is the number of steps explored, and fixedShardDepth the number with a fixed shard.
 	modelDepth      = 6
 	fixedShardDepth = 9
 )
 
-func TestNoStateInWhichAKeyRunsTwice(t *testing.T) {
+func TestKeyRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	steps, states := explore(allGuards, modelDepth)
 	t.Logf("%d states in %d steps", states, modelDepth)
 	is.Equal(steps, 0)
-	still := allGuards
-	still.fixedShard = true
-	steps, states = explore(still, fixedShardDepth)
-	t.Logf("%d states in %d steps with the shard left alone", states, fixedShardDepth)
+	fixed := allGuards
+	fixed.fixedShard = true
+	steps, states = explore(fixed, fixedShardDepth)
+	t.Logf("%d states in %d steps with a fixed shard", states, fixedShardDepth)
 	is.Equal(steps, 0)
 }
 
-// Each guard is needed: without it the exploration finds a key that runs twice.
-func TestGuardsAreNeeded(t *testing.T) {
+// Without any one of the guards, the exploration finds a key that runs twice.
+func TestEveryGuardIsNeeded(t *testing.T) {
 	t.Parallel()
-	without := map[string]func(*rules){
-		"home by the newest epoch, whatever the key's time": func(r *rules) {
+	disabled := map[string]func(*rules){
+		"owner from the newest epoch, whatever the key's timestamp": func(r *rules) {
 			r.owner = func(s Shard, key string, _ int64) (Node, bool) { return s.Last().owner("", key) }
 		},
 		"a new epoch begins at the writer's clock": func(r *rules) {
@@ -450,20 +454,20 @@
 				return s.Renew(n)
 			}
 		},
-		"writes without a comparison":                    func(r *rules) { r.blindWrites = true },
-		"writes without asking a keeper":                 func(r *rules) { r.skipKeeper = true },
-		"a restarted process passes for its former self": func(r *rules) { r.sameIncarnation = true },
-		"a handover reaches a restarted process":         func(r *rules) { r.deliverToAnyIncarnation, r.fixedShard = true, true },
-		"an end moves after a write without answer":      func(r *rules) { r.extendUnsettled = true },
-		"keys are handed over without being closed":      func(r *rules) { r.handOverUnclosed = true },
-	}
-	for name, change := range without {
+		"writes without a comparison":                            func(r *rules) { r.blindWrites = true },
+		"writes without asking a keeper":                         func(r *rules) { r.skipKeeper = true },
+		"a restarted process keeps its incarnation":              func(r *rules) { r.sameIncarnation = true },
+		"a handover reaches a restarted process":                 func(r *rules) { r.deliverToAnyIncarnation, r.fixedShard = true, true },
+		"the shard is extended after a write without a response": func(r *rules) { r.extendUnsettled = true },
+		"keys are handed over without being closed":              func(r *rules) { r.handOverUnclosed = true },
+	}
+	for name, change := range disabled {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			broken := allGuards
 			change(&broken)
 			steps, _ := explore(broken, fixedShardDepth)
-			t.Logf("broken after %d steps", steps)
+			t.Logf("a key ran twice after %d steps", steps)
 			is.True(steps > 0)
 		})
 	}
--- a/internal/decide/outcome/key.go
+++ b/internal/decide/outcome/key.go
@@ -8,18 +8,18 @@
 	"github.com/google/uuid"
 )
 
-// Key is the parsed key of a non-idempotent request.
+// Key is the parsed idempotency key of a non-idempotent request.
 type Key struct {
 	Text string
-	// UnixMillis is the time that the key itself carries.
+	// UnixMillis is the timestamp that the key carries, in Unix milliseconds; 0 unless Timed.
 	UnixMillis int64
-	// Timed says that the key carries a time: a UUIDv7, a ULID, or a minted key.
+	// Timed reports whether the key carries a timestamp, as UUIDv7, ULID and minted keys do.
 	Timed bool
-	// Owner is the only node that may run a minted key; zero for others.
+	// Owner is the only node that may run a request with a minted key; zero for other keys.
 	Owner Node
 }
 
-// Node is one process of a node: its name, and the start that tells it from earlier processes of the same name.
+// Node identifies one process of a node by the node's name and by an incarnation, which differs for each process start.
 type Node struct {
 	Name        string `json:"node"`
 	Incarnation uint64 `json:"incarnation"`
@@ -30,8 +30,8 @@
 	return n == Node{}
 }
 
-// ErrKey says that the text can't be a key.
-var ErrKey = errors.New("a key has 1 to 255 visible ASCII characters")
+// ErrKey is returned for a text that is not a valid idempotency key.
+var ErrKey = errors.New("invalid idempotency key: want 1 to 255 visible ASCII characters")
 
 const (
 	maxKeyBytes  = 255
@@ -40,12 +40,12 @@
 	mintedBase   = 36
 )
 
-// Mint returns a key that names the one node that may run it.
+// Mint returns a key that names the only node that may run its request. The id must be a UUIDv7.
 func Mint(owner Node, id uuid.UUID) string {
 	return strings.Join([]string{mintedPrefix, strconv.FormatUint(owner.Incarnation, mintedBase), id.String(), owner.Name}, ".")
 }
 
-// ParseKey reads the text of a key.
+// ParseKey parses an idempotency key. A text without a recognized timestamp is an opaque key.
 func ParseKey(text string) (Key, error) {
 	if text == "" || len(text) > maxKeyBytes || strings.ContainsFunc(text, isNotVisibleASCII) {
 		return Key{}, ErrKey
--- a/internal/decide/outcome/promise.go
+++ b/internal/decide/outcome/promise.go
@@ -1,8 +1,9 @@
 package outcome
 
-// Promises are what a node has promised as a keeper of shards. A shard's end moves without the platform only by the
-// promise of both of its keepers, and whoever else wants to write the shard first takes the promise of one of them
-// back. So the writer knows every end that was promised, although it reached only one keeper.
+// Promises holds what a node has promised as a keeper of shards. Without the platform, the end of a shard moves only if
+// both of its keepers promise the new end. Any other node that wants to write the shard first fences one keeper, which
+// then promises nothing more in that term. The writer therefore learns every end that both keepers promised, although
+// it reaches only one of them.
 type Promises struct {
 	byShard map[string]promise
 }
@@ -13,13 +14,13 @@
 	fenced bool
 }
 
-// NewPromises returns no promises.
+// NewPromises returns an empty set of promises.
 func NewPromises() *Promises {
 	return &Promises{byShard: map[string]promise{}}
 }
 
-// Grant promises the end for the shard in the term and reports false where the promise was taken back. The end is in
-// Unix milliseconds.
+// Grant promises that the shard ends at the given time, in Unix milliseconds, in the given term. It reports whether the
+// promise was made: a fenced term and a term older than the latest one get none.
 func (p *Promises) Grant(shard string, term uint64, until int64) bool {
 	held := p.inTerm(shard, term)
 	if held.term > term || held.fenced {
@@ -30,7 +31,8 @@
 	return true
 }
 
-// Fence takes the promise for the shard back in the term, and returns the latest end that was ever promised.
+// Fence stops further promises for the shard in the term, and returns the latest end promised in any term, in Unix
+// milliseconds.
 func (p *Promises) Fence(shard string, term uint64) int64 {
 	held := p.inTerm(shard, term)
 	held.fenced = true
@@ -38,7 +40,8 @@
 	return held.until
 }
 
-// inTerm returns the promise for the term. A newer term begins with a new promise, but what was promised before stands.
+// inTerm returns the promise for the shard in the term. A newer term is not fenced, and keeps the end that was promised
+// in earlier terms.
 func (p *Promises) inTerm(shard string, term uint64) promise {
 	held := p.byShard[shard]
 	if held.term < term {
--- a/internal/decide/outcome/shard.go
+++ b/internal/decide/outcome/shard.go
@@ -6,55 +6,56 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a node that may be a home, with the service of its backend server.
+// Member is a node that may own keys, and the service of its backend server.
 type Member struct {
 	Node
 	Service string `json:"service"`
 }
 
-// Epoch says which nodes are homes of the keys whose own times lie in [Start, Until), in Unix milliseconds.
+// Epoch lists the nodes that own the keys whose timestamps lie in [Start, Until), in Unix milliseconds.
 type Epoch struct {
 	Start int64 `json:"start"`
 	Until int64 `json:"until"`
-	// Zone is the availability zone whose leader keeps the epoch.
+	// Zone is the availability zone whose leader renews the epoch.
 	Zone    string   `json:"zone"`
 	Members []Member `json:"members"`
 }
 
-// Shard is the agreed list of epochs for one part of the keys, oldest first and without gaps.
+// Shard is the agreed list of epochs for one partition of the keys, oldest first and without gaps.
 //
-// The home of a key time, once committed, never changes: a successor of a Shard moves the end of its last epoch
-// forward or appends an epoch that begins there. So two nodes that hold different versions never both take
-// themselves for the home of one key, whatever their clocks say and however long either was paused.
+// The owner of a key at a timestamp never changes once it is committed: a successor of a Shard either moves the end of
+// its last epoch forward or appends an epoch that begins there. Two nodes that hold different versions therefore never
+// both own one key, whatever their clocks show and however long either was paused.
 //
-// The platform orders the versions by compare-and-swap. Without it the end of the last epoch moves by the promise of
-// both keepers, up to the Limit; a writer who is not the first keeper asks one of them first (see Promises).
+// The platform orders the versions by compare-and-swap. While the platform can't be reached, the end of the last epoch
+// moves up to Limit if both keepers promise it. A writer that is not the first keeper asks a keeper first (see
+// Promises).
 type Shard struct {
 	Epochs []Epoch `json:"epochs"`
-	// Term grows whenever a successor does more than move the end.
+	// Term grows with each successor that changes more than the end.
 	Term uint64 `json:"term"`
-	// Keepers are the writer and, in another availability zone, a second node; none or two.
+	// Keepers are the writer of the shard and a second node in another availability zone; either none or two.
 	Keepers []Node `json:"keepers,omitempty"`
-	// Limit is where the end may be moved to without the platform, in Unix milliseconds.
+	// Limit is the latest end that the keepers may promise without the platform, in Unix milliseconds.
 	Limit int64 `json:"limit,omitempty"`
 }
 
-// Renewal is what a leader knows when it renews a shard. Times are in Unix milliseconds.
+// Renewal is the input of Shard.Renew. Times are in Unix milliseconds.
 type Renewal struct {
-	// Until is where the last epoch shall end.
+	// Until is the requested end of the last epoch.
 	Until int64
-	// DropBefore is the time before which epochs are dropped.
+	// DropBefore is the time before which ended epochs are dropped.
 	DropBefore int64
 	Zone       string
 	Members    []Member
-	// Keepers are the writer and a second node; none where the end shall not move without the platform.
+	// Keepers are the writer and a second node; none if the end must not move without the platform.
 	Keepers []Node
-	// Reserve is how far beyond its end the last epoch may be moved without the platform, in milliseconds.
+	// Reserve is how far past its end the last epoch may be extended without the platform, in milliseconds.
 	Reserve int64
 }
 
-// Renew returns the successor of the shard. It reports false where nothing would change. The end always grows, so
-// that it orders the versions.
+// Renew returns the successor of the shard, and reports whether it differs from the shard. The end grows in every
+// successor, so that it orders the versions.
 func (s Shard) Renew(r Renewal) (Shard, bool) {
 	if len(r.Members) == 0 {
 		return s, false
@@ -75,7 +76,8 @@
 	return next, true
 }
 
-// renewedEpochs returns the epochs with the last one moved forward, or a new one where the members changed.
+// renewedEpochs returns the epochs with a later end of the last one, or with a new one appended if the zone or the
+// members changed.
 func (s Shard) renewedEpochs(r Renewal) []Epoch {
 	if len(s.Epochs) == 0 {
 		return []Epoch{{Start: r.DropBefore, Until: r.Until, Zone: r.Zone, Members: r.Members}}
@@ -89,7 +91,7 @@
 	return append(kept, Epoch{Start: last.Until, Until: max(r.Until, last.Until+1), Zone: r.Zone, Members: r.Members})
 }
 
-// Extend returns the shard with its end moved to the time.
+// Extend returns the shard with its end moved forward to the given time, in Unix milliseconds.
 func (s Shard) Extend(until int64) Shard {
 	if len(s.Epochs) == 0 || until <= s.Last().Until {
 		return s
@@ -99,12 +101,13 @@
 	return s
 }
 
-// IsFirstKeeper reports whether the node is the first keeper, who alone may write without asking.
+// IsFirstKeeper reports whether the node is the first keeper, the only node that may write the shard without asking a
+// keeper.
 func (s Shard) IsFirstKeeper(n Node) bool {
 	return len(s.Keepers) > 0 && s.Keepers[0] == n
 }
 
-// epochsEndingAfter returns a copy of the epochs that end after the time, and always the last.
+// epochsEndingAfter returns a copy of the epochs that end after the given time, and always includes the last one.
 func (s Shard) epochsEndingAfter(unixMillis int64) []Epoch {
 	first := 0
 	for first < len(s.Epochs)-1 && s.Epochs[first].Until <= unixMillis {
@@ -113,7 +116,7 @@
 	return slices.Clone(s.Epochs[first:])
 }
 
-// Last returns the newest epoch, or the zero Epoch.
+// Last returns the newest epoch, or the zero Epoch if there is none.
 func (s Shard) Last() Epoch {
 	if len(s.Epochs) == 0 {
 		return Epoch{}
@@ -121,7 +124,7 @@
 	return s.Epochs[len(s.Epochs)-1]
 }
 
-// Owner returns the only node that may run the key of the service at the key's own time.
+// Owner returns the only node that may run the key of the service at the key's timestamp.
 func (s Shard) Owner(service, key string, unixMillis int64) (Node, bool) {
 	for _, e := range s.Epochs {
 		if unixMillis >= e.Start && unixMillis < e.Until {
@@ -131,9 +134,9 @@
 	return Node{}, false
 }
 
-// CurrentOwner returns the home of a key without a time, and the other nodes that can have been its home since the given
-// time. Those must have moved the key before the home may run it. There is no home after the end of the last epoch.
-// All times are in Unix milliseconds.
+// CurrentOwner returns the owner of a key without a timestamp, and the other nodes that may have owned it since the
+// given time. The owner may run the key only after all of these have moved it. After the end of the last epoch the key
+// has no owner. All times are in Unix milliseconds.
 func (s Shard) CurrentOwner(service, key string, now, since int64) (Node, []Node, bool) {
 	owner, ok := s.Last().owner(service, key)
 	if !ok || now >= s.Last().Until {
@@ -149,8 +152,9 @@
 	return owner, earlier, true
 }
 
-// PresumedOwner returns where to ask about a key whose time lies after the end of the last epoch as it is known here: the home
-// if the end has been moved meanwhile without a change of members. Whether that is so only the home itself can tell.
+// PresumedOwner returns the node to ask about a key whose timestamp lies after the end of the last known epoch. That
+// node owns the key if the end was moved in the meantime without a change of members, which only the node itself can
+// confirm.
 func (s Shard) PresumedOwner(service, key string, unixMillis int64) (Node, bool) {
 	if unixMillis < s.Last().Until {
 		return Node{}, false
@@ -158,7 +162,8 @@
 	return s.Last().owner(service, key)
 }
 
-// owner returns the member with the highest hash for the key, among those of the service where there are any.
+// owner returns the member with the highest hash for the key, among the members of the service or, if the service has
+// none, among all members.
 func (e Epoch) owner(service, key string) (Node, bool) {
 	best, found := highestHash(e.Members, service, key)
 	if !found {
@@ -190,7 +195,7 @@
 	return h.Sum64()
 }
 
-// ShardOf returns the availability zone whose shard the key belongs to.
+// ShardOf returns the availability zone whose shard holds the key.
 func ShardOf(zones []string, key string) string {
 	best := ""
 	var bestHash uint64
--- a/internal/decide/outcome/shard_test.go
+++ b/internal/decide/outcome/shard_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestPresumed(t *testing.T) {
+func TestPresumedOwner(t *testing.T) {
 	first, last := Node{Name: "a", Incarnation: 1}, Node{Name: "b", Incarnation: 1}
 	shard := Shard{Epochs: []Epoch{
 		{Start: 10, Until: 20, Members: []Member{{Node: first}}},
@@ -30,7 +30,7 @@
 			is.Equal(found, tc.found)
 			if found {
 				_, agreed := tc.shard.Owner("", "key", tc.millis)
-				is.True(!agreed) // nobody runs a key on a presumption
+				is.True(!agreed) // a presumed owner may not run the key
 			}
 		})
 	}
--- a/internal/decide/outcome/table.go
+++ b/internal/decide/outcome/table.go
@@ -1,14 +1,15 @@
-// Package outcome decides who may run a non-idempotent request, and remembers what became of it, so that it runs at
-// most once and nobody is told that it was not run when it was or still can be.
+// Package outcome decides which node may run a non-idempotent request, and records its result. A request runs at most
+// once, and no caller is told that a request has not run if it has run or can still run.
 //
-// Each request has a Key. A minted key names the one process that may run it. A caller's key has a home that a
-// Shard, agreed through the platform, gives for the time in the key. The home keeps a Table of its keys.
+// Each request has a Key. A minted key, which a node creates for a request that came without one, names the only
+// process that may run it. The owner of a caller's key is given by the timestamp in the key and a Shard, which the
+// nodes agree on through the platform. The key owner keeps a Table of its keys.
 //
 // # Usage
 //
 //	k, err := outcome.ParseKey(text)
-//	home, ok := shard.Home(service, k.Text, k.UnixMillis)
-//	verdict := table.Begin(now, outcome.Ask{ID: id, UnixMillis: k.UnixMillis, Timed: k.Timed, Fingerprint: sum})
+//	owner, ok := shard.Owner(service, k.Text, k.UnixMillis)
+//	verdict := table.Begin(now, outcome.RequestCopy{ID: id, UnixMillis: k.UnixMillis, Timed: k.Timed, Fingerprint: sum})
 //	table.Settle(now, id, outcome.Done, reply, size)
 //
 // The package does no I/O and reads no clock.
@@ -16,7 +17,7 @@
 
 import "time"
 
-// State is what is known of one key.
+// State is the state of one key.
 type State int
 
 // The states.
@@ -25,52 +26,53 @@
 	Absent State = iota
 	// Running means that the request may be running.
 	Running
-	// Done means that there is an answer for good.
+	// Done means that the request has a final reply.
 	Done
-	// NotRun means that the request has not run, and that nothing that was sent before may still run.
+	// NotRun means that the request has not run, and that no copy sent before may still run.
 	NotRun
-	// Moved means that the key has not run here and never will, because another node took it over.
+	// Moved means that the key has not run on this node and never will, because another node took it over.
 	Moved
 )
 
-// Action is what to do with a request.
+// Action is the decision about a copy of a request.
 type Action int
 
 // The actions.
 const (
-	// Run says that the request is to be run, and Settle to be called.
+	// Run means that the request must be run, and that Settle must be called when it ends.
 	Run Action = iota
-	// Attach says to wait for the run that goes on.
+	// Attach means that the request is running, and that the copy must wait for its reply.
 	Attach
-	// Answer says to give the remembered reply.
+	// Answer means that the copy gets the recorded reply.
 	Answer
-	// Challenge says to ask the source whether its caller still waits, with the token of the verdict.
+	// Challenge means that the source must confirm, with the token of the verdict, that its caller still waits.
 	Challenge
-	// RefuseNotRun says that the request entered before another copy was told that the key has not run.
+	// RefuseNotRun means that the copy entered before another copy was told that the request has not run.
 	RefuseNotRun
-	// RefuseReused says that the key belongs to another request.
+	// RefuseReused means that the key was used for another request.
 	RefuseReused
-	// RefuseTime says that the key's own time is too far from the present.
+	// RefuseTime means that the key's timestamp is too far from the present.
 	RefuseTime
-	// RefuseFull says that no further key can be remembered.
+	// RefuseFull means that the table can't hold another key.
 	RefuseFull
-	// RefuseClosed says that the key has gone to another node.
+	// RefuseClosed means that the key was handed over or moved to another node.
 	RefuseClosed
 )
 
-// RequestCopy is one copy of a request that arrived.
+// RequestCopy is one arriving copy of a request.
 type RequestCopy struct {
 	ID string
-	// UnixMillis is the time in the key, where it is Timed.
+	// UnixMillis is the timestamp in the key; set only if Timed.
 	UnixMillis  int64
 	Timed       bool
 	Fingerprint uint64
-	// Confirm is the token of the challenge that this copy answers, and Age how long the source has held the request.
+	// Confirm is the token of the challenge that this copy answers, and Age is how long the source has held the
+	// request.
 	Confirm string
 	Age     time.Duration
-	// Token is unused so far; a challenge takes it.
+	// Token is a fresh token, which becomes the token of a challenge if the copy is challenged.
 	Token string
-	// OnlyCopy says that there is no other copy of the request anywhere, so that a refusal needs no memory.
+	// OnlyCopy reports whether no other copy of the request exists, so that a refusal need not be recorded.
 	OnlyCopy bool
 }
 
@@ -83,56 +85,57 @@
 	Token string
 }
 
-// TableConfig sets a Table up.
+// TableConfig configures a Table.
 type TableConfig struct {
-	// Window is how long a key is remembered, counted from its own time. Older keys are refused.
+	// Window is how long a key is kept, counted from its timestamp. Older keys are refused.
 	Window time.Duration
-	// MaxAhead is how far a key's time may lie in the future.
+	// MaxAhead is how far a key's timestamp may lie in the future.
 	MaxAhead time.Duration
-	// MaxKeys and MaxBytes bound the memory. At the bound new keys are refused; none is forgotten early. Replies to
-	// requests that were let in before the bound was reached may exceed MaxBytes.
+	// MaxKeys and MaxBytes limit the memory. At a limit new keys are refused, and no key is dropped early. Replies to
+	// requests that were admitted before the limit was reached may exceed MaxBytes.
 	MaxKeys  int
 	MaxBytes int
 }
 
-// Entry is what is remembered of one key.
+// Entry is the record of one key.
 type Entry[R any] struct {
 	ID string
-	// UnixMillis is the key's own time. For a key without one it is when the key was last let run, or moved, or else
-	// first seen.
+	// UnixMillis is the timestamp of the key. For a key without one, it is the time of the last run or move, or else of
+	// the first copy.
 	UnixMillis  int64
 	Fingerprint uint64
 	State       State
 	Reply       R
 	Bytes       int
-	// MovedTo is the node that took the key over, with Moved.
+	// MovedTo is the node that took the key over; set only if State is Moved.
 	MovedTo Node
 
-	// reportedAt is when it was last told that the key has not run.
+	// reportedAt is when the key was last reported as not run.
 	reportedAt    time.Time
 	token         string
 	tokenIssuedAt time.Time
-	// onlyCopy says that no other copy can exist.
+	// onlyCopy reports whether no other copy of the request can exist.
 	onlyCopy bool
 }
 
-// markReported notes that somebody is told now that the key has not run, if that is so. What entered before must not run.
+// markReported records that a key in state NotRun is reported as not run now. Copies that entered before must not run.
 func (e *Entry[R]) markReported(now time.Time) {
 	if e.State == NotRun {
 		e.reportedAt = now
 	}
 }
 
-// EntryBytes is what a key costs without its reply.
+// EntryBytes is the memory charged for a key without its reply.
 const EntryBytes = 256
 
-// Table remembers keys. R is the type of replies.
+// Table records the keys of one node. R is the type of replies.
 type Table[R any] struct {
 	config  TableConfig
 	entries map[string]*Entry[R]
 	bytes   int
 	running int
-	// windowStart only grows, so that a key that was forgotten is refused for good, even if the clock is set back.
+	// windowStart only grows, so that a key that was dropped stays refused if the clock is set back. It is in Unix
+	// milliseconds.
 	windowStart int64
 	closed      bool
 }
@@ -142,7 +145,7 @@
 	return &Table[R]{config: config, entries: map[string]*Entry[R]{}}
 }
 
-// Begin decides about one copy of a request.
+// Begin decides what to do with one copy of a request.
 func (t *Table[R]) Begin(now time.Time, a RequestCopy) Verdict[R] {
 	t.advanceWindow(now)
 	if a.Timed && t.isOutsideWindow(now, a.UnixMillis) {
@@ -161,8 +164,8 @@
 	return t.beginKnown(now, e, a)
 }
 
-// Settle ends a run. Done remembers the reply of the given size in bytes; NotRun only that it was so, and not even
-// that where all copies have been answered by it.
+// Settle records the end of a run. Done stores the reply, of the given size in bytes. NotRun stores only the state, and
+// drops the key if no other copy exists.
 func (t *Table[R]) Settle(now time.Time, id string, state State, reply R, bytes int) {
 	e, ok := t.entries[id]
 	if !ok || e.State != Running {
@@ -182,14 +185,14 @@
 	}
 }
 
-// MayRun reports whether a copy of the key may still be let run: it has neither run nor moved within the window.
+// MayRun reports whether a copy of the key may still run, because the key has neither run nor moved within the window.
 func (t *Table[R]) MayRun(now time.Time, id string) bool {
 	t.advanceWindow(now)
 	e, ok := t.find(id)
 	return !ok || e.State == NotRun
 }
 
-// Resolve tells what became of a key. A key that has not been seen stays so.
+// Resolve returns the state of a key, and the reply of a key that is Done. A key that is not in the table is not added.
 func (t *Table[R]) Resolve(now time.Time, id string) (State, R) {
 	e, ok := t.entries[id]
 	if !ok {
@@ -200,17 +203,17 @@
 	return e.State, e.Reply
 }
 
-// MoveResult is the answer about a key that another node takes over.
+// MoveResult is the result of Table.Move.
 type MoveResult[R any] struct {
 	State State
 	// Reply is set with Done.
 	Reply R
-	// Fingerprint is that of the request that came under the key, or 0 where none came.
+	// Fingerprint is the fingerprint of the request that arrived under the key, or 0 if none arrived.
 	Fingerprint uint64
 }
 
-// Move tells what became of a key, and moves one that has not run to the given node: it never runs here. A table that
-// can't remember that, or that has been handed over, says Absent.
+// Move returns the state of a key. A key that has not run is first moved to the given node, and then never runs here.
+// The state is Absent if the table can't record the move, or has been handed over.
 func (t *Table[R]) Move(now time.Time, a RequestCopy, to Node) MoveResult[R] {
 	t.advanceWindow(now)
 	e, ok := t.find(a.ID)
@@ -228,12 +231,12 @@
 	return MoveResult[R]{State: Moved, Fingerprint: e.Fingerprint}
 }
 
-// Close lets nothing run from now on but what runs already. Answers are still given.
+// Close stops the table from starting further requests. Running requests go on, and copies still get their replies.
 func (t *Table[R]) Close() {
 	t.closed = true
 }
 
-// Entries returns what is remembered, to be handed over once the table is closed and nothing runs.
+// Entries returns all entries. They are handed over once the table is closed and nothing runs.
 func (t *Table[R]) Entries() []Entry[R] {
 	entries := make([]Entry[R], 0, len(t.entries))
 	for _, e := range t.entries {
@@ -242,8 +245,8 @@
 	return entries
 }
 
-// Restore takes in an entry that another node handed over, unless it is older than the window. An answer replaces what
-// says that the key went elsewhere.
+// Restore adds an entry that another node handed over, unless the entry is older than the window. An entry in any other
+// state replaces one that only records that the key was moved.
 func (t *Table[R]) Restore(now time.Time, e Entry[R]) {
 	t.advanceWindow(now)
 	held, ok := t.find(e.ID)
@@ -258,7 +261,8 @@
 	t.bytes += e.Bytes
 }
 
-// Reclaim makes the keys that were moved to the given nodes keys of this table again, because it answers for them now.
+// Reclaim drops the records of keys that were moved to nodes for which this table answers now, so that the keys may run
+// here again.
 func (t *Table[R]) Reclaim(answersFor func(Node) bool) {
 	for _, e := range t.entries {
 		if e.State == Moved && answersFor(e.MovedTo) {
@@ -267,7 +271,7 @@
 	}
 }
 
-// Expire forgets the keys that are older than the window. It is called regularly.
+// Expire drops the keys that are older than the window. It must be called regularly.
 func (t *Table[R]) Expire(now time.Time) {
 	t.advanceWindow(now)
 	for _, e := range t.entries {
@@ -281,8 +285,8 @@
 	return e.State != Running && e.UnixMillis < t.windowStart
 }
 
-// find returns the entry unless it is older than the window: whether such a one is still there depends on when Expire
-// was called, and a later home of a key without a time no longer asks for it.
+// find returns the entry unless it is older than the window. Whether Expire has already dropped such an entry depends
+// on when it was called, and a later owner of a key without a timestamp no longer asks for the key.
 func (t *Table[R]) find(id string) (*Entry[R], bool) {
 	e, ok := t.entries[id]
 	if ok && t.isExpired(e) {
@@ -292,22 +296,22 @@
 	return e, ok
 }
 
-// restartWindow lets the window of a key without a time begin anew. It counts from the latest time that was ever seen, so
-// that a clock that was set back makes no key forgotten early.
+// restartWindow restarts the window of a key without a timestamp. The window counts from the latest time ever seen, so
+// that a clock that was set back doesn't drop a key early.
 func (t *Table[R]) restartWindow(e *Entry[R], a RequestCopy) {
 	if !a.Timed {
 		e.UnixMillis = t.windowStart + t.config.Window.Milliseconds()
 	}
 }
 
-// Size is the memory in use.
+// Size is the memory use of a table.
 type Size struct {
 	Keys    int
 	Bytes   int
 	Running int
 }
 
-// Size returns the memory in use.
+// Size returns the memory use.
 func (t *Table[R]) Size() Size {
 	return Size{Keys: len(t.entries), Bytes: t.bytes, Running: t.running}
 }
@@ -351,9 +355,9 @@
 	return t.beginConfirmed(now, e, a)
 }
 
-// beginConfirmed runs a request whose source still holds it, if the request entered after it was last told that the key
-// has not run. The source computed the age after the challenge was issued, so the request entered later than
-// issued-age; no two clocks are compared.
+// beginConfirmed runs a request that its source still holds, if the request entered after the key was last reported as
+// not run. The source measured the age after the challenge was issued, so the request entered later than tokenIssuedAt
+// minus the age. This compares no clocks of two nodes.
 func (t *Table[R]) beginConfirmed(now time.Time, e *Entry[R], a RequestCopy) Verdict[R] {
 	e.token = ""
 	if !e.tokenIssuedAt.Add(-a.Age).After(e.reportedAt) {
--- a/internal/decide/outcome/table_test.go
+++ b/internal/decide/outcome/table_test.go
@@ -63,15 +63,15 @@
 	is.Equal(table.Begin(start, other).Action, outcome.RefuseReused)
 }
 
-// A key that was told not to have run must not be run for a copy that entered before.
+// After a key was reported as not run, a copy that entered earlier must not run.
 func TestLateCopyAfterNotRun(t *testing.T) {
 	for name, tc := range map[string]struct {
 		age  time.Duration
 		want outcome.Action
 	}{
-		"entered before it was told":             {age: 3 * time.Second, want: outcome.RefuseNotRun},
-		"entered in the moment that it was told": {age: 2 * time.Second, want: outcome.RefuseNotRun},
-		"entered afterwards":                     {age: time.Second, want: outcome.Run},
+		"entered before the report":         {age: 3 * time.Second, want: outcome.RefuseNotRun},
+		"entered at the time of the report": {age: 2 * time.Second, want: outcome.RefuseNotRun},
+		"entered after the report":          {age: time.Second, want: outcome.Run},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -83,7 +83,7 @@
 			confirmed := copyAt("k", start)
 			confirmed.Confirm, confirmed.Age = challenge.Token, tc.age
 			is.Equal(table.Begin(start.Add(9*time.Second), confirmed).Action, tc.want)
-			is.True(table.Begin(start.Add(9*time.Second), confirmed).Action != outcome.Run) // a token holds once
+			is.True(table.Begin(start.Add(9*time.Second), confirmed).Action != outcome.Run) // a token is valid once
 		})
 	}
 }
@@ -101,10 +101,10 @@
 	is.Equal(table.Move(start, unseen, other), outcome.MoveResult[string]{State: outcome.Moved})
 	is.Equal(table.Begin(start, copyAt("new", start)).Action, outcome.RefuseClosed)
 	table.Reclaim(func(n outcome.Node) bool { return n == other })
-	is.Equal(table.Begin(start, copyAt("new", start)).Action, outcome.Run) // it came back with all that the other knew
+	is.Equal(table.Begin(start, copyAt("new", start)).Action, outcome.Run) // the other node handed the key back with all that it knew
 }
 
-// Whoever asks in between is told that the key has not run, so that later only what entered afterwards may run.
+// Resolve reports a key as not run, so that later only copies that entered afterwards may run.
 func TestResolvedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	table := outcome.NewTable[string](config)
@@ -118,7 +118,7 @@
 	is.Equal(table.Begin(start.Add(7*time.Second), confirmed).Action, outcome.RefuseNotRun)
 }
 
-func TestSingleCopyNeedsNoMemory(t *testing.T) {
+func TestRefusedOnlyCopyIsNotRecorded(t *testing.T) {
 	is := is.New(t)
 	table := outcome.NewTable[string](config)
 	single := copyAt("k", start)
@@ -127,12 +127,12 @@
 	table.Settle(start, "k", outcome.NotRun, "", 0)
 	is.Equal(table.Size(), outcome.Size{})
 	table.Begin(start, single)
-	table.Begin(start, copyAt("k", start)) // a second copy came while the first was waiting
+	table.Begin(start, copyAt("k", start)) // a second copy arrived while the first was running
 	table.Settle(start, "k", outcome.NotRun, "", 0)
 	is.Equal(table.Size().Keys, 1)
 }
 
-func TestKeysAreForgottenOnlyWhenRefused(t *testing.T) {
+func TestDroppedKeysStayRefused(t *testing.T) {
 	is := is.New(t)
 	table := outcome.NewTable[string](config)
 	table.Begin(start, copyAt("k", start))
@@ -141,11 +141,11 @@
 	is.Equal(table.Size().Keys, 1)
 	table.Expire(start.Add(config.Window + time.Second))
 	is.Equal(table.Size(), outcome.Size{})
-	is.Equal(table.Begin(start, copyAt("k", start)).Action, outcome.RefuseTime) // also after the clock was set back
+	is.Equal(table.Begin(start, copyAt("k", start)).Action, outcome.RefuseTime) // also if the clock was set back
 	is.Equal(table.Begin(start, copyAt("f", start.Add(time.Minute))).Action, outcome.RefuseTime)
 }
 
-// A key without a time is remembered for the window from when it last was let run, or moved.
+// The window of a key without a timestamp counts from the last run or move.
 func TestWindowOfKeysWithoutTime(t *testing.T) {
 	opaque := outcome.RequestCopy{ID: "k", Fingerprint: 7, Token: "token"}
 	late, end := start.Add(config.Window-time.Second), start.Add(2*config.Window-2*time.Second)
@@ -167,14 +167,14 @@
 		"refused, then moved": {at: end, want: outcome.RefuseClosed, late: func(table *outcome.Table[string]) {
 			table.Move(late, opaque, outcome.Node{Name: "access_1", Incarnation: 5})
 		}},
-		"refused, and too old without a call of Expire": {at: end, want: outcome.Run, late: func(*outcome.Table[string]) {}},
+		"refused, and past the window before Expire is called": {at: end, want: outcome.Run, late: func(*outcome.Table[string]) {}},
 		"run after the clock was set back": {at: start.Add(-2 * config.Window), want: outcome.Answer, late: func(table *outcome.Table[string]) {
 			back := start.Add(-3 * config.Window)
 			table.Expire(start.Add(2 * config.Window))
 			table.Begin(back, opaque)
 			table.Settle(back, "k", outcome.Done, "booked", 6)
 		}},
-		"handed over when too old": {at: end, want: outcome.Run, late: func(table *outcome.Table[string]) {
+		"handed over past the window": {at: end, want: outcome.Run, late: func(table *outcome.Table[string]) {
 			entries := table.Entries()
 			table.Expire(end)
 			table.Restore(end, entries[0])
