--- a/internal/decide/fence/fence.go
+++ b/internal/decide/fence/fence.go
@@ -1,9 +1,10 @@
-// Package fence decides what became of attempts whose answer was lost, so that a request which may run once at most can
-// be sent elsewhere where it has not run. Who asks about an attempt that has not begun makes sure that it never will.
+// Package fence decides whether an attempt whose answer was lost has run. A request that may run at most once can then
+// be sent to another instance if the attempt has not run. Asking about an attempt that has not begun fences it, so that
+// it never runs.
 //
 // # Usage
 //
-//	if !table.Begin(now, id) { ... refuse: it never runs here ... }
+//	if !table.Begin(now, id) { ... refuse: the attempt never runs here ... }
 //	table.End(now, id, started)
 //	state := table.Resolve(now, id)
 //
@@ -12,26 +13,26 @@
 
 import "time"
 
-// State is what became of an attempt.
+// State is the state of an attempt.
 type State int
 
 // The states.
 const (
 	// Fenced means that the attempt has not run and never will.
 	Fenced State = iota
-	// Running means that it is being worked on.
+	// Running means that the attempt is in progress.
 	Running
-	// Ran means that it ended and may have run.
+	// Ran means that the attempt has ended and may have run.
 	Ran
 )
 
-// retention is how long an attempt is remembered after its last change. It is longer than any message is on its way.
+// retention is how long an attempt is kept after its last change. It is longer than any message is in transit.
 const retention = 30 * time.Second
 
-// Table remembers attempts.
+// Table records the states of attempts.
 type Table struct {
 	states map[string]State
-	// ended holds the attempts that no longer run, the oldest first.
+	// ended holds the attempts that are no longer running, oldest first.
 	ended []endedAttempt
 }
 
@@ -45,7 +46,7 @@
 	return &Table{states: map[string]State{}}
 }
 
-// Begin notes that an attempt begins, and reports false where it must not run, because it was fenced or came before.
+// Begin records that an attempt begins, and reports whether it may run: not if it was fenced or has begun before.
 func (t *Table) Begin(now time.Time, id string) bool {
 	t.dropExpired(now)
 	if _, known := t.states[id]; known {
@@ -55,7 +56,7 @@
 	return true
 }
 
-// End notes that an attempt ended. One that was refused before it started has not run.
+// End records that an attempt ended. An attempt that was refused before it started has not run.
 func (t *Table) End(now time.Time, id string, started bool) {
 	t.states[id] = Fenced
 	if started {
@@ -64,7 +65,7 @@
 	t.ended = append(t.ended, endedAttempt{id: id, at: now})
 }
 
-// Resolve tells what became of an attempt. One that is not known is fenced.
+// Resolve returns the state of an attempt, and fences an unknown one.
 func (t *Table) Resolve(now time.Time, id string) State {
 	t.dropExpired(now)
 	state, known := t.states[id]
@@ -75,13 +76,13 @@
 	return state
 }
 
-// Knows reports whether the attempt came here or was asked about.
+// Knows reports whether the table has a record of the attempt, because the attempt began here or was asked about.
 func (t *Table) Knows(id string) bool {
 	_, known := t.states[id]
 	return known
 }
 
-// Len returns how many attempts are remembered.
+// Len returns the number of recorded attempts.
 func (t *Table) Len() int {
 	return len(t.states)
 }
--- a/internal/decide/fence/fence_test.go
+++ b/internal/decide/fence/fence_test.go
@@ -9,8 +9,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/fence"
 )
 
-// A copy that was on its way while its sender asked must not run once the sender was told that it had not.
-func TestLateCopyDoesNotRun(t *testing.T) {
+// An attempt that arrives after its sender was told that it has not run must not run.
+func TestLateAttemptDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := fence.NewTable()
@@ -47,7 +47,7 @@
 	is.True(!table.Begin(now.Add(time.Second), "a"))
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+func TestEndedAttemptsExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := fence.NewTable()
