--- a/internal/decide/lineage/lineage.go
+++ b/internal/decide/lineage/lineage.go
@@ -1,9 +1,11 @@
-// Package lineage guesses which running request a call of the local backend server was made for, where the call itself
-// doesn't say so. A call expires with the request that it is made for, unless its sender gives it less time. Kinds of which
-// a good part expire so are calls; of the others it is known only that one of the running requests made them, most
-// likely one whose last call has just ended, since backend servers make many calls one after the other.
+// Package lineage infers which running request of the local backend server made a call, if the call itself doesn't say
+// so. A call has the deadline of the request that made it, unless its sender sets a shorter timeout. A kind of request
+// counts as calls if enough of its requests have the deadline of a running request. A call with a shorter timeout was
+// made by one of the running requests, most likely by the one whose last call ended most recently, because backend
+// servers make many calls one after the other.
 //
-// Requests can be taken for each other, so a guess may give a call its rank and its place in a queue, and never a promise.
+// The inference can be wrong. It may determine the rank and the queue position of a call, but nothing that must be
+// certain.
 //
 // # Usage
 //
@@ -15,91 +17,96 @@
 
 import "time"
 
-// Call is what is known of a call.
+// Call is an arriving request that may be a call.
 type Call struct {
 	Kind string
-	// Expires is until when the call's sender waits.
+	// Expires is the time until which the sender waits.
 	Expires time.Time
 }
 
-// RunningRequest is a request that the backend server works on.
+// RunningRequest is a request that the backend server is running.
 type RunningRequest struct {
 	Kind     string
 	Started  time.Time
 	Deadline time.Time
-	// HasOpenCall says that a call of it has not been answered.
+	// HasOpenCall reports whether a call that the request made has not been answered.
 	HasOpenCall bool
-	// LastCallEnd is when its last call was answered; zero for none.
+	// LastCallEnd is when the request's last call was answered; zero if there was none.
 	LastCallEnd time.Time
 }
 
 const (
-	// tolerance is by how much times may differ: senders give whole milliseconds, and messages take time.
+	// tolerance is the largest difference between two deadlines that count as equal: senders give whole milliseconds,
+	// and messages take time in transit.
 	tolerance = 2500 * time.Microsecond
-	// minAge is how long a request has run before it makes calls.
+	// minAge is how long a request must have run before it can have made calls.
 	minAge = time.Millisecond
-	// sampleWeight is the weight of one request in what is known of its kind.
+	// sampleWeight is the weight of one request in the moving averages of its kind.
 	sampleWeight = 0.03
-	// minMatchRatio is the share of a kind's requests that expire with a running one, from which on they count as calls.
+	// minMatchRatio is the fraction of a kind's requests with the deadline of a running request from which the kind
+	// counts as calls.
 	minMatchRatio = 0.12
-	// maxFullTimeoutRatio is the share of a kind's requests that have the longest time of all, up to which they count as calls:
-	// callers give each request the same time.
+	// maxFullTimeoutRatio is the fraction of a kind's requests with the longest timeout seen up to which the kind
+	// counts as calls. Callers give each request the same timeout.
 	maxFullTimeoutRatio = 0.3
 )
 
-// Matcher learns which kinds of requests are calls.
+// Matcher learns which kinds of requests are calls, and which kinds make them.
 type Matcher struct {
 	kinds map[string]*kind
 }
 
 type kind struct {
-	// maxTimeout is the longest time that a sender gave, in whole milliseconds.
+	// maxTimeout is the longest timeout that a sender gave, in whole milliseconds.
 	maxTimeout int64
-	// fullTimeoutRatio is the share of the requests with that time, and fitting the share of those that expire with a running one.
+	// fullTimeoutRatio is the fraction of requests with maxTimeout, and matchRatio the fraction with the deadline of a
+	// running request. Both are moving averages.
 	fullTimeoutRatio float64
 	matchRatio       float64
-	// parents counts the requests of each kind that calls of this kind expired with, and matched all of them.
+	// parents counts the running requests, by kind, whose deadline a call of this kind had. matched is the sum of all
+	// counts.
 	parents map[string]int
 	matched int
 }
 
-// minParentRatio is the least part of the calls that a kind of request must have made to be taken for the maker of
-// others: some requests expire with a call by chance.
+// minParentRatio is the fraction of the matched calls that a kind must have made to count as a parent: some requests
+// have the deadline of a call by chance.
 const minParentRatio = 0.1
 
-// isMadeBy reports whether requests of the kind make calls of this one.
+// isMadeBy reports whether requests of the parent kind make calls of this kind.
 func (k *kind) isMadeBy(parent string) bool {
 	return float64(k.parents[parent]) >= minParentRatio*float64(k.matched)
 }
 
-// NewMatcher returns a matcher that knows no kinds.
+// NewMatcher returns a matcher without observations.
 func NewMatcher() *Matcher {
 	return &Matcher{kinds: map[string]*kind{}}
 }
 
-// Unknown is the index where no request is likely to have made a call.
+// Unknown is the index returned if no request is likely to have made the call.
 const Unknown = -1
 
-// Match returns the index of the request that the call was most likely made for, or Unknown. It reports false where the
-// kind is not known to be made up of calls.
+// Match returns the index of the request that most likely made the call, or Unknown. It reports whether the call's kind
+// counts as calls.
 func (m *Matcher) Match(now time.Time, c Call, running []RunningRequest) (int, bool) {
-	index, fits := matchDeadline(now, c, running)
+	index, matches := matchDeadline(now, c, running)
 	k := m.kind(c)
-	k.learn(now, c, fits)
-	if fits {
+	k.learn(now, c, matches)
+	if matches {
 		k.parents[running[index].Kind]++
 		k.matched++
 	}
 	switch {
 	case !k.isCall():
 		return Unknown, false
-	case fits && k.isMadeBy(running[index].Kind):
+	case matches && k.isMadeBy(running[index].Kind):
 		return index, true
 	}
 	return k.likeliestParent(now, c, running), true
 }
 
-// matchDeadline returns the request that expires with the call.
+// matchDeadline returns the index of the request with the same deadline as the call, within the tolerance, and reports
+// whether there is one.
 func matchDeadline(now time.Time, c Call, running []RunningRequest) (int, bool) {
 	best, least := -1, tolerance
 	for i, r := range running {
@@ -111,8 +118,8 @@
 	return best, best >= 0
 }
 
-// likeliestParent returns the request whose last call was answered last, of those that have no call open and outlast the call;
-// else the one that has run longest.
+// likeliestParent returns the index of the request whose last call was answered most recently, among the requests that
+// have no open call and outlast the call. Ties go to the request that has run longest.
 func (k *kind) likeliestParent(now time.Time, c Call, running []RunningRequest) int {
 	best := Unknown
 	for i, r := range running {
@@ -142,15 +149,15 @@
 	return k
 }
 
-// learn takes in one request.
-func (k *kind) learn(now time.Time, c Call, fits bool) {
+// learn updates the moving averages with one request.
+func (k *kind) learn(now time.Time, c Call, matches bool) {
 	left := c.Expires.Sub(now).Milliseconds()
 	k.maxTimeout = max(k.maxTimeout, left)
 	k.fullTimeoutRatio += sampleWeight * (indicator(left >= k.maxTimeout) - k.fullTimeoutRatio)
-	k.matchRatio += sampleWeight * (indicator(fits) - k.matchRatio)
+	k.matchRatio += sampleWeight * (indicator(matches) - k.matchRatio)
 }
 
-// isCall reports whether the kind is made up of calls.
+// isCall reports whether requests of the kind count as calls.
 func (k *kind) isCall() bool {
 	return k.matchRatio >= minMatchRatio && k.fullTimeoutRatio <= maxFullTimeoutRatio
 }
--- a/internal/decide/lineage/lineage_test.go
+++ b/internal/decide/lineage/lineage_test.go
@@ -16,7 +16,7 @@
 	return start.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// trainedMatcher returns a matcher that has seen calls of the kind "keys".
+// trainedMatcher returns a matcher that has observed calls of the kind "keys".
 func trainedMatcher() *lineage.Matcher {
 	m := lineage.NewMatcher()
 	for n := range 100 {
@@ -39,25 +39,25 @@
 		running []lineage.RunningRequest
 		want    int
 	}{
-		"expires with its request":                  {1200, running, 0},
-		"given less time, after the last call":      {700, running, 1},
-		"given less time, outlasts the last caller": {1000, running, 0},
-		"of one that makes no second call now":      {1250, running, lineage.Unknown},
+		"deadline of its request":                   {1200, running, 0},
+		"shorter timeout, after the last call":      {700, running, 1},
+		"shorter timeout, outlasts the last parent": {1000, running, 0},
+		"outlasts all possible parents":             {1250, running, lineage.Unknown},
 		"only a kind runs that makes no such calls": {700, running[4:], lineage.Unknown},
-		"expires by chance with such a kind":        {1900, running[4:], lineage.Unknown},
+		"deadline of such a kind by chance":         {1900, running[4:], lineage.Unknown},
 		"nothing runs":                              {700, nil, lineage.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			index, ok := trainedMatcher().Match(at(100), lineage.Call{Kind: "keys", Expires: at(test.expires)}, test.running)
-			is.True(ok) // a call in any case
+			is.True(ok) // the kind counts as calls in every case
 			is.Equal(index, test.want)
 		})
 	}
 }
 
-// Half of the calls have less time than their requests. Nearly all of them are known as calls soon.
-func TestCallsAreKnown(t *testing.T) {
+// About half of the calls have a shorter timeout than their request. Nearly all calls must soon be recognized.
+func TestCallsAreRecognized(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	m := lineage.NewMatcher()
@@ -77,12 +77,12 @@
 	is.True(known > 140)
 }
 
-// Requests of callers that expire with a running request now and then, by chance, are not taken for calls.
+// Callers' requests that have the deadline of a running request by chance must not be taken for calls.
 func TestCallersAreNotTakenForCalls(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	m := lineage.NewMatcher()
-	taken := 0
+	misclassified := 0
 	for n := range 500 {
 		now := at(10 * n)
 		var running []lineage.RunningRequest
@@ -94,11 +94,11 @@
 		}
 		expires := now.Add(1200 * time.Millisecond)
 		if n%5 == 0 {
-			expires = now.Add(time.Duration(random.IntN(1200)) * time.Millisecond) // sent again
+			expires = now.Add(time.Duration(random.IntN(1200)) * time.Millisecond) // a retry with the remaining time
 		}
 		if _, ok := m.Match(now, lineage.Call{Kind: "window", Expires: expires}, running); ok && n >= 50 {
-			taken++
+			misclassified++
 		}
 	}
-	is.Equal(taken, 0)
+	is.Equal(misclassified, 0)
 }
