--- a/internal/decide/quarantine/evidence.go
+++ b/internal/decide/quarantine/evidence.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Reason says why a request is held.
+// Reason is why a request is restricted.
 type Reason string
 
 // The reasons.
@@ -14,38 +14,38 @@
 	Quarantined Reason = "quarantined"
 )
 
-// Source says where evidence comes from.
+// Source is where evidence comes from.
 type Source string
 
 // The sources.
 const (
 	// ObservedLocally is a crash of the local backend server.
 	ObservedLocally Source = "crash_seen_here"
-	// Reported is a crash that another node or the sender of the request told of.
+	// Reported is a crash that another node or the sender of the request reported.
 	Reported Source = "crash_told"
 )
 
-// Reasons is the catalogue of the reasons.
+// Reasons describes each Reason.
 var Reasons = map[Reason]string{
 	Suspected:   "A backend server crashed while it ran the request; it runs alone among suspects until it runs well.",
 	Quarantined: "Backend servers crashed while they ran the request, as often as quarantines it; it is refused for the term.",
 }
 
-// Sources is the catalogue of the sources of evidence.
+// Sources describes each Source.
 var Sources = map[Source]string{
 	ObservedLocally: "The local backend server broke the connection while it ran the request.",
 	Reported:        "Another node, or the request's sender, told of the crash.",
 }
 
-// Evidence is one crash that a request is blamed for.
+// Evidence is one crash attributed to a request.
 type Evidence struct {
-	// Crash tells this crash from others; 0 where only the number of crashes is known.
+	// Crash identifies the crash; 0 if only the number of crashes is known.
 	Crash  uint64    `json:"crash"`
 	Source Source    `json:"source"`
 	At     time.Time `json:"at"`
 }
 
-// maxEvidence bounds the crashes kept for each request.
+// maxEvidence is the limit of crashes kept for each request.
 const maxEvidence = 8
 
 func (e *Entry) addEvidence(v Evidence) {
@@ -53,7 +53,7 @@
 	e.Evidence = e.Evidence[max(0, len(e.Evidence)-maxEvidence):]
 }
 
-// withReason returns a copy of the entry with its reason.
+// withReason returns a copy of the entry with its reason set.
 func (e *Entry) withReason(maxCrashes int) Entry {
 	copied := *e
 	copied.Evidence = slices.Clone(e.Evidence)
--- a/internal/decide/quarantine/evidence_test.go
+++ b/internal/decide/quarantine/evidence_test.go
@@ -26,7 +26,7 @@
 	for _, table := range s.tables {
 		e := table.Entries()[0]
 		is.Equal(e.Reason, quarantine.Quarantined)
-		is.Equal(len(e.Evidence), 2) // each crash once
+		is.Equal(len(e.Evidence), 2) // one for each crash
 		is.True(e.Evidence[0].Crash != e.Evidence[1].Crash)
 		is.Equal(e.Evidence[0].At, first)
 		is.Equal(e.Evidence[1].At, second)
@@ -37,7 +37,7 @@
 	for crash := range 20 {
 		table.Learn(second, quarantine.Blame{Fingerprint: poison, Crash: uint64(crash + 1), Crashes: 1})
 	}
-	is.Equal(len(table.Entries()[0].Evidence), 8) // the latest
+	is.Equal(len(table.Entries()[0].Evidence), 8) // only the latest are kept
 }
 
 func sources(t *quarantine.Table) []quarantine.Source {
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -1,18 +1,18 @@
 // Package quarantine decides which requests are refused because backend servers crash when they run them.
 //
-// A request is known by its fingerprint, which leaves its key out, so that a new key doesn't hide it. When a backend
-// server crashes, the requests that were running become suspects, but for those that ran well lately. Suspects run
-// one at a time on each backend server, so that the next crash has one suspect: after MaxCrashes crashes across the
-// service that one is refused for a term, which doubles each time. A suspect that runs well is cleared, and evidence
-// expires.
+// A request is identified by its fingerprint, which excludes its key, so that a new key doesn't hide the request. When
+// a backend server crashes, the requests that it was running become suspects, except for those that completed recently.
+// Each backend server runs one suspect at a time, so that the next crash has a single suspect. After MaxCrashes crashes
+// across the service that suspect is refused for a term, which doubles with each further crash. A suspect that
+// completes is cleared, and evidence expires.
 //
 // # Usage
 //
-//	verdict := table.Begin(now, fingerprint, crashesCarried)
+//	verdict := table.Begin(now, fingerprint, crashesSeenBySender)
 //	if verdict.Action == quarantine.Run {
 //		... run it ...
 //		blame, blamed := table.End(now, fingerprint, started, quarantine.Broken)
-//		// tell the other nodes, which call table.Learn(now, blame)
+//		// send the blame to the other nodes, which call table.Learn(now, blame)
 //	}
 //
 // The package does no I/O and reads no clock. A Table is not safe for concurrent use.
@@ -24,7 +24,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint names a request, whoever sends it and under whichever key.
+// Fingerprint identifies a request, regardless of its sender and its key.
 type Fingerprint struct {
 	Service string `json:"service"`
 	Kind    string `json:"kind"`
@@ -42,28 +42,28 @@
 	return Fingerprint{Service: service, Kind: kind, Hash: h.Sum64()}
 }
 
-// Config sets a Table up.
+// Config configures a Table.
 type Config struct {
-	// Node is the node's own name.
+	// Node is the name of the local node.
 	Node string
-	// MaxCrashes is how many crashes quarantine a request.
+	// MaxCrashes is the number of crashes after which a request is quarantined.
 	MaxCrashes int
-	// FirstTerm is the first time of refusal; it doubles with each further crash up to MaxTerm.
+	// FirstTerm is how long a request is refused at first. The term doubles with each further crash, up to MaxTerm.
 	FirstTerm time.Duration
 	MaxTerm   time.Duration
-	// EvidenceLifetime is how long a crash counts, and how long a request stays known after its term.
+	// EvidenceLifetime is how long a crash counts, and how long a request stays suspected after its term.
 	EvidenceLifetime time.Duration
-	// GoodLifetime is how long a request that ran well is not suspected.
+	// GoodLifetime is how long a request that completed is not suspected.
 	GoodLifetime time.Duration
-	// CrashWindow is the time within which broken requests belong to one crash.
+	// CrashWindow is the time within which broken requests belong to the same crash.
 	CrashWindow time.Duration
-	// SuspectRetryAfter is when to come back while another suspect runs.
+	// SuspectRetryAfter is the retry delay given to a suspect while another suspect runs.
 	SuspectRetryAfter time.Duration
-	// MaxEntries bounds the suspects, and the requests remembered as good.
+	// MaxEntries is the limit of suspects, and that of requests recorded as good.
 	MaxEntries int
 }
 
-// DefaultConfig holds where nothing else is set.
+// DefaultConfig is the configuration used unless another is set.
 var DefaultConfig = Config{
 	MaxCrashes:        2,
 	FirstTerm:         10 * time.Second,
@@ -75,20 +75,20 @@
 	MaxEntries:        8192,
 }
 
-// Action is what becomes of a request.
+// Action is the decision about a request.
 type Action int
 
 // The actions.
 const (
-	// Run means that the request may run; End must follow.
+	// Run means that the request may run, and that End must be called when it ends.
 	Run Action = iota
 	// Refuse means that the request is quarantined.
 	Refuse
-	// RetryLater means that another suspect is running on this backend server.
+	// RetryLater means that the backend server is running another suspect.
 	RetryLater
 )
 
-// Verdict answers Begin.
+// Verdict is the result of Table.Begin.
 type Verdict struct {
 	Action     Action
 	RetryAfter time.Duration
@@ -99,41 +99,42 @@
 
 // The endings.
 const (
-	// Inconclusive tells nothing: the request was refused, canceled or ran out of time.
+	// Inconclusive means that the request was refused, canceled or timed out, which is no evidence.
 	Inconclusive Ending = iota
-	// Answered means that the backend server answered, with whatever status.
+	// Answered means that the backend server answered, with any status.
 	Answered
-	// Broken means that the backend server broke the connection in the middle.
+	// Broken means that the backend server broke the connection while it ran the request.
 	Broken
 )
 
-// Blame is the evidence against a request, as nodes tell it to each other.
+// Blame is evidence against a request, as nodes send it to each other.
 type Blame struct {
 	Fingerprint Fingerprint
-	// Crash tells this crash from all others; 0 for none.
+	// Crash identifies the crash; 0 if there is none.
 	Crash uint64
-	// Crashes is the number of crashes known; 0 only takes back that the request ran well.
+	// Crashes is the number of known crashes; 0 only withdraws the record that the request completed.
 	Crashes int
-	// Term is the time of refusal; 0 while the request is only suspected.
+	// Term is how long the request is refused; 0 if it is only suspected.
 	Term time.Duration
 }
 
-// Entry is what is known against one request.
+// Entry is the evidence against one request.
 type Entry struct {
 	Fingerprint Fingerprint   `json:"fingerprint"`
 	Crashes     int           `json:"crashes"`
 	Term        time.Duration `json:"term"`
 	Until       time.Time     `json:"until"`
 	Expires     time.Time     `json:"expires"`
-	// Reason says why the request is held, and Evidence are the latest crashes, the newest last.
+	// Reason is why the request is restricted. Evidence holds the latest crashes, newest last.
 	Reason   Reason     `json:"reason"`
 	Evidence []Evidence `json:"evidence"`
 
-	// crashIDs are the crashes by which they are told apart. Crashes may be more, where some are only known by number.
+	// crashIDs are the identifiers of the known crashes. Crashes may be larger, because for some
+	// crashes only the count is known.
 	crashIDs map[uint64]bool
 }
 
-// addCrash adds a crash and reports whether it was not known.
+// addCrash adds a crash and reports whether it is new.
 func (e *Entry) addCrash(crash uint64) bool {
 	if crash == 0 || e.crashIDs[crash] {
 		return false
@@ -143,13 +144,13 @@
 	return true
 }
 
-// Table holds what one node knows.
+// Table holds the evidence known to one node.
 type Table struct {
 	config  Config
 	entries map[Fingerprint]*Entry
 	good    map[Fingerprint]time.Time
 	running map[Fingerprint]int
-	// suspect is the suspect that runs now, if any.
+	// suspect is the suspect that is running, or zero.
 	suspect   Fingerprint
 	lastCrash crashRecord
 }
@@ -158,9 +159,9 @@
 type crashRecord struct {
 	id uint64
 	at time.Time
-	// suspect was running then, if any.
+	// suspect is the suspect that was running at the crash, or zero.
 	suspect Fingerprint
-	// exempt are the requests that are not blamed for it, since they ran well before.
+	// exempt are the requests that are not blamed for the crash, because they had completed recently.
 	exempt map[Fingerprint]bool
 }
 
@@ -174,7 +175,8 @@
 	}
 }
 
-// Begin asks whether the request may run. The crashes are those that its sender has seen it go through.
+// Begin decides whether the request may run. crashes is the number of crashes that its sender has seen the request
+// cause.
 func (t *Table) Begin(now time.Time, f Fingerprint, crashes int) Verdict {
 	if crashes > 0 && !t.isGood(now, f) {
 		t.Learn(now, Blame{Fingerprint: f, Crashes: crashes})
@@ -193,8 +195,8 @@
 	return Verdict{Action: Run}
 }
 
-// End takes in how a run that began at the given time ended. Where it reports true, the other nodes are to be told of
-// the blame.
+// End records how a run that began at the given time ended. If it reports true, the blame must be sent to the other
+// nodes.
 func (t *Table) End(now time.Time, f Fingerprint, began time.Time, ending Ending) (Blame, bool) {
 	if ending == Broken {
 		t.noteCrash(now, began)
@@ -209,7 +211,7 @@
 	return Blame{}, false
 }
 
-// Learn takes in what another node knows.
+// Learn records evidence from another node.
 func (t *Table) Learn(now time.Time, b Blame) {
 	if !b.Fingerprint.isValid() {
 		return
@@ -222,18 +224,18 @@
 	if e == nil {
 		e = t.add(now, b.Fingerprint)
 	}
-	fresh := e.addCrash(b.Crash)
-	if fresh || b.Crashes > e.Crashes {
+	isNew := e.addCrash(b.Crash)
+	if isNew || b.Crashes > e.Crashes {
 		e.addEvidence(Evidence{Crash: b.Crash, Source: Reported, At: now})
 	}
-	if !fresh && b.Crashes <= e.Crashes && b.Term <= e.Term {
+	if !isNew && b.Crashes <= e.Crashes && b.Term <= e.Term {
 		return
 	}
 	e.Crashes = max(e.Crashes, b.Crashes)
 	t.updateTerm(now, e, b.Term)
 }
 
-// Entries returns what is known against all requests.
+// Entries returns the evidence against all requests.
 func (t *Table) Entries() []Entry {
 	entries := make([]Entry, 0, len(t.entries))
 	for _, e := range t.entries {
@@ -246,7 +248,8 @@
 	return f.Service != "" && f.Kind != ""
 }
 
-// noteCrash notes which suspect was running when the first request of a crash broke.
+// noteCrash records a crash, and which suspect was running, when the first request breaks. Requests that break later in
+// the same crash don't change the record.
 func (t *Table) noteCrash(now, began time.Time) {
 	if now.Sub(t.lastCrash.at) <= t.config.CrashWindow && began.Before(t.lastCrash.at) {
 		return
@@ -258,14 +261,15 @@
 	return xxhash.Sum64String(t.config.Node + now.Format(time.RFC3339Nano))
 }
 
-// attributeCrash charges the crash: to the suspect alone if one was running, else to all that did not run well lately.
+// attributeCrash attributes the crash to the running suspect, or if there was none, to every request that did not
+// complete recently.
 func (t *Table) attributeCrash(now time.Time, f Fingerprint) (Blame, bool) {
 	if t.lastCrash.exempt[f] || t.lastCrash.suspect != (Fingerprint{}) && t.lastCrash.suspect != f {
 		return Blame{}, false
 	}
 	if t.isGood(now, f) {
 		t.lastCrash.exempt[f] = true
-		delete(t.good, f) // a second crash before it runs well again counts
+		delete(t.good, f) // a second crash before the request completes again counts
 		return Blame{Fingerprint: f}, true
 	}
 	e := t.entry(now, f)
@@ -280,22 +284,22 @@
 	return Blame{Fingerprint: f, Crash: t.lastCrash.id, Crashes: e.Crashes, Term: e.Term}, true
 }
 
-// updateTerm renews the expiry, and the term of refusal where there were enough crashes.
+// updateTerm extends the expiry of the evidence, and the term if there were enough crashes.
 func (t *Table) updateTerm(now time.Time, e *Entry, term time.Duration) {
 	e.Expires = now.Add(t.config.EvidenceLifetime)
 	if e.Crashes < t.config.MaxCrashes {
 		return
 	}
-	own := t.config.FirstTerm
+	ownTerm := t.config.FirstTerm
 	for range min(e.Crashes-t.config.MaxCrashes, maxDoublings) {
-		own = min(2*own, t.config.MaxTerm)
+		ownTerm = min(2*ownTerm, t.config.MaxTerm)
 	}
-	e.Term = min(max(own, term), t.config.MaxTerm)
+	e.Term = min(max(ownTerm, term), t.config.MaxTerm)
 	e.Until = now.Add(e.Term)
 	e.Expires = e.Until.Add(t.config.EvidenceLifetime)
 }
 
-// maxDoublings bounds the doublings of a term.
+// maxDoublings is the limit of doublings of a term.
 const maxDoublings = 16
 
 func (t *Table) clearSuspicion(now time.Time, f Fingerprint) {
@@ -322,7 +326,7 @@
 	return ok && now.Sub(at) <= t.config.GoodLifetime
 }
 
-// entry returns the evidence that has not expired, or nil.
+// entry returns the unexpired entry of the request, or nil.
 func (t *Table) entry(now time.Time, f Fingerprint) *Entry {
 	e, ok := t.entries[f]
 	if !ok {
@@ -344,7 +348,7 @@
 	return e
 }
 
-// makeRoom makes room, by force where nothing has expired.
+// makeRoom drops expired entries, and then any others until the table is below its limit.
 func (t *Table) makeRoom(now time.Time) {
 	for f, e := range t.entries {
 		if now.After(e.Expires) {
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// service is several nodes whose blames reach each other at once.
+// service is a set of nodes that receive each other's blame without delay.
 type service struct {
 	tables  []*quarantine.Table
 	crashes int
@@ -50,7 +50,7 @@
 	is.New(t).Equal(s.tables[node].Begin(now, f, 0).Action, quarantine.Run)
 }
 
-func TestCrashesBounded(t *testing.T) {
+func TestCrashesOfOneRequestAreLimited(t *testing.T) {
 	is := is.New(t)
 	s := newService(5)
 	poison, bystander := request("poison"), request("beside")
@@ -71,12 +71,12 @@
 	for _, table := range s.tables {
 		is.Equal(table.Begin(now, poison, 0).Action, quarantine.Refuse)
 	}
-	s.run(t, now, 0, bystander) // it was suspected, but never ran alone beside the second crash
+	s.run(t, now, 0, bystander) // suspected since the first crash, but not running at the second
 	s.tables[0].End(now, bystander, now, quarantine.Answered)
 	is.Equal(len(s.tables[0].Entries()), 1)
 }
 
-func TestCrashesAtOnceAddUp(t *testing.T) {
+func TestSimultaneousCrashesAddUp(t *testing.T) {
 	is := is.New(t)
 	s := newService(3)
 	poison := request("poison")
@@ -87,7 +87,7 @@
 	is.Equal(s.tables[2].Begin(start, poison, 0).Action, quarantine.Refuse)
 }
 
-func TestRanWellLately(t *testing.T) {
+func TestRecentlyCompletedRequestIsExemptOnce(t *testing.T) {
 	is := is.New(t)
 	s := newService(2)
 	sheets := request("sheets")
@@ -97,13 +97,13 @@
 	s.run(t, now, 0, sheets)
 	s.run(t, now, 0, sheets)
 	s.crash(now.Add(time.Millisecond), 0, now, sheets, sheets)
-	is.Equal(len(s.tables[0].Entries()), 0) // it ran well before: not suspected
+	is.Equal(len(s.tables[0].Entries()), 0) // completed recently: not suspected
 	for range 2 {
 		now = now.Add(time.Second)
 		s.run(t, now, 0, sheets)
 		s.crash(now.Add(time.Millisecond), 0, now, sheets)
 	}
-	is.Equal(s.tables[1].Begin(now, sheets, 0).Action, quarantine.Refuse) // but only once
+	is.Equal(s.tables[1].Begin(now, sheets, 0).Action, quarantine.Refuse) // the exemption holds for one crash
 }
 
 func TestTermGrowsAndExpires(t *testing.T) {
@@ -120,7 +120,7 @@
 	}
 	now = now.Add(c.EvidenceLifetime + time.Second)
 	s.run(t, now, 0, poison)
-	is.Equal(len(s.tables[0].Entries()), 0) // nothing outlives its evidence
+	is.Equal(len(s.tables[0].Entries()), 0) // the evidence has expired
 }
 
 func TestSuspectsRunOneAtATime(t *testing.T) {
@@ -130,20 +130,20 @@
 	s.run(t, start, 0, a)
 	s.run(t, start, 0, a)
 	s.run(t, start, 0, b)
-	s.crash(start, 0, start, a, a, b) // counts once against each
+	s.crash(start, 0, start, a, a, b) // one crash for each request
 	s.run(t, start, 1, a)
 	is.Equal(s.tables[1].Begin(start, b, 0).Action, quarantine.RetryLater)
-	s.run(t, start, 1, request("c")) // others go on
+	s.run(t, start, 1, request("c")) // requests without suspicion still run
 	s.tables[1].End(start, a, start, quarantine.Answered)
 	s.run(t, start, 1, b)
 }
 
-func TestCrashesCarriedByTheRequest(t *testing.T) {
+func TestCrashesSeenBySender(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable(quarantine.DefaultConfig)
 	is.Equal(table.Begin(start, request("a"), 1).Action, quarantine.Run)
-	is.Equal(table.Begin(start, request("b"), 1).Action, quarantine.RetryLater) // both are suspects already
+	is.Equal(table.Begin(start, request("b"), 1).Action, quarantine.RetryLater) // both are suspects
 	is.Equal(table.Begin(start, request("c"), 2).Action, quarantine.Refuse)
-	table.Learn(start, quarantine.Blame{Crashes: 9}) // names no request
+	table.Learn(start, quarantine.Blame{Crashes: 9}) // no fingerprint: ignored
 	is.Equal(len(table.Entries()), 3)
 }
