--- a/internal/decide/liveness/liveness.go
+++ b/internal/decide/liveness/liveness.go
@@ -1,17 +1,17 @@
-// Package liveness decides whether the local backend server is there. A node whose backend server is not there says so,
-// and the others send it nothing more, instead of each finding out by requests that fail.
+// Package liveness decides whether the local backend server is alive. A node whose backend server is down tells its
+// peers, which send it no more requests. Otherwise each peer would notice only when its own requests fail.
 //
-// Nothing is asked of a health endpoint, which may lag or mislead. What counts is what can't be had from a backend server
-// that is gone: accepted connections, answers, and announcements.
+// The package uses no health endpoint, which may lag or mislead. It uses only signs that a backend server which is down
+// can't give: accepted connections, answers and announcements.
 //
 // # Usage
 //
 //	t := liveness.NewTracker()
 //	t.Announced(now)
-//	t.Refused(now)
+//	t.ConnectionRefused()
 //	t.State(now) // Refusing
 //
-// All methods take the time as an argument; a Tracker is not safe for use by several goroutines.
+// The package does no I/O and reads no clock. A Tracker is not safe for concurrent use.
 package liveness
 
 import (
@@ -19,47 +19,48 @@
 	"time"
 )
 
-// State is whether the backend server is there.
+// State is the state of the backend server.
 type State string
 
 // The states.
 const (
-	// Alive is also the state of a backend server of which nothing is known yet.
+	// Alive is also the state of a backend server without any observation.
 	Alive State = "alive"
-	// Refusing says that connections are refused: the process has ended, or has not begun.
+	// Refusing means that connections are refused: the process has ended or has not started.
 	Refusing State = "refusing"
-	// Silent says that a backend server which announced itself regularly has stopped, and answers nothing either.
+	// Silent means that a backend server that announced itself regularly has stopped doing so, and gives no answers
+	// either.
 	Silent State = "silent"
 )
 
 const (
-	// minGaps is how many times between announcements must be known before their absence means anything.
+	// minGaps is the number of intervals between announcements that must be known before missing announcements count.
 	minGaps = 4
-	// maxRegularGap is the longest time between announcements that come regularly.
+	// maxRegularGap is the longest interval between announcements that counts as regular.
 	maxRegularGap = 2 * time.Second
-	// missedAnnouncements is how many announcements in a row must be missing.
+	// missedAnnouncements is the number of consecutive announcements that must be missing.
 	missedAnnouncements = 3
-	// minSilence is the least silence that means anything.
+	// minSilence is the shortest silence that counts.
 	minSilence = 1500 * time.Millisecond
 )
 
-// Tracker follows one backend server.
+// Tracker tracks the state of one backend server.
 type Tracker struct {
 	announced time.Time
 	answered  time.Time
-	// gaps are the latest times between announcements, at most regularGaps.
+	// gaps are the latest intervals between announcements, at most minGaps.
 	gaps     []time.Duration
 	refusing bool
-	// brokenSinceAccept says that a connection broke since the last accepted one.
+	// brokenSinceAccept reports whether a connection broke after the last accepted one.
 	brokenSinceAccept bool
 }
 
-// NewTracker returns a tracker of a backend server of which nothing is known yet.
+// NewTracker returns a tracker without observations.
 func NewTracker() *Tracker {
 	return &Tracker{}
 }
 
-// Announced notes an announcement.
+// Announced records an announcement.
 func (t *Tracker) Announced(now time.Time) {
 	if !t.announced.IsZero() {
 		t.gaps = append(t.gaps, now.Sub(t.announced))
@@ -70,33 +71,35 @@
 	t.announced = now
 }
 
-// Answered notes an answer.
+// Answered records an answer to a request.
 func (t *Tracker) Answered(now time.Time) {
 	t.answered = now
 	t.refusing, t.brokenSinceAccept = false, false
 }
 
-// ConnectionRefused notes a refused connection.
+// ConnectionRefused records a refused connection.
 func (t *Tracker) ConnectionRefused() {
 	t.refusing, t.brokenSinceAccept = true, false
 }
 
-// ConnectionBroken notes a connection that broke in the middle of a request.
+// ConnectionBroken records a connection that broke while a request was running.
 func (t *Tracker) ConnectionBroken() {
 	t.brokenSinceAccept = true
 }
 
-// ConnectionAccepted notes an accepted connection. It says nothing against silence: a process that hangs accepts connections.
+// ConnectionAccepted records an accepted connection. It doesn't end a silence, because a process that hangs still
+// accepts connections.
 func (t *Tracker) ConnectionAccepted() {
 	t.refusing, t.brokenSinceAccept = false, false
 }
 
-// NeedsProbe reports whether a connection should be opened to learn more. It is true after a refused or broken one.
+// NeedsProbe reports whether a connection should be opened to learn the state. It is true after a refused or broken
+// connection.
 func (t *Tracker) NeedsProbe() bool {
 	return t.refusing || t.brokenSinceAccept
 }
 
-// State returns whether the backend server is there.
+// State returns the state of the backend server.
 func (t *Tracker) State(now time.Time) State {
 	switch {
 	case t.refusing:
--- a/internal/decide/liveness/liveness_test.go
+++ b/internal/decide/liveness/liveness_test.go
@@ -11,7 +11,7 @@
 
 const interval = 500 * time.Millisecond
 
-// announce notes announcements at the given distance and returns the time of the last.
+// announce records announcements at the given interval and returns the time of the last one.
 func announce(t *liveness.Tracker, start time.Time, count int, gap time.Duration) time.Time {
 	for i := range count {
 		t.Announced(start.Add(time.Duration(i) * gap))
@@ -22,7 +22,7 @@
 func TestState(t *testing.T) {
 	start := time.Unix(1000, 0)
 	cases := map[string]struct {
-		do   func(t *liveness.Tracker) time.Time // returns the time to look at
+		do   func(t *liveness.Tracker) time.Time // returns the time of the check
 		want liveness.State
 	}{
 		"nothing is known": {
@@ -44,7 +44,7 @@
 			do:   func(t *liveness.Tracker) time.Time { t.ConnectionRefused(); t.ConnectionAccepted(); return start },
 			want: liveness.Alive,
 		},
-		"a broken connection proves nothing": {
+		"a broken connection": {
 			do:   func(t *liveness.Tracker) time.Time { t.ConnectionBroken(); return start },
 			want: liveness.Alive,
 		},
@@ -58,7 +58,7 @@
 			},
 			want: liveness.Silent,
 		},
-		"regular announcements stop for less than three times": {
+		"regular announcements stop for less than three intervals": {
 			do: func(t *liveness.Tracker) time.Time {
 				return announce(t, start, 10, interval).Add(1400 * time.Millisecond)
 			},
@@ -80,7 +80,7 @@
 			},
 			want: liveness.Silent,
 		},
-		"one announcement, and never again": {
+		"a single announcement": {
 			do:   func(t *liveness.Tracker) time.Time { return announce(t, start, 1, interval).Add(time.Hour) },
 			want: liveness.Alive,
 		},
