--- a/internal/decide/reach/reach.go
+++ b/internal/decide/reach/reach.go
@@ -1,12 +1,12 @@
-// Package reach remembers which nodes gave no answer, so that requests keep away from them, and says when each of them is
-// to be asked again. Requests themselves find out at a high price: while a connection to a node that is cut off is tried,
-// half of a request's time may pass, and there are many requests.
+// Package reach tracks the nodes that gave no answer, so that requests avoid them, and decides when to probe each of
+// these nodes. Requests would find out at a high cost: an attempt to connect to a node behind a network partition can
+// take half of a request's time, and there are many requests.
 //
 // # Usage
 //
 //	t := reach.NewTracker()
-//	t.Lost(now, "node_2")
-//	for _, node := range t.Due(now) { ... ask it; t.Found(node) if it answers ... }
+//	t.MarkUnreachable(now, "node_2")
+//	for _, node := range t.Due(now) { ... probe it; t.Clear(node) if it answers ... }
 //
 // The package does no I/O and reads no clock. A Tracker is not safe for concurrent use.
 package reach
@@ -17,9 +17,10 @@
 )
 
 const (
-	// initialProbeInterval is the time between the first two questions to a node; each further one doubles it.
+	// initialProbeInterval is the time between the first two probes of a node. The interval doubles with each further
+	// probe.
 	initialProbeInterval = 150 * time.Millisecond
-	// maxProbeInterval bounds that time. A node that is back is found within it.
+	// maxProbeInterval limits the interval. A node that is reachable again is found within it.
 	maxProbeInterval = 600 * time.Millisecond
 )
 
@@ -28,20 +29,20 @@
 	unreachable map[string]*probe
 }
 
-// probe is when a lost node is asked next.
+// probe is the schedule of the probes of one unreachable node.
 type probe struct {
 	since    time.Time
 	next     time.Time
 	interval time.Duration
 }
 
-// NewTracker returns a tracker that has lost nobody.
+// NewTracker returns a tracker without unreachable nodes.
 func NewTracker() *Tracker {
 	return &Tracker{unreachable: map[string]*probe{}}
 }
 
-// MarkUnreachable notes that a node gave no answer, and reports whether that is new. It is due at once: only its open connection may
-// have gone silent.
+// MarkUnreachable records that a node gave no answer, and reports whether this is new. The node is due for a probe at
+// once, because perhaps only its open connection has failed.
 func (t *Tracker) MarkUnreachable(now time.Time, node string) bool {
 	if _, known := t.unreachable[node]; known {
 		return false
@@ -50,33 +51,33 @@
 	return true
 }
 
-// Clear notes that a node answers again, or is no member any more. It returns since when it was lost, and false where it
-// wasn't.
+// Clear records that a node answers again or is no longer a member. It returns the time since which the node was
+// unreachable, and reports whether it was.
 func (t *Tracker) Clear(node string) (time.Time, bool) {
-	q, known := t.unreachable[node]
+	p, known := t.unreachable[node]
 	if !known {
 		return time.Time{}, false
 	}
 	delete(t.unreachable, node)
-	return q.since, true
+	return p.since, true
 }
 
-// Due returns the nodes that are to be asked now, by name, and sets the next time for each.
+// Due returns the names of the nodes to probe now, sorted, and schedules the next probe of each.
 func (t *Tracker) Due(now time.Time) []string {
 	var due []string
-	for node, q := range t.unreachable {
-		if now.Before(q.next) {
+	for node, p := range t.unreachable {
+		if now.Before(p.next) {
 			continue
 		}
 		due = append(due, node)
-		q.next = now.Add(q.interval)
-		q.interval = min(2*q.interval, maxProbeInterval)
+		p.next = now.Add(p.interval)
+		p.interval = min(2*p.interval, maxProbeInterval)
 	}
 	slices.Sort(due)
 	return due
 }
 
-// Len returns how many nodes are lost.
+// Len returns the number of unreachable nodes.
 func (t *Tracker) Len() int {
 	return len(t.unreachable)
 }
--- a/internal/decide/reach/reach_test.go
+++ b/internal/decide/reach/reach_test.go
@@ -11,14 +11,14 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// Pattern: a zone is cut off for six seconds. Its nodes are asked by few questions and not by requests, and each is found
-// soon after the cut has healed.
-func TestCutNodesAreAskedSeldomAndFoundSoon(t *testing.T) {
+// An availability zone is cut off for six seconds. Few probes are sent to its nodes, and each node is found soon after
+// the network has recovered.
+func TestUnreachableNodeIsProbedRarelyAndFoundSoon(t *testing.T) {
 	is := is.New(t)
 	tracker := reach.NewTracker()
 	const cut = 6 * time.Second
 	is.True(tracker.MarkUnreachable(start, "node_1"))
-	is.True(!tracker.MarkUnreachable(start, "node_1")) // many requests notice at once
+	is.True(!tracker.MarkUnreachable(start, "node_1")) // many requests fail at the same time
 	asked, found := 0, time.Duration(0)
 	for at := time.Duration(0); found == 0; at += 10 * time.Millisecond {
 		for range tracker.Due(start.Add(at)) {
@@ -37,8 +37,8 @@
 	is.Equal(len(tracker.Due(start.Add(time.Minute))), 0)
 }
 
-// Pattern: only the open connection to a node went silent. A question on a new one finds it at once.
-func TestLostNodeIsDueAtOnce(t *testing.T) {
+// Only the open connection to a node fails. A probe on a new connection reaches the node at once.
+func TestUnreachableNodeIsDueAtOnce(t *testing.T) {
 	is := is.New(t)
 	tracker := reach.NewTracker()
 	tracker.MarkUnreachable(start, "node_2")
