--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -1,13 +1,13 @@
-// Package roster decides which nodes are members, from their entries in the platform's store. A node writes its own
-// entry under a lease, so an entry goes away when its node dies, but also when only the way to the store is lost. An
-// entry that went without its node having said that it leaves makes the member unconfirmed: it stays for a time, and
-// who sends requests to it gives it up at the first failure.
+// Package roster decides which nodes are members, from their entries in the platform's store. A node writes its entry
+// under a lease. The entry is therefore deleted when the node dies, but also when only the node's connection to the
+// store is lost. If an entry is deleted although its node did not announce that it leaves, the member becomes
+// unconfirmed: it stays for a time, and a sender stops using it after the first failure.
 //
 // # Usage
 //
 //	r := roster.New(roster.DefaultConfig)
 //	r.Replace(now, entries)
-//	r.Apply(now, roster.Change{Key: key, Entry: entry})
+//	r.Apply(now, roster.Change{Entry: entry})
 //	members := r.Members(now)
 //
 // The package does no I/O and reads no clock. A Roster is not safe for concurrent use.
@@ -21,30 +21,31 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/membership"
 )
 
-// Config sets a Roster up.
+// Config configures a Roster.
 type Config struct {
 	// KeepUnconfirmed is how long a member without an entry is kept.
 	KeepUnconfirmed time.Duration
 }
 
-// DefaultConfig holds where nothing else is set.
+// DefaultConfig is the configuration used unless another is set.
 var DefaultConfig = Config{KeepUnconfirmed: 30 * time.Second}
 
 const (
-	// delayPerMember is what each member adds to the pause between two looks at what has changed. All members look at each
-	// change, so that without it the calls to the store would grow with the square of the fleet.
+	// delayPerMember is what each member adds to the delay between two reads of the changes. All members read each
+	// change. Without a delay that grows with the fleet, the calls to the store would grow with the square of the
+	// fleet.
 	delayPerMember = 15 * time.Millisecond
-	// minDelay lets the entries of a fleet that starts come together, and mostSettle bounds how late a change is known.
+	// minDelay lets the entries of a starting fleet arrive together. maxDelay limits how late a change is seen.
 	minDelay = 150 * time.Millisecond
 	maxDelay = 1500 * time.Millisecond
 )
 
-// CoalesceDelay returns the pause between two looks at what has changed, in a fleet of so many members.
+// CoalesceDelay returns the delay between two reads of the changes, in a fleet with the given number of members.
 func CoalesceDelay(members int) time.Duration {
 	return min(max(time.Duration(members)*delayPerMember, minDelay), maxDelay)
 }
 
-// Entry is what the store holds of one node.
+// Entry is the entry of one node in the store.
 type Entry struct {
 	Key      string
 	Revision uint64
@@ -57,7 +58,7 @@
 	Deleted bool
 }
 
-// Roster is what one node knows of all members.
+// Roster is the list of members known to one node.
 type Roster struct {
 	config  Config
 	entries map[string]*trackedMember
@@ -66,7 +67,7 @@
 // trackedMember is one member.
 type trackedMember struct {
 	Entry
-	// lapsedAt is when its entry went; zero while the entry is there.
+	// lapsedAt is when the entry was deleted; zero while it exists.
 	lapsedAt time.Time
 }
 
@@ -75,7 +76,8 @@
 	return &Roster{config: config, entries: map[string]*trackedMember{}}
 }
 
-// Replace takes in all entries that the store holds now.
+// Replace replaces the known entries by those that the store holds now. A member without an entry becomes unconfirmed,
+// or is dropped if it was leaving.
 func (r *Roster) Replace(now time.Time, entries []Entry) {
 	held := make(map[string]bool, len(entries))
 	for _, e := range entries {
@@ -89,7 +91,7 @@
 	}
 }
 
-// Apply takes in one change. One that is older than what is known does nothing.
+// Apply applies one change. A change that is older than the known entry has no effect.
 func (r *Roster) Apply(now time.Time, c Change) {
 	if before, ok := r.entries[c.Key]; ok && c.Revision < before.Revision {
 		return
@@ -110,7 +112,8 @@
 	r.entries[e.Key] = &trackedMember{Entry: e}
 }
 
-// dropReplacedAt forgets the members whose peer address now belongs to another node, also before their own entries go.
+// dropReplacedAt drops the members whose peer address now belongs to the entry's node, even before their own entries
+// are deleted.
 func (r *Roster) dropReplacedAt(e Entry) {
 	for key, k := range r.entries {
 		if key != e.Key && k.Member.PeerAddress == e.Member.PeerAddress && k.Revision < e.Revision {
@@ -130,7 +133,7 @@
 	}
 }
 
-// Members returns the members by name. Those without an entry are marked unconfirmed.
+// Members returns the members, sorted by name. Members without an entry are marked unconfirmed.
 func (r *Roster) Members(now time.Time) []membership.Member {
 	var members []membership.Member
 	for key, k := range r.entries {
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -30,14 +30,14 @@
 		want        bool
 		unconfirmed bool
 	}{
-		"entry stands":                    {[]roster.Change{{Entry: up}}, 0, true, false},
-		"entry went without a word":       {[]roster.Change{{Entry: up}, deleted("a", 6)}, time.Second, true, true},
-		"kept long enough":                {[]roster.Change{{Entry: up}, deleted("a", 6)}, time.Minute, false, false},
-		"said that it leaves":             {[]roster.Change{{Entry: leaving}, deleted("a", 6)}, 0, false, false},
-		"back under its name":             {[]roster.Change{{Entry: up}, deleted("a", 6), {Entry: entry("a", 7, membership.Up)}}, 0, true, false},
-		"an older change comes late":      {[]roster.Change{{Entry: up}, deleted("a", 4)}, 0, true, false},
-		"address taken by another later":  {[]roster.Change{{Entry: up}, deleted("a", 6), {Entry: roster.Entry{Key: "b", Revision: 8, Member: membership.Member{Node: "b", PeerAddress: up.Member.PeerAddress}}}}, 0, false, false},
-		"address taken by another before": {[]roster.Change{{Entry: up}, {Entry: roster.Entry{Key: "b", Revision: 8, Member: membership.Member{Node: "b", PeerAddress: up.Member.PeerAddress}}}, deleted("a", 9)}, 0, false, false},
+		"entry exists":                       {[]roster.Change{{Entry: up}}, 0, true, false},
+		"entry deleted without leaving":      {[]roster.Change{{Entry: up}, deleted("a", 6)}, time.Second, true, true},
+		"past the time that it is kept":      {[]roster.Change{{Entry: up}, deleted("a", 6)}, time.Minute, false, false},
+		"entry deleted after leaving":        {[]roster.Change{{Entry: leaving}, deleted("a", 6)}, 0, false, false},
+		"entry created again":                {[]roster.Change{{Entry: up}, deleted("a", 6), {Entry: entry("a", 7, membership.Up)}}, 0, true, false},
+		"an older change arrives late":       {[]roster.Change{{Entry: up}, deleted("a", 4)}, 0, true, false},
+		"address reused after the deletion":  {[]roster.Change{{Entry: up}, deleted("a", 6), {Entry: roster.Entry{Key: "b", Revision: 8, Member: membership.Member{Node: "b", PeerAddress: up.Member.PeerAddress}}}}, 0, false, false},
+		"address reused before the deletion": {[]roster.Change{{Entry: up}, {Entry: roster.Entry{Key: "b", Revision: 8, Member: membership.Member{Node: "b", PeerAddress: up.Member.PeerAddress}}}, deleted("a", 9)}, 0, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -59,8 +59,8 @@
 	}
 }
 
-// A list that lacks a member is like its entry going away.
-func TestReplaceKeepsWhoIsMissing(t *testing.T) {
+// A list that lacks a member has the effect of deleting the member's entry.
+func TestReplaceKeepsMissingMembers(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	r := roster.New(roster.DefaultConfig)
@@ -72,17 +72,17 @@
 	is.True(!members[1].Unconfirmed)
 }
 
-// Pattern: a fleet is restarted node by node. The calls to the store for it don't grow with the square of the fleet, and a
-// change is known soon.
-func TestSettleBoundsTheCallsOfAFleet(t *testing.T) {
+// A fleet is restarted node by node. The calls to the store must not grow with the square of the fleet, and a change
+// must be seen soon.
+func TestCoalesceDelayLimitsCallsToStore(t *testing.T) {
 	for name, test := range map[string]struct {
 		members int
-		// most is how many calls a second the whole fleet may come to.
+		// most is the limit of calls per second by the whole fleet.
 		most float64
 	}{
 		"13":  {13, 90},
 		"60":  {60, 90},
-		"300": {300, 200}, // a tenth of what the store of 13 members takes
+		"300": {300, 200}, // a tenth of the calls that the store of 13 members can take
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
