--- a/internal/decide/announcement/announcement.go
+++ b/internal/decide/announcement/announcement.go
@@ -1,24 +1,25 @@
-// Package announcement decides which of two announcements of a backend server is the later one. Announcements may be
-// delayed, and then come after those of a later start at the same address.
+// Package announcement decides which of two announcements of a backend server is newer. A delayed announcement can
+// arrive after announcements of a later start at the same address.
 //
 // # Usage
 //
-//	if announcement.IsLate(held, next) { ... nothing changes ... }
+//	if announcement.IsStale(held, next) { ... ignore next ... }
 //
 // The package does no I/O and reads no clock.
 package announcement
 
-// Position is the place of one announcement among all of those from one address.
+// Position is the position of one announcement in the order of all announcements from one address.
 type Position struct {
-	// Instance names the start of the backend server.
+	// Instance identifies the start of the backend server.
 	Instance string
-	// Started is when the backend server started, in milliseconds of Unix time by its own clock; 0 where it didn't say.
+	// Started is when the backend server started, in Unix milliseconds by its own clock; 0 if the announcement doesn't
+	// say.
 	Started int64
-	// Sequence counts the announcements of one start; 0 where it didn't say.
+	// Sequence numbers the announcements of one start; 0 if the announcement doesn't say.
 	Sequence uint64
 }
 
-// IsStale reports whether next was made before held.
+// IsStale reports whether next was not made after held. An announcement without the values to compare is not stale.
 func IsStale(held, next Position) bool {
 	if held.Started != next.Started {
 		return held.Started > next.Started && next.Started != 0
