--- a/internal/traffic/flow/budgets.go
+++ b/internal/traffic/flow/budgets.go
@@ -6,8 +6,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/retry"
 )
 
-// Budgets are the retry budgets of all services on this node, one for each. The Sender and the Home charge the same
-// ones.
+// Budgets holds one retry budget for each service. The Sender and the KeyOwner of a node share them.
 type Budgets struct {
 	config retry.BudgetConfig
 
@@ -15,33 +14,34 @@
 	byService map[string]*retry.Budget
 }
 
-// NewBudgets returns full budgets.
+// NewBudgets returns an empty set. The budget of a service is created full, at its first use.
 func NewBudgets(config retry.BudgetConfig) *Budgets {
 	return &Budgets{config: config, byService: map[string]*retry.Budget{}}
 }
 
-// earn adds what a good answer of the service earns.
+// earn credits the budget of the service for a successful reply.
 func (b *Budgets) earn(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budgetOf(service).Earn()
 }
 
-// decide applies the rules to a failed attempt and charges the service's budget where it may be tried again.
+// decide reports whether a failed attempt may be retried. If so, it charges the retry to the budget of the service.
 func (b *Budgets) decide(service string, a retry.Attempt) retry.Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return retry.Decide(a, b.budgetOf(service))
 }
 
-// limitToShare lowers what is kept for the service to this node's part of what the fleet may make at once.
+// limitToShare limits the budget of the service to this node's share of the retries that all nodes together may make at
+// once.
 func (b *Budgets) limitToShare(service string, fleetRetries float64, nodes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budgetOf(service).Cap(retry.PerNodeLimit(fleetRetries, nodes))
 }
 
-// tokens returns what is left of each.
+// tokens returns the tokens left in the budget of each service.
 func (b *Budgets) tokens() map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/traffic/flow/entry.go
+++ b/internal/traffic/flow/entry.go
@@ -11,22 +11,24 @@
 )
 
 const (
-	// failureRetention is how long a failed request is known at least, so that sending it again counts as such.
+	// failureRetention is the minimum time for which a failed request is remembered. If the caller sends it again within
+	// this time, it counts as resent.
 	failureRetention = 2 * time.Second
-	// maxFailures bounds the failed requests that are known.
+	// maxFailures limits the number of remembered failed requests.
 	maxFailures = 8192
-	// maxThrottles bounds the kinds and ranks that are watched; idle ones are dropped first.
+	// maxThrottles is the number of throttles from which idle ones are dropped before another is added.
 	maxThrottles = 1024
 )
 
-// throttleKey names the root requests that are watched together.
+// throttleKey identifies the root requests that share a throttle.
 type throttleKey struct {
 	service string
 	kind    string
 	rank    int
 }
 
-// entryThrottles refuses root requests that would be shed further down, before any work is done for them.
+// entryThrottles refuses root requests that would be shed further down their call chain, before any work is done for
+// them.
 type entryThrottles struct {
 	config throttle.Config
 
@@ -43,7 +45,7 @@
 	}
 }
 
-// admit returns the reply that refuses the request, or reports that it is admitted.
+// admit reports whether the request is admitted. If not, it returns the reply that refuses it.
 func (e *entryThrottles) admit(now time.Time, r *call.Request) (call.Reply, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,8 +61,9 @@
 	return call.Refused(outcome, call.ReasonOverload, verdict.RetryAfter), false
 }
 
-// isResent reports whether the caller sends again what failed. Under a caller's key only that counts of which the caller
-// was told that it has not run: any other may have an answer to fetch, which costs little.
+// isResent reports whether the caller has sent the request before and it failed. A request with a key from its caller
+// counts only if the caller was told that it has not run. Otherwise a remembered reply may exist, and returning it costs
+// little.
 func (e *entryThrottles) isResent(now time.Time, r *call.Request) bool {
 	if !e.failures.IsEmpty(now) && e.failures.Take(now, resendFingerprint(r)) {
 		return true
@@ -72,7 +75,7 @@
 	return r.Key != "" && !r.KeyMinted
 }
 
-// observe takes in the reply to an admitted request.
+// observe updates the throttle with the reply to an admitted request, and remembers the request if it failed.
 func (e *entryThrottles) observe(now time.Time, r *call.Request, reply *call.Reply) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,7 +108,7 @@
 	}
 }
 
-// throttleResult tells what a reply says about overload, here or further down.
+// throttleResult returns whether a reply indicates overload, on this node or further down the call chain.
 func throttleResult(reply *call.Reply) throttle.Result {
 	switch reply.Cause() {
 	case call.ReasonNone:
@@ -116,7 +119,7 @@
 	return throttle.Neutral
 }
 
-// resendFingerprint is the same for a request that its caller sends again.
+// resendFingerprint returns a hash that is equal for all copies of a request that its caller sends.
 func resendFingerprint(r *call.Request) uint64 {
 	key := ""
 	if hasCallerKey(r) {
@@ -125,7 +128,8 @@
 	return hashRequest(r, r.Root.Caller, r.Service, r.Method, r.Path, key)
 }
 
-// hashRequest returns a hash of the parts, which are kept apart, and of the request's body.
+// hashRequest returns a hash of the parts and the body of the request. A zero byte after each part keeps
+// ("ab", "c") and ("a", "bc") distinct.
 func hashRequest(r *call.Request, parts ...string) uint64 {
 	h := xxhash.New()
 	for _, part := range parts {
--- a/internal/traffic/flow/exchange.go
+++ b/internal/traffic/flow/exchange.go
@@ -22,21 +22,22 @@
 }
 
 const (
-	// replyGracePeriod is how long an answer may be on its way after the other node has ended the attempt.
+	// replyGracePeriod is how much longer to wait for the reply after the other node has said that the attempt is not
+	// running.
 	replyGracePeriod = 20 * time.Millisecond
-	// resolveTimeout bounds one such question.
+	// resolveTimeout is the timeout of one query about an attempt.
 	resolveTimeout = 500 * time.Millisecond
-	// maxSends is how often one attempt is sent while its fate is open. The receiver takes it once.
+	// maxSends limits how often one attempt is sent while its outcome is unknown. The receiver runs it at most once.
 	maxSends = 4
-	// resendDelay is the time before the next copy.
+	// resendDelay is the delay before an attempt is sent again. It doubles with each copy.
 	resendDelay = 50 * time.Millisecond
-	// maxChallenges is how many challenges one attempt answers.
+	// maxChallenges is how many challenges of the key owner are answered for one attempt.
 	maxChallenges = 3
 )
 
-// exchange carries one attempt to another node and watches over it, so that a silent connection is noticed. For a
-// non-idempotent request it finds out what became of the attempt where the answer is lost, and sends further copies
-// only to the same process, which takes the attempt once.
+// exchange sends one attempt to another node and queries that node on another connection while no reply arrives, so that
+// a dead connection is detected. If the reply to a non-idempotent request is lost, it asks for the outcome of the
+// attempt. Further copies go only to the same process, which runs the attempt at most once.
 type exchange struct {
 	peers            *peer.Client
 	local            Runner
@@ -46,7 +47,8 @@
 	self string
 }
 
-// callKeyed returns the reply, or a *peer.Error that says whether a copy was sent.
+// callKeyed sends an attempt that has a key and answers the challenges of the key owner. It returns the reply, or a
+// *peer.Error that says whether a copy was sent.
 func (x *exchange) callKeyed(ctx context.Context, target membership.Member, attempt *call.Request) (call.Reply, error) {
 	attempt.AttemptID = newAttemptID()
 	attempt.TargetIncarnation = target.Incarnation
@@ -61,7 +63,7 @@
 	return call.Refused(call.NotAdmitted, call.ReasonOverload, ownerRetryAfter), nil
 }
 
-// sendUntilAnswered sends copies until one is answered.
+// sendUntilAnswered sends copies of the attempt until one is answered.
 func (x *exchange) sendUntilAnswered(ctx context.Context, target membership.Member, attempt *call.Request) (call.Reply, error) {
 	if target.Node == x.self {
 		return x.local.Receive(ctx, attempt), nil
@@ -84,8 +86,8 @@
 	}
 }
 
-// errOutcomeUnresolvable says that the other node can't tell what became of the attempt and never will.
-var errOutcomeUnresolvable = errors.New("the node was restarted since")
+// errOutcomeUnresolvable reports that the other process has no record of the attempt, so that asking again is useless.
+var errOutcomeUnresolvable = errors.New("the node was restarted after the attempt was sent")
 
 func failureReason(err error) call.Reason {
 	var failure *peer.Error
@@ -95,15 +97,16 @@
 	return call.ReasonPeerUnreachable
 }
 
-// callIdempotent sends one attempt of an idempotent request. It gives up on it, so that another instance can be
-// tried, where the other node is not working on it or can't be asked.
+// callIdempotent sends one attempt of an idempotent request. It gives up, so that another instance can be tried, if the
+// other node is not working on the attempt or does not answer the query about it.
 func (x *exchange) callIdempotent(ctx context.Context, target membership.Member, attempt *call.Request) (call.Reply, error) {
 	attempt.TargetIncarnation = target.Incarnation
 	return x.send(ctx, target.PeerAddress, attempt, x.resolveIdempotent)
 }
 
-// callAtMostOnce sends one attempt of a request that may run once at most and has no key. Where the answer is lost it asks
-// the process that got the attempt, which then never begins it; only that makes it safe to send the request elsewhere.
+// callAtMostOnce sends one attempt of a non-idempotent request without a key. If the reply is lost, it queries the process
+// that the attempt was sent to. If the attempt has not started there, the query fences it: that process will never start
+// it. Only then is it safe to send the request elsewhere.
 func (x *exchange) callAtMostOnce(ctx context.Context, target membership.Member, attempt *call.Request) (call.Reply, error) {
 	attempt.TargetIncarnation = target.Incarnation
 	reply, err := x.send(ctx, target.PeerAddress, attempt, x.resolveAtMostOnce)
@@ -117,7 +120,8 @@
 	return reply, err
 }
 
-// resolveAtMostOnce asks about an attempt and reports true where that settles it. While nobody can be asked, waiting goes on.
+// resolveAtMostOnce queries the other node about an attempt and reports whether the result of the attempt is decided.
+// While the attempt runs or the query fails, it is not.
 func (x *exchange) resolveAtMostOnce(ctx context.Context, address string, attempt *call.Request) (attemptResult, bool) {
 	resolution, err := x.queryAttempt(ctx, address, attempt)
 	if err != nil || ctx.Err() != nil || resolution.Known && resolution.State == outcome.Running {
@@ -130,7 +134,7 @@
 	return attemptResult{err: &peer.Error{Address: address, Sent: true, Reason: call.ReasonPeerSilent, Cause: errNotRunning}}, true
 }
 
-// queryAttempt asks the process that an attempt without a key was sent to what became of it.
+// queryAttempt asks the process that received an attempt without a key for its outcome.
 func (x *exchange) queryAttempt(ctx context.Context, address string, attempt *call.Request) (peer.Resolution, error) {
 	question := peer.ResolveQuery{
 		AttemptID:   attempt.AttemptID,
@@ -140,11 +144,11 @@
 	return x.peers.Resolve(ctx, address, question, resolveTimeout)
 }
 
-// resolver asks the node at the address about an attempt whose answer takes long. It reports false where waiting
-// goes on.
+// resolver queries the node at the address about an attempt whose reply is overdue. It reports false if the sender should
+// keep waiting.
 type resolver func(ctx context.Context, address string, attempt *call.Request) (attemptResult, bool)
 
-// send sends one copy and watches over it. The watch ends the copy where it settles the attempt first.
+// send sends one copy of the attempt and monitors it. If the monitor obtains a result first, it cancels the copy.
 func (x *exchange) send(ctx context.Context, address string, attempt *call.Request, resolve resolver) (call.Reply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	sent := *attempt
@@ -166,7 +170,7 @@
 	return reply, err
 }
 
-// attemptMonitor asks about an attempt whose answer takes long, again and again, each time after twice the patience.
+// attemptMonitor queries the other node about an attempt whose reply is overdue. The delay doubles with each query.
 type attemptMonitor struct {
 	results chan attemptResult
 	group   conc.WaitGroup
@@ -176,7 +180,8 @@
 	timer   *time.Timer
 }
 
-// schedule asks once the patience has passed. Where that settles the attempt, a last moment is given to the answer itself.
+// schedule starts a query after the delay. If the query returns an error for the attempt, the reply itself still gets
+// replyGracePeriod to arrive.
 func (m *attemptMonitor) schedule(ctx context.Context, delay time.Duration, resolve func() (attemptResult, bool), cancel context.CancelFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -199,7 +204,7 @@
 	})
 }
 
-// spawn runs f in the group, unless the watch has ended.
+// spawn runs f in the group, unless the monitor has been stopped.
 func (m *attemptMonitor) spawn(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,7 +213,7 @@
 	}
 }
 
-// stop ends the watch; what is being asked goes on.
+// stop prevents further queries. A query that is in progress continues.
 func (m *attemptMonitor) stop() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -216,7 +221,7 @@
 	m.timer.Stop()
 }
 
-// result returns what settled the attempt.
+// result returns the result that a query obtained, if any.
 func (m *attemptMonitor) result() (attemptResult, bool) {
 	select {
 	case result := <-m.results:
@@ -226,7 +231,7 @@
 	}
 }
 
-// reportUnreachable logs a node that no connection could be made to.
+// reportUnreachable logs that no connection to a node could be made.
 func (x *exchange) reportUnreachable(err error) {
 	var failure *peer.Error
 	if errors.As(err, &failure) && !failure.Sent && failure.Reason == call.ReasonPeerUnreachable {
@@ -234,19 +239,19 @@
 	}
 }
 
-// dropConnections closes the kept connections to a node on one of which an attempt was lost.
+// dropConnections closes the idle connections to a node after an attempt was lost on one of its connections.
 func (x *exchange) dropConnections(address string) {
 	x.peers.CloseIdle(address)
 	x.log.Emit(time.Now(), events.PeerSilent, events.Fields{"peer": address})
 }
 
-// attemptResult is the end of one exchange.
+// attemptResult is the reply to an attempt, or the error that ended it.
 type attemptResult struct {
 	reply call.Reply
 	err   error
 }
 
-// resolveKeyed asks what became of the attempt. It reports false where that is still open.
+// resolveKeyed asks the key owner for the outcome of an attempt. It reports false if the outcome is not decided yet.
 func (x *exchange) resolveKeyed(ctx context.Context, address string, attempt *call.Request) (attemptResult, bool) {
 	resolution, err := x.peers.Resolve(ctx, address, peer.ResolveQuery{
 		AttemptID:   attempt.AttemptID,
@@ -264,7 +269,7 @@
 	return resultOf(address, resolution)
 }
 
-// resultOf turns the answer about an attempt into its end, if that is known.
+// resultOf converts a resolution to the result of the attempt. It reports false if the attempt is still running.
 func resultOf(address string, r peer.Resolution) (attemptResult, bool) {
 	notRunning := &peer.Error{Address: address, Sent: true, Reason: call.ReasonPeerSilent, Cause: errNotRunning}
 	switch {
@@ -283,7 +288,7 @@
 	}
 }
 
-// resolveIdempotent asks whether the other node is working on the attempt of an idempotent request.
+// resolveIdempotent asks the other node whether it is working on the attempt of an idempotent request.
 func (x *exchange) resolveIdempotent(ctx context.Context, address string, attempt *call.Request) (attemptResult, bool) {
 	resolution, err := x.queryAttempt(ctx, address, attempt)
 	if ctx.Err() != nil || err == nil && resolution.State == outcome.Running {
@@ -293,5 +298,5 @@
 	return attemptResult{err: &peer.Error{Address: address, Sent: true, Reason: call.ReasonPeerSilent, Cause: errNotRunning}}, true
 }
 
-// errNotRunning says that the other node is not working on an attempt although it was sent.
-var errNotRunning = errors.New("the other node is not working on the attempt")
+// errNotRunning reports that the other node is not working on an attempt that was sent to it.
+var errNotRunning = errors.New("the other node is not working on the attempt that was sent to it")
--- a/internal/traffic/flow/fenced.go
+++ b/internal/traffic/flow/fenced.go
@@ -11,8 +11,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// FencedRunner runs the attempts of requests without keys, each once at most, and tells what became of those whose answer was
-// lost.
+// FencedRunner runs attempts of requests without keys, each at most once, and answers queries about attempts whose reply
+// was lost.
 type FencedRunner struct {
 	local       Runner
 	incarnation uint64
@@ -21,12 +21,12 @@
 	table *fence.Table
 }
 
-// NewFencedRunner returns a Fenced for this process that hands attempts to local.
+// NewFencedRunner returns a FencedRunner for the process with the incarnation. It passes attempts on to local.
 func NewFencedRunner(local Runner, incarnation uint64) *FencedRunner {
 	return &FencedRunner{local: local, incarnation: incarnation, table: fence.NewTable()}
 }
 
-// Receive runs one attempt.
+// Receive runs the attempt, unless it has been fenced or has come before.
 func (f *FencedRunner) Receive(ctx context.Context, r *call.Request) call.Reply {
 	if !f.begin(r.AttemptID) {
 		return call.Refused(call.NotRun, call.ReasonPeerSilent, 0)
@@ -42,21 +42,22 @@
 	return f.table.Begin(time.Now(), id)
 }
 
-func (f *FencedRunner) end(id string, started bool) {
+func (f *FencedRunner) end(id string, mayHaveRun bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.table.End(time.Now(), id, started)
+	f.table.End(time.Now(), id, mayHaveRun)
 }
 
-// fenceStates are the states as other nodes are told of them.
+// fenceStates maps the states of the fence table to the states that other nodes are told.
 var fenceStates = map[fence.State]outcome.State{
 	fence.Fenced:  outcome.NotRun,
 	fence.Running: outcome.Running,
 	fence.Ran:     outcome.Absent,
 }
 
-// Resolve tells what became of an attempt. One that did not come here is fenced only where it was sent to this process: an
-// earlier one may have run it. The asking node may know an earlier start of this one, and have sent the attempt here.
+// Resolve returns the state of an attempt. An attempt that has not arrived is fenced only if it was sent to this
+// incarnation, because an earlier process may have run it. If the sender still knows an earlier incarnation but the attempt
+// did arrive here, its state is returned as well.
 func (f *FencedRunner) Resolve(q peer.ResolveQuery) peer.Resolution {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,12 +67,12 @@
 	return peer.Resolution{Known: true, State: fenceStates[f.table.Resolve(time.Now(), q.AttemptID)]}
 }
 
-// TakeOver refuses: no keys are remembered here.
+// TakeOver refuses all parts, because a FencedRunner stores no keys.
 func (f *FencedRunner) TakeOver(context.Context, peer.HandoverPart) (bool, error) {
 	return false, nil
 }
 
-// Promise refuses: there are no shards of keys.
+// Promise refuses all promises, because a FencedRunner keeps no shards of keys.
 func (f *FencedRunner) Promise(peer.PromiseQuery) peer.PromiseResult {
 	return peer.PromiseResult{}
 }
--- a/internal/traffic/flow/fenced_test.go
+++ b/internal/traffic/flow/fenced_test.go
@@ -11,18 +11,18 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// callbackRunner is a backend server during whose work the sender asks.
+// callbackRunner calls a function while it runs a request.
 type callbackRunner struct {
 	during func()
 }
 
-func (a callbackRunner) Receive(context.Context, *call.Request) call.Reply {
-	a.during()
+func (r callbackRunner) Receive(context.Context, *call.Request) call.Reply {
+	r.during()
 	return call.Reply{Outcome: call.Ran, Status: 200}
 }
 
-// A sender that still knows an earlier start of the node must not be told that the attempt isn't here while it runs.
-func TestResolveKnowsWhatRunsHere(t *testing.T) {
+// A sender that still knows an earlier incarnation of the node must not be told that an attempt is absent while it runs.
+func TestResolveRunningAttemptOfEarlierIncarnation(t *testing.T) {
 	is := is.New(t)
 	var f *FencedRunner
 	ask := func(id string, incarnation uint64) peer.Resolution {
@@ -33,7 +33,7 @@
 		is.Equal(ask("a", 2), peer.Resolution{Known: true, State: outcome.Running})
 	}}, 2)
 	is.Equal(f.Receive(t.Context(), &call.Request{AttemptID: "a"}).Outcome, call.Ran)
-	is.Equal(ask("b", 1), peer.Resolution{})                                   // an earlier process may have run it
-	is.Equal(ask("c", 2), peer.Resolution{Known: true, State: outcome.NotRun}) // it never will
+	is.Equal(ask("b", 1), peer.Resolution{})                                   // the earlier process may have run it
+	is.Equal(ask("c", 2), peer.Resolution{Known: true, State: outcome.NotRun}) // the query fences the attempt
 	is.Equal(f.Receive(t.Context(), &call.Request{AttemptID: "c"}).Outcome, call.NotRun)
 }
--- a/internal/traffic/flow/handover.go
+++ b/internal/traffic/flow/handover.go
@@ -18,13 +18,14 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// handovers are what other nodes handed over to this one, and what it will hand over itself.
+// handovers holds the key handovers that this node receives, and the earlier owners whose keys it took over.
 type handovers struct {
-	// parts are those of handovers that are not complete.
+	// parts holds the received parts of incomplete handovers, by handover id and index.
 	parts map[string]map[int]peer.HandoverPart
-	// complete are the complete ones.
+	// complete holds the ids of the handovers that were received completely.
 	complete map[string]bool
-	// formerOwners are the earlier nodes for whose keys this one answers, with the time until which that matters.
+	// formerOwners are the earlier owners whose keys this node answers for, with the time after which all their keys have
+	// expired.
 	formerOwners map[outcome.Node]time.Time
 }
 
@@ -36,33 +37,33 @@
 	}
 }
 
-func (o *handovers) answersFor(owner outcome.Node) bool {
-	_, ok := o.formerOwners[owner]
+func (h *handovers) answersFor(owner outcome.Node) bool {
+	_, ok := h.formerOwners[owner]
 	return ok
 }
 
-// add keeps a part and returns all parts once they are complete.
-func (o *handovers) add(p peer.HandoverPart) []peer.HandoverPart {
-	if o.complete[p.ID] {
+// add stores a part. It returns all parts of the handover when the last one arrives, and nil otherwise.
+func (h *handovers) add(p peer.HandoverPart) []peer.HandoverPart {
+	if h.complete[p.ID] {
 		return nil
 	}
-	if o.parts[p.ID] == nil {
-		o.parts[p.ID] = map[int]peer.HandoverPart{}
+	if h.parts[p.ID] == nil {
+		h.parts[p.ID] = map[int]peer.HandoverPart{}
 	}
-	o.parts[p.ID][p.Part] = p
-	if len(o.parts[p.ID]) < p.Parts {
+	h.parts[p.ID][p.Part] = p
+	if len(h.parts[p.ID]) < p.Parts {
 		return nil
 	}
 	var all []peer.HandoverPart
-	for _, part := range o.parts[p.ID] {
+	for _, part := range h.parts[p.ID] {
 		all = append(all, part)
 	}
-	delete(o.parts, p.ID)
-	o.complete[p.ID] = true
+	delete(h.parts, p.ID)
+	h.complete[p.ID] = true
 	return all
 }
 
-// TakeOver takes in a part of a leaving node's keys. A node that leaves itself never takes any.
+// TakeOver accepts a part of the keys of a leaving node. A node that is leaving itself refuses.
 func (o *KeyOwner) TakeOver(ctx context.Context, p peer.HandoverPart) (bool, error) {
 	if p.TargetIncarnation != o.config.Self.Incarnation {
 		return false, errOtherIncarnation
@@ -74,18 +75,18 @@
 	return accepted, nil
 }
 
-// errOtherIncarnation says that keys were sent to a former process of this name.
-var errOtherIncarnation = errors.New("the keys are for a former process of this node")
+// errOtherIncarnation reports that the keys were sent to an earlier incarnation of this node.
+var errOtherIncarnation = errors.New("the keys were sent to an earlier incarnation of this node")
 
-// formerOwnerNames returns the names of the nodes for which this one answers.
+// formerOwnerNames returns the names of the earlier owners that this node answers for, as written in its record.
 func (o *KeyOwner) formerOwnerNames() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return ownerNames(o.handovers.formerOwners)
 }
 
-// acceptPart reports whether the part is taken. A handover that was complete before this node began to leave stays
-// taken, however late a part comes again.
+// acceptPart reports whether the part is accepted. If a handover was complete before this node began to leave, its parts
+// are accepted however late they are sent again.
 func (o *KeyOwner) acceptPart(p peer.HandoverPart) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -111,16 +112,16 @@
 	}
 }
 
-// expireFormerOwners drops the earlier nodes whose keys are all too old by now.
-func (o *handovers) expireFormerOwners(now time.Time) {
-	for owner, until := range o.formerOwners {
+// expireFormerOwners removes the earlier owners whose keys have all expired.
+func (h *handovers) expireFormerOwners(now time.Time) {
+	for owner, until := range h.formerOwners {
 		if now.After(until) {
-			delete(o.formerOwners, owner)
+			delete(h.formerOwners, owner)
 		}
 	}
 }
 
-// ownerName is how a node with its incarnation is written on the board.
+// ownerName returns the name of a node and its incarnation, as written in the records of the nodes that answer for it.
 func ownerName(n outcome.Node) string {
 	return n.Name + "@" + strconv.FormatUint(n.Incarnation, 36)
 }
@@ -135,17 +136,18 @@
 }
 
 const (
-	// handoverTimeout bounds one message of a handover.
+	// handoverTimeout is the timeout of one handover message.
 	handoverTimeout = time.Second
-	// maxHandoverAttempts is how often a message is sent before the successor is given up.
+	// maxHandoverAttempts is how often a handover message is sent before the handover to this successor is given up.
 	maxHandoverAttempts = 5
-	// handoverPartBytes is about how much one message of a handover carries.
+	// handoverPartBytes is the approximate size limit of the keys in one handover message.
 	handoverPartBytes = 512 << 10
-	// runningKeysPollInterval is the time between looks at what still runs.
+	// runningKeysPollInterval is the interval between checks for requests that are still running.
 	runningKeysPollInterval = 5 * time.Millisecond
 )
 
-// ChooseSuccessor chooses the node that gets the keys: of the same service and availability zone where there is one.
+// ChooseSuccessor returns the node that should take over the keys. It prefers the same service, then the same
+// availability zone.
 func ChooseSuccessor(b *board.Board) (membership.Member, bool) {
 	var best membership.Member
 	bestScore := -1
@@ -161,7 +163,7 @@
 	return best, bestScore >= 0
 }
 
-// successorScore is higher for a better successor.
+// successorScore returns a number that is higher for a better successor.
 func successorScore(b *board.Board, m membership.Member) int {
 	score := 0
 	if m.Service == b.Backend.Service {
@@ -173,21 +175,21 @@
 	return score
 }
 
-// HandoverResult says how a handover ended.
+// HandoverResult is the result of a handover.
 type HandoverResult int
 
-// The results.
+// Results of a handover.
 const (
-	// HandoverUnknown means that the successor may have the keys. They must not go to another node.
+	// HandoverUnknown means that the successor may have the keys. They must not be sent to another node.
 	HandoverUnknown HandoverResult = iota
 	// HandoverAccepted means that the successor has the keys.
 	HandoverAccepted
-	// HandoverRefused means that the successor takes nothing because it leaves too.
+	// HandoverRefused means that the successor accepted no keys because it is leaving too.
 	HandoverRefused
 )
 
-// HandOver lets no further key run here, waits until none runs, and hands all keys to the successor. It returns how
-// many keys there were.
+// HandOver stops the start of requests with keys, waits until the running ones have ended, and sends all keys to the
+// successor. It returns the number of keys.
 func (o *KeyOwner) HandOver(ctx context.Context, peers *peer.Client, successor membership.Member) (int, HandoverResult) {
 	o.beginLeaving()
 	for o.Size().Running > 0 {
@@ -204,7 +206,7 @@
 	return keys, HandoverAccepted
 }
 
-// beginLeaving closes the table of keys and refuses the handovers of others.
+// beginLeaving closes the key table and makes this node refuse handovers from other nodes.
 func (o *KeyOwner) beginLeaving() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -227,7 +229,8 @@
 	return HandoverUnknown
 }
 
-// handoverParts splits the keys into messages. The homes go with every part.
+// handoverParts splits the keys into messages and returns them with the number of keys. Every message names all owners
+// whose keys are handed over.
 func (o *KeyOwner) handoverParts(target uint64) ([]peer.HandoverPart, int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/traffic/flow/home.go
+++ b/internal/traffic/flow/home.go
@@ -17,26 +17,26 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// KeyOwnerConfig sets a Home up.
+// KeyOwnerConfig configures a KeyOwner.
 type KeyOwnerConfig struct {
 	Board *board.Loop
-	// Self is this process.
+	// Self is the name and incarnation of this node.
 	Self outcome.Node
-	// Zones are all availability zones; the same list everywhere.
+	// Zones lists all availability zones. It must be the same on all nodes.
 	Zones []string
 	// Local runs requests on the local backend server.
 	Local Runner
-	// Delegate passes a request on to another instance of its service.
+	// Delegate sends a request to another instance of its service.
 	Delegate func(ctx context.Context, r *call.Request) call.Reply
-	// ResolveAt asks another node on a new connection.
+	// ResolveAt sends a query to another node on a new connection.
 	ResolveAt func(ctx context.Context, address string, q peer.ResolveQuery) (peer.Resolution, error)
-	// Budgets are charged for requests that are passed on.
+	// Budgets holds the retry budgets that delegated requests are charged to.
 	Budgets *Budgets
 	Load    func() call.Load
 	Table   outcome.TableConfig
 }
 
-// KeyOwner runs the requests whose keys this node decides about, each at most once, and remembers what became of them.
+// KeyOwner runs the non-idempotent requests whose keys this node owns, each at most once, and remembers their outcomes.
 // Idempotent requests pass through it.
 type KeyOwner struct {
 	config KeyOwnerConfig
@@ -44,7 +44,7 @@
 	open   *openAttempts
 
 	mu sync.Mutex
-	// keys are those that this node decides about; delegated are the attempts that other homes sent here.
+	// keys holds the keys that this node owns. delegated holds the attempts that other key owners delegated to this node.
 	keys       *outcome.Table[call.Reply]
 	delegated  *outcome.Table[call.Reply]
 	executions map[string]*keyedExecution
@@ -52,13 +52,13 @@
 	leaving    bool
 }
 
-// keyedExecution is a request that is being run for one or more copies.
+// keyedExecution is a running request that one or more copies wait for.
 type keyedExecution struct {
 	done  chan struct{}
 	reply call.Reply
 }
 
-// NewKeyOwner returns a home without keys.
+// NewKeyOwner returns a KeyOwner without keys.
 func NewKeyOwner(config KeyOwnerConfig) *KeyOwner {
 	return &KeyOwner{
 		config:     config,
@@ -71,15 +71,15 @@
 }
 
 const (
-	// ownerRetryAfter is when to come back where a home can't take a key now.
+	// ownerRetryAfter is the Retry-After time of replies that refuse a key for now.
 	ownerRetryAfter = 250 * time.Millisecond
-	// expiryInterval is the time between looks for keys to forget.
+	// expiryInterval is the interval between removals of expired keys.
 	expiryInterval = time.Second
-	// replyOverheadBytes is what a remembered reply costs besides its body.
+	// replyOverheadBytes is the estimated memory of a remembered reply without its body.
 	replyOverheadBytes = 512
 )
 
-// Run forgets old keys until the context ends.
+// Run removes expired keys until the context ends.
 func (o *KeyOwner) Run(ctx context.Context) {
 	for pause.For(ctx, expiryInterval) {
 		o.expire(time.Now())
@@ -94,14 +94,14 @@
 	o.handovers.expireFormerOwners(now)
 }
 
-// Size returns the memory that the keys use.
+// Size returns the number of keys and the memory that they use.
 func (o *KeyOwner) Size() outcome.Size {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.keys.Size()
 }
 
-// Receive runs the request, or answers with what became of an earlier copy.
+// Receive runs the request, or returns the outcome of an earlier copy.
 func (o *KeyOwner) Receive(ctx context.Context, r *call.Request) call.Reply {
 	if r.Idempotent {
 		o.open.begin(r.AttemptID)
@@ -130,8 +130,9 @@
 	return o.handleCopy(ctx, r, o.keys, copyDetails(r, key, keyID(r.Service, r.Key)), o.execute)
 }
 
-// claimKey reports whether this node may run the key now, or returns the reply to the request. Asking earlier homes takes
-// time, in which the node's epoch may end; for a key without a time, a later home would no longer ask this one.
+// claimKey reports whether this node may run the key now. If not, it returns the reply to the request. Querying earlier
+// owners takes time, and the epoch of this node may end meanwhile. For a key without a time the epoch is therefore checked
+// again afterwards: the next owner no longer asks this node, so running the key here could run it twice.
 func (o *KeyOwner) claimKey(ctx context.Context, r *call.Request, key outcome.Key) (call.Reply, bool) {
 	earlier, ok := o.ownsKey(r.Service, key)
 	if ok && len(earlier) > 0 {
@@ -143,8 +144,8 @@
 	return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, ownerRetryAfter), ok
 }
 
-// ownsKey reports whether this node may run the key: it is the home that the key or the agreed epochs name, or that
-// home has handed its keys over to this node. The other nodes returned must have moved the key before.
+// ownsKey reports whether this node may run the key. It may if it is the owner according to the key or the agreed epochs,
+// or if that owner has handed its keys over to this node. The key must first be moved here from the nodes returned.
 func (o *KeyOwner) ownsKey(service string, key outcome.Key) ([]outcome.Node, bool) {
 	owner, earlier, ok := ownerOf(o.config.Board.Snapshot(), o.config.Zones, service, key, o.config.Table.Window)
 	if !ok {
@@ -162,7 +163,7 @@
 	return owner == o.config.Self || o.handovers.answersFor(owner)
 }
 
-// ownerOf returns the home of a key. For a key without a time, the nodes that were its home before come with it.
+// ownerOf returns the owner of a key. For a key without a time, it also returns the earlier owners.
 func ownerOf(b *board.Board, zones []string, service string, key outcome.Key, window time.Duration) (outcome.Node, []outcome.Node, bool) {
 	if !key.Owner.IsZero() {
 		return key.Owner, nil, true
@@ -193,14 +194,14 @@
 	}
 }
 
-// contentHash tells requests apart that come under one key.
+// contentHash returns a nonzero hash of the request, which shows whether another request came with the same key.
 func contentHash(r *call.Request) uint64 {
 	return max(hashRequest(r, r.Service, r.Method, r.Path), 1)
 }
 
 type executeFunc func(ctx context.Context, r *call.Request) call.Reply
 
-// handleCopy decides about one copy of a request and returns its answer.
+// handleCopy runs one copy of a request, waits for the copy that is running, or answers without running it.
 func (o *KeyOwner) handleCopy(ctx context.Context, r *call.Request, table *outcome.Table[call.Reply], details outcome.RequestCopy, execute executeFunc) call.Reply {
 	verdict, execution := o.beginCopy(ctx, r, table, details, execute)
 	switch verdict.Action {
@@ -215,7 +216,7 @@
 	}
 }
 
-// refusalReplies are the replies to copies that were neither run nor answered.
+// refusalReplies holds the replies to copies that were neither run nor answered.
 var refusalReplies = map[outcome.Action]call.Reply{
 	outcome.RefuseNotRun: call.Refused(call.NotRun, call.ReasonOverload, ownerRetryAfter),
 	outcome.RefuseReused: call.Refused(call.NotAdmitted, call.ReasonKeyReused, 0),
@@ -224,8 +225,8 @@
 	outcome.RefuseClosed: call.Refused(call.NotAdmitted, call.ReasonDraining, ownerRetryAfter),
 }
 
-// challengeReply asks the source to send the request again if its caller still waits. An attempt that a home delegated
-// and fenced is over.
+// challengeReply returns a reply that asks the sender to repeat the request with the token if its caller still waits. A
+// delegated attempt that was fenced has ended, so it is refused.
 func challengeReply(r *call.Request, token string) call.Reply {
 	if r.Delegated {
 		return refusalReplies[outcome.RefuseNotRun]
@@ -245,7 +246,7 @@
 	return verdict, o.executions[details.ID]
 }
 
-// startExecution runs the request apart from the connection that brought it, so that a later copy finds the answer.
+// startExecution runs the request independently of the connection it came on, so that a later copy can get the reply.
 func (o *KeyOwner) startExecution(ctx context.Context, r *call.Request, table *outcome.Table[call.Reply], details outcome.RequestCopy, execute executeFunc) {
 	execution := &keyedExecution{done: make(chan struct{})}
 	o.executions[details.ID] = execution
@@ -281,7 +282,7 @@
 	}
 }
 
-// execute runs the request on the local backend server, or passes it on once where that did not run it.
+// execute runs the request on the local backend server. If the request did not run there, it may be delegated once.
 func (o *KeyOwner) execute(ctx context.Context, r *call.Request) call.Reply {
 	reply := o.config.Local.Receive(ctx, r)
 	if reply.Outcome == call.NotAdmitted {
@@ -296,7 +297,7 @@
 	return reply
 }
 
-// delegate passes on what was refused here.
+// delegate sends a request that was refused here to another instance.
 func (o *KeyOwner) delegate(ctx context.Context, r *call.Request, refused call.Reply) call.Reply {
 	delegated := *r
 	if !acceptsNoWork(&refused) {
@@ -307,8 +308,9 @@
 	return reply
 }
 
-// mayDelegate reports whether another instance may run what this one did not, and charges the service's budget where
-// that is a further attempt. For a key that the entry node minted, the entry node itself tries another home.
+// mayDelegate reports whether another instance may run a request that did not run here. If that uses an attempt, it is
+// charged to the retry budget of the service. For a key that the entry node minted, the entry node tries another owner
+// itself.
 func (o *KeyOwner) mayDelegate(r *call.Request, reply call.Reply) bool {
 	if reply.Outcome != call.NotRun || reply.Final || r.KeyMinted {
 		return false
@@ -320,12 +322,13 @@
 		FailedDownstream: reply.Deeper != call.ReasonNone,
 		AttemptsLeft:     r.AttemptsLeft,
 		TimeLeft:         time.Until(r.Deadline),
-		Candidates:       1, // whichever the sender chooses
+		Candidates:       1, // the sender chooses the instance
 	})
 	return verdict == retry.Retry
 }
 
-// Resolve tells what became of an attempt that was sent to this process.
+// Resolve returns the state of an attempt or a key, or moves a key to another owner. Queries for an earlier incarnation
+// of this node get an empty resolution.
 func (o *KeyOwner) Resolve(q peer.ResolveQuery) peer.Resolution {
 	if q.Key == "" && q.Incarnation == o.config.Self.Incarnation {
 		return o.resolveIdempotent(q)
@@ -354,7 +357,7 @@
 	return resolution
 }
 
-// resolveIdempotent tells whether an attempt of an idempotent request, which has no key, is still being worked on.
+// resolveIdempotent reports whether an attempt of an idempotent request, which has no key, is running here.
 func (o *KeyOwner) resolveIdempotent(q peer.ResolveQuery) peer.Resolution {
 	if o.open.has(q.AttemptID) {
 		return peer.Resolution{Known: true, State: outcome.Running}
--- a/internal/traffic/flow/home_test.go
+++ b/internal/traffic/flow/home_test.go
@@ -33,15 +33,15 @@
 	lostReply     = call.Refused(call.Unknown, call.ReasonBackendFailed, 0)
 )
 
-// scriptedRunner answers with one reply after the other, and counts.
+// scriptedRunner returns its replies in order, repeats the last one, and counts the runs.
 type scriptedRunner struct {
 	replies []call.Reply
 	runs    int
 }
 
-func (f *scriptedRunner) Receive(context.Context, *call.Request) call.Reply {
-	reply := f.replies[min(f.runs, len(f.replies)-1)]
-	f.runs++
+func (r *scriptedRunner) Receive(context.Context, *call.Request) call.Reply {
+	reply := r.replies[min(r.runs, len(r.replies)-1)]
+	r.runs++
 	return reply
 }
 
@@ -57,7 +57,8 @@
 	})
 }
 
-// uuidOf returns a UUIDv7 of the time. The library's own never go back, which fake time does.
+// uuidOf returns a UUIDv7 of the time. The UUIDs that the library generates never go back in time, but the fake clock of
+// synctest does.
 func uuidOf(now time.Time) uuid.UUID {
 	id := uuid.New()
 	millis := binary.BigEndian.AppendUint64(nil, uint64(now.UnixMilli()))
@@ -79,21 +80,21 @@
 	}
 }
 
-func TestHomeDelegatesOnce(t *testing.T) {
+func TestKeyOwnerDelegatesOnce(t *testing.T) {
 	for name, tc := range map[string]struct {
 		local, other call.Reply
 		attempts     int
 		want         call.Outcome
-		passedOn     int
+		delegated    int
 		used         int
 	}{
-		"ran here":                           {local: ranReply, attempts: 1, want: call.Ran},
-		"shed here, ran there":               {local: shedReply, other: ranReply, attempts: 1, want: call.Ran, passedOn: 1, used: 1},
-		"shed by both":                       {local: shedReply, other: shedReply, attempts: 1, want: call.NotRun, passedOn: 1, used: 1},
-		"no attempt left":                    {local: shedReply, other: ranReply, want: call.NotRun},
-		"leaving: costs no attempt":          {local: drainingReply, other: ranReply, want: call.Ran, passedOn: 1},
-		"lost here: not passed on":           {local: lostReply, other: ranReply, attempts: 1, want: call.Unknown},
-		"lost there: not run again anywhere": {local: shedReply, other: lostReply, attempts: 1, want: call.Unknown, passedOn: 1, used: 1},
+		"ran locally":                         {local: ranReply, attempts: 1, want: call.Ran},
+		"shed locally, ran elsewhere":         {local: shedReply, other: ranReply, attempts: 1, want: call.Ran, delegated: 1, used: 1},
+		"shed locally and elsewhere":          {local: shedReply, other: shedReply, attempts: 1, want: call.NotRun, delegated: 1, used: 1},
+		"no attempt left":                     {local: shedReply, other: ranReply, want: call.NotRun},
+		"leaving node uses no attempt":        {local: drainingReply, other: ranReply, want: call.Ran, delegated: 1},
+		"reply lost locally, not delegated":   {local: lostReply, other: ranReply, attempts: 1, want: call.Unknown},
+		"reply lost elsewhere, not run again": {local: shedReply, other: lostReply, attempts: 1, want: call.Unknown, delegated: 1, used: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -104,7 +105,7 @@
 			reply := h.Receive(t.Context(), r)
 			is.Equal(reply.Outcome, tc.want)
 			is.Equal(reply.AttemptsUsed, tc.used)
-			is.Equal(other.runs, tc.passedOn)
+			is.Equal(other.runs, tc.delegated)
 			if tc.want != call.NotRun {
 				is.Equal(h.Receive(t.Context(), r).Outcome, tc.want) // remembered
 				is.Equal(local.runs, 1)
@@ -113,14 +114,14 @@
 	}
 }
 
-// Requests with a caller's key that are passed on are charged to the service's budget like other further attempts. An
-// answer that is remembered costs nothing and is given.
-func TestDelegationIsChargedToTheBudget(t *testing.T) {
+// Delegated requests with a key from their caller are charged to the retry budget of the service like retries. Returning
+// a remembered reply is not charged.
+func TestDelegationChargesRetryBudget(t *testing.T) {
 	is := is.New(t)
 	local, other := &scriptedRunner{replies: []call.Reply{shedReply}}, &scriptedRunner{replies: []call.Reply{ranReply, shedReply}}
 	h := newTestKeyOwner(local, other)
 	first := booking(time.Now())
-	is.Equal(h.Receive(t.Context(), first).Outcome, call.Ran) // takes one of two tokens and earns half of one
+	is.Equal(h.Receive(t.Context(), first).Outcome, call.Ran) // takes one of two tokens and earns half a token
 	is.Equal(h.Receive(t.Context(), booking(time.Now())).Outcome, call.NotRun)
 	for range 10 {
 		is.Equal(h.Receive(t.Context(), booking(time.Now())).Outcome, call.NotRun)
@@ -128,14 +129,14 @@
 	is.Equal(other.runs, 2)
 	is.Equal(h.Receive(t.Context(), first).Outcome, call.Ran) // remembered
 	local.replies = append(slices.Repeat([]call.Reply{shedReply}, local.runs), ranReply)
-	is.Equal(h.Receive(t.Context(), booking(time.Now())).Outcome, call.Ran) // makes it one token
+	is.Equal(h.Receive(t.Context(), booking(time.Now())).Outcome, call.Ran) // brings the budget to one token
 	local.replies = []call.Reply{shedReply}
 	is.Equal(h.Receive(t.Context(), booking(time.Now())).Outcome, call.NotRun)
 	is.Equal(other.runs, 3)
 }
 
-// A copy that entered before a caller was told not_run stays out; a later resend runs.
-func TestLateCopyOfWhatWasToldNotRun(t *testing.T) {
+// A copy that entered before the caller was told not_run must not run. A resend that entered later runs.
+func TestLateCopyAfterNotRun(t *testing.T) {
 	synctest.Test(t, testLateCopy)
 }
 
@@ -160,17 +161,17 @@
 	is.Equal(reply.Outcome, call.Ran)
 }
 
-// The first send ran and its answer was lost. The resend is shed, at the home or at the entry: it must not be told
-// not_run.
-func TestResendAfterLostAnswerThatIsShed(t *testing.T) {
+// The first copy ran and its reply was lost. If the resend is shed, at the key owner or at the entry node, its caller must
+// not be told not_run.
+func TestResendAfterLostReplyIsNotToldNotRun(t *testing.T) {
 	is := is.New(t)
 	local := &scriptedRunner{replies: []call.Reply{ranReply, shedReply}}
 	h := newTestKeyOwner(local, &scriptedRunner{replies: []call.Reply{shedReply}})
 	r := booking(time.Now())
 	is.Equal(h.Receive(t.Context(), r).Outcome, call.Ran)
-	again := h.Receive(t.Context(), r)
-	is.Equal(again.Outcome, call.Ran)
-	is.Equal(string(again.Body), "booked")
+	resent := h.Receive(t.Context(), r)
+	is.Equal(resent.Outcome, call.Ran)
+	is.Equal(string(resent.Body), "booked")
 
 	e := newEntryThrottles(throttle.DefaultConfig)
 	refusal, admitted := call.Reply{}, true
@@ -184,8 +185,8 @@
 	is.Equal(refusal.Outcome, call.NotAdmitted)
 }
 
-// boardWithEarlierOwner returns a board on which another node was the home of all keys before this one, whose epoch
-// ends after the time.
+// boardWithEarlierOwner returns a board on which another node owned all keys before this one. The epoch of this node
+// lasts for epochLength.
 func boardWithEarlierOwner(epochLength time.Duration) board.Board {
 	earlier := outcome.Node{Name: "access_1", Incarnation: 3}
 	now := time.Now().UnixMilli()
@@ -199,16 +200,16 @@
 	}
 }
 
-// A home that asked an earlier one for so long that its own epoch ended must not run the key: a later home may no
-// longer ask this one.
-func TestEpochEndsWhileEarlierHomeIsAsked(t *testing.T) {
+// A key owner whose epoch ends while it queries an earlier owner must not run the key: the next owner may no longer query
+// this node.
+func TestEpochEndsDuringQueryOfEarlierOwner(t *testing.T) {
 	for name, tc := range map[string]struct {
-		answer time.Duration
-		want   call.Outcome
-		runs   int
+		responseTime time.Duration
+		want         call.Outcome
+		runs         int
 	}{
-		"answer in the epoch":    {answer: time.Second, want: call.Ran, runs: 1},
-		"answer after the epoch": {answer: 5 * time.Second, want: call.NotAdmitted},
+		"response within the epoch": {responseTime: time.Second, want: call.Ran, runs: 1},
+		"response after the epoch":  {responseTime: 5 * time.Second, want: call.NotAdmitted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -218,7 +219,7 @@
 				h.config.Board = board.NewLoop(boardWithEarlierOwner(4 * time.Second))
 				h.config.Zones = []string{"lisbon"}
 				h.config.ResolveAt = func(context.Context, string, peer.ResolveQuery) (peer.Resolution, error) {
-					time.Sleep(tc.answer)
+					time.Sleep(tc.responseTime)
 					return peer.Resolution{Known: true, State: outcome.Moved}, nil
 				}
 				r := booking(time.Now())
@@ -230,14 +231,15 @@
 	}
 }
 
-// A home that leaves gets no answer from its successor, which may have its keys. The caller's node asks the successor.
-func TestLeavingHomeLeavesKeysToItsSuccessor(t *testing.T) {
+// A leaving key owner may get no useful response about an earlier owner, because its successor may already have the keys.
+// It refuses as draining, so that the caller's node asks the successor.
+func TestLeavingOwnerRefusesMovedKey(t *testing.T) {
 	for name, tc := range map[string]struct {
 		leaving bool
 		want    call.Reason
 	}{
-		"leaving":              {leaving: true, want: call.ReasonDraining},
-		"earlier home is gone": {want: call.ReasonHomeUnreachable},
+		"leaving":               {leaving: true, want: call.ReasonDraining},
+		"earlier owner is gone": {want: call.ReasonHomeUnreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -259,26 +261,26 @@
 	}
 }
 
-// Keys may have been handed on more than once while records of nodes that have left still stand on the board.
-func TestHeirIsTheLastOfAChain(t *testing.T) {
+// Keys can be handed over several times while records of nodes that have left remain on the board.
+func TestHandoverRecipientIsLastInChain(t *testing.T) {
 	is := is.New(t)
-	home := outcome.Node{Name: "access_1", Incarnation: 3}
+	owner := outcome.Node{Name: "access_1", Incarnation: 3}
 	members := map[string]membership.Member{}
-	chain := []outcome.Node{home, {Name: "access_2", Incarnation: 4}, {Name: "access_3", Incarnation: 5}, {Name: "access_1", Incarnation: 6}}
+	chain := []outcome.Node{owner, {Name: "access_2", Incarnation: 4}, {Name: "access_3", Incarnation: 5}, {Name: "access_1", Incarnation: 6}}
 	names := ""
 	for i, n := range chain {
 		members[n.Name] = membership.Member{Node: n.Name, Incarnation: n.Incarnation, AnswersFor: names}
 		names = ownerName(chain[i]) + " " + names
 	}
-	for range 100 { // the order of a map differs
-		m, ok := handoverRecipient(&board.Board{Members: board.Members{ByNode: members}}, home)
+	for range 100 { // the iteration order of the map differs
+		m, ok := handoverRecipient(&board.Board{Members: board.Members{ByNode: members}}, owner)
 		is.True(ok)
 		is.Equal(m.Incarnation, uint64(6))
 	}
 }
 
-// A key that came with another request at its earlier home is refused, whether that one has run or not.
-func TestMovedKeyOfAnotherRequest(t *testing.T) {
+// A key that was used with another request at its earlier owner is refused, whether that request has run or not.
+func TestMovedKeyReusedForAnotherRequest(t *testing.T) {
 	r := booking(time.Now())
 	r.Key = "booking-17"
 	same := contentHash(r)
@@ -287,12 +289,12 @@
 		want       call.Outcome
 		reason     call.Reason
 	}{
-		"the same, run":       {resolution: peer.Resolution{State: outcome.Done, Reply: ranReply, Fingerprint: same}, want: call.Ran},
-		"the same, refused":   {resolution: peer.Resolution{State: outcome.Moved, Fingerprint: same}, want: call.Ran},
-		"not seen":            {resolution: peer.Resolution{State: outcome.Moved}, want: call.Ran},
-		"another, run":        {resolution: peer.Resolution{State: outcome.Done, Reply: ranReply, Fingerprint: same + 1}, want: call.NotAdmitted, reason: call.ReasonKeyReused},
-		"another, refused":    {resolution: peer.Resolution{State: outcome.Moved, Fingerprint: same + 1}, want: call.NotAdmitted, reason: call.ReasonKeyReused},
-		"another, is running": {resolution: peer.Resolution{State: outcome.Running, Fingerprint: same + 1}, want: call.NotAdmitted, reason: call.ReasonKeyReused},
+		"same request, done":           {resolution: peer.Resolution{State: outcome.Done, Reply: ranReply, Fingerprint: same}, want: call.Ran},
+		"same request, moved":          {resolution: peer.Resolution{State: outcome.Moved, Fingerprint: same}, want: call.Ran},
+		"unknown to the earlier owner": {resolution: peer.Resolution{State: outcome.Moved}, want: call.Ran},
+		"another request, done":        {resolution: peer.Resolution{State: outcome.Done, Reply: ranReply, Fingerprint: same + 1}, want: call.NotAdmitted, reason: call.ReasonKeyReused},
+		"another request, moved":       {resolution: peer.Resolution{State: outcome.Moved, Fingerprint: same + 1}, want: call.NotAdmitted, reason: call.ReasonKeyReused},
+		"another request, running":     {resolution: peer.Resolution{State: outcome.Running, Fingerprint: same + 1}, want: call.NotAdmitted, reason: call.ReasonKeyReused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/traffic/flow/keyed.go
+++ b/internal/traffic/flow/keyed.go
@@ -16,29 +16,30 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// KeyedSenderConfig sets a KeyedSender up.
+// KeyedSenderConfig configures a KeyedSender.
 type KeyedSenderConfig struct {
 	Board  *board.Loop
 	Sender *Sender
-	// Zones are all availability zones; the same list everywhere.
+	// Zones lists all availability zones. It must be the same on all nodes.
 	Zones []string
-	// Window is how long callers may send a key again.
+	// Window is how long callers may send a request with the same key again.
 	Window time.Duration
 }
 
-// KeyedSender is where requests enter a node. It gives a key to each non-idempotent request without one, and sends
-// a request with a caller's key to the home of the key. Idempotent requests go straight to the Sender.
+// KeyedSender sends the requests that enter a node. It marks non-idempotent requests without a key, so that each of their
+// attempts gets a minted key, and sends requests with a key from their caller to the owner of the key. Idempotent requests
+// go to the Sender directly.
 type KeyedSender struct {
 	config      KeyedSenderConfig
 	silentNodes *silentNodes
 }
 
-// NewKeyedSender returns a sender.
+// NewKeyedSender returns a KeyedSender.
 func NewKeyedSender(config KeyedSenderConfig) *KeyedSender {
 	return &KeyedSender{config: config, silentNodes: newSilentNodes(config.Sender.config.Peers)}
 }
 
-// Send sends the request on and returns the reply.
+// Send sends the request and returns the reply.
 func (k *KeyedSender) Send(ctx context.Context, r *call.Request) call.Reply {
 	if r.Idempotent {
 		return k.config.Sender.Send(ctx, r)
@@ -61,10 +62,10 @@
 	return reply
 }
 
-// ownerPollInterval is the time before another look at who decides about a key, while that changes hands.
+// ownerPollInterval is the delay before the owner of a key is looked up again while it changes.
 const ownerPollInterval = 25 * time.Millisecond
 
-// sendToOwner sends the request to the node that decides about its key, with a part of its attempts.
+// sendToOwner sends the request to the owner of its key and lends it some of its attempts.
 func (k *KeyedSender) sendToOwner(ctx context.Context, r *call.Request, key outcome.Key) call.Reply {
 	attempt := *r
 	attempt.AttemptsLeft = r.Attempts.Lend()
@@ -74,7 +75,8 @@
 	return reply
 }
 
-// followOwner sends the attempt to the node that decides about its key, and follows the key while it changes hands.
+// followOwner sends the attempt to the owner of its key. While the owner changes, it looks the owner up again and resends
+// the attempt.
 func (k *KeyedSender) followOwner(ctx context.Context, attempt *call.Request, key outcome.Key) call.Reply {
 	start := time.Now()
 	useSuccessor := false
@@ -98,15 +100,15 @@
 	}
 }
 
-// ownerChangeTimeout is how long a key that changes hands is followed.
+// ownerChangeTimeout is how long an attempt is resent while the owner of its key changes.
 const ownerChangeTimeout = 2 * time.Second
 
-// presumedOwnerTimeout is how long a key is followed whose home is only presumed: as long as a change of members takes to
-// spread.
+// presumedOwnerTimeout is how long an attempt is resent if the owner of its key is only presumed. It is the time that a
+// membership change takes to spread.
 const presumedOwnerTimeout = time.Second
 
-// followTimeout is how long a key is followed whose home is the target. The ends of the own zone are known here, so what its
-// members refuse is refused at once where they are only presumed.
+// followTimeout returns how long an attempt is resent while the target refuses it. The ends of the epochs in the local
+// availability zone are known here, so a refusal from an up member of that zone that is only the presumed owner is final.
 func (k *KeyedSender) followTimeout(target keyLocation) time.Duration {
 	switch {
 	case !target.presumed:
@@ -117,12 +119,12 @@
 	return presumedOwnerTimeout
 }
 
-// isNotOwnerReply reports whether the node refused because it does not, or no longer, decide about the key.
+// isNotOwnerReply reports whether the node refused because it does not own the key, or is handing its keys over.
 func isNotOwnerReply(r call.Reply) bool {
 	return r.Outcome == call.NotAdmitted && (r.Reason == call.ReasonDraining || r.Reason == call.ReasonHomeUnknown)
 }
 
-// unknownIfResent turns a refusal into unknown where an earlier copy was sent whose fate is open.
+// unknownIfResent changes the outcome of a refusal to unknown if an earlier copy was sent whose outcome is unknown.
 func unknownIfResent(r call.Reply, resent bool) call.Reply {
 	if r.Outcome == call.NotAdmitted && resent {
 		return call.Refused(call.Unknown, call.ReasonPeerSilent, 0)
@@ -141,17 +143,17 @@
 	return call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, ownerRetryAfter)
 }
 
-// keyLocation is the node that decides about a key.
+// keyLocation is the node that answers for a key.
 type keyLocation struct {
 	membership.Member
 
-	// presumed says that the end of the epochs which is known here has passed: only the members of the last epoch know
-	// how far it was moved meanwhile.
+	// presumed says that the last epoch known here has ended. Only the members of that epoch know whether it was extended, and
+	// until when.
 	presumed bool
 }
 
-// locateOwner returns the node that decides about the key, or the reply where there is none. While the home of a key
-// leaves, its successor is asked in turn with it.
+// locateOwner returns the node that answers for the key, or the reply if there is none. While the owner of a key is
+// leaving, the caller of locateOwner alternates useSuccessor to try both it and its successor.
 func (k *KeyedSender) locateOwner(service string, key outcome.Key, useSuccessor bool) (keyLocation, call.Reply, bool) {
 	b := k.config.Board.Snapshot()
 	owner, _, agreed := ownerOf(b, k.config.Zones, service, key, k.config.Window)
@@ -168,8 +170,8 @@
 	return keyLocation{Member: m, presumed: true}, refusal, ok
 }
 
-// presumedOwner returns the node to ask about a key whose home is not known here. Nobody is asked in a zone that is not
-// reached: the answer would be that the fate of the request is unknown.
+// presumedOwner returns the node to ask about a key whose owner is not agreed here. It returns none if the availability
+// zone of the last epoch is unreachable, because the outcome of the request would then be reported as unknown.
 func presumedOwner(b *board.Board, zones []string, service string, key outcome.Key) (outcome.Node, bool) {
 	shard := b.Homes.Shards[outcome.ShardOf(zones, key.Text)]
 	zone := shard.Last().Zone
@@ -184,7 +186,7 @@
 	return shard.PresumedOwner(service, key.Text, millis)
 }
 
-// memberFor returns the member that answers for the keys of the home, or the reply where there is none.
+// memberFor returns the member that answers for the keys of the owner, or the reply if there is none.
 func memberFor(b *board.Board, owner outcome.Node, useSuccessor bool) (membership.Member, call.Reply, bool) {
 	if m, ok := memberAnsweringFor(b, owner); ok {
 		if successor, ok := b.Members.ByNode[m.Successor]; ok && useSuccessor {
@@ -199,7 +201,8 @@
 	return m, call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, ownerRetryAfter), false
 }
 
-// noOwnerReply tells a key whose time can never be right from one whose home is not agreed yet.
+// noOwnerReply returns the reply for a key without an agreed owner. A key whose time is outside the accepted range is
+// refused for good, any other only for now.
 func noOwnerReply(key outcome.Key, now time.Time, window time.Duration) call.Reply {
 	ahead := time.UnixMilli(key.UnixMillis).Sub(now)
 	if key.Timed && (ahead < -window || ahead > maxKeyTimeAhead) {
@@ -208,10 +211,10 @@
 	return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, ownerRetryAfter)
 }
 
-// maxKeyTimeAhead is how far ahead of the node's clock the time of a key may lie and still be worth another try.
+// maxKeyTimeAhead is how far the time of a key may be ahead of the clock of this node before the key is refused for good.
 const maxKeyTimeAhead = 30 * time.Second
 
-// memberAnsweringFor returns the member that answers for the keys of a node: the one to which they were handed over, or the node
+// memberAnsweringFor returns the member that answers for the keys of a node: the one that took them over, or the node
 // itself.
 func memberAnsweringFor(b *board.Board, owner outcome.Node) (membership.Member, bool) {
 	if m, ok := handoverRecipient(b, owner); ok {
@@ -221,14 +224,14 @@
 	return m, known && m.Incarnation == owner.Incarnation
 }
 
-// KnowsOwner reports whether the board shows who answers for the keys of the node.
+// KnowsOwner reports whether the board shows which member answers for the keys of the node.
 func KnowsOwner(b *board.Board, owner outcome.Node) bool {
 	_, ok := memberAnsweringFor(b, owner)
 	return ok
 }
 
-// handoverRecipient returns the member to which the keys of the node were handed over, and by which they were not handed on: the
-// record of one that has left may still stand on the board.
+// handoverRecipient returns the member that took over the keys of the node and still has them. Several members may name
+// that node, because records of members that have handed the keys on and left can still be on the board.
 func handoverRecipient(b *board.Board, owner outcome.Node) (membership.Member, bool) {
 	var latest membership.Member
 	found := false
@@ -241,12 +244,13 @@
 	return latest, found
 }
 
-// answersFor reports whether the member says that it has the keys of the node.
+// answersFor reports whether the record of the member says that it has the keys of the node.
 func answersFor(m membership.Member, owner outcome.Node) bool {
 	return m.AnswersFor != "" && strings.Contains(" "+m.AnswersFor+" ", " "+ownerName(owner)+" ")
 }
 
-// admit refuses a root request with a caller's key that would be shed further down.
+// admit reports whether a request with a key from its caller is admitted. A root request that would be shed further down
+// its call chain is refused.
 func (s *Sender) admit(r *call.Request) (call.Reply, bool) {
 	if r.Depth > 0 {
 		return call.Reply{}, true
@@ -260,7 +264,7 @@
 	}
 }
 
-// callOwner sends the attempt to the node that decides about its key.
+// callOwner sends the attempt to the owner of its key.
 func (s *Sender) callOwner(ctx context.Context, target membership.Member, attempt *call.Request) (call.Reply, error) {
 	start := time.Now()
 	s.views.begin(target.Node, attempt.Root.Rank)
@@ -269,8 +273,8 @@
 	return reply, err
 }
 
-// Delegate passes a request on from the home of its key to another instance, and past those that leave, which have
-// started nothing.
+// Delegate sends a request from the owner of its key to another instance. Instances that refuse because they are leaving
+// have started nothing and are skipped.
 func (s *Sender) Delegate(ctx context.Context, r *call.Request) call.Reply {
 	tried := []string{s.config.Board.Snapshot().Self.Node}
 	for {
@@ -289,19 +293,20 @@
 	}
 }
 
-// isDrainingReply reports whether an instance refused because it leaves.
+// isDrainingReply reports whether an instance refused because it is leaving.
 func isDrainingReply(r call.Reply) bool {
 	return r.Outcome == call.NotRun && r.Reason == call.ReasonDraining
 }
 
-// mintKey gives the request a key that names the target as its home. Each attempt gets its own, because the caller has
-// not seen the earlier ones.
+// mintKey gives the attempt a new key that names the target as its owner. Each attempt gets its own key, because the
+// caller has not seen the earlier ones.
 func mintKey(r *call.Request, target membership.Member) {
 	owner := outcome.Node{Name: target.Node, Incarnation: target.Incarnation}
 	r.Key = outcome.Mint(owner, uuid.Must(uuid.NewV7()))
 }
 
-// callSoleOwner sends an attempt that nobody else can have sent, and returns what became of it.
+// callSoleOwner sends an attempt that no other node can have sent, and returns its outcome. Its key was minted for this
+// attempt, or the attempt is delegated.
 func (s *Sender) callSoleOwner(ctx context.Context, target membership.Member, attempt *call.Request) call.Reply {
 	reply, err := s.callOwner(ctx, target, attempt)
 	if err != nil {
--- a/internal/traffic/flow/move.go
+++ b/internal/traffic/flow/move.go
@@ -10,9 +10,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// moveKeysHere takes a key without a time over from the nodes that were its home before, unless it has run here. One that
-// was only refused here is asked for again: a node that was its home in between may not have asked this one.
-// It reports false, with a reply, where one of them has run the key or can't be asked.
+// moveKeysHere moves a key without a time from its earlier owners to this node, unless the request has run here. If it was
+// only refused here, the earlier owners are asked again: an owner in between may not have asked this node. If an earlier
+// owner has run the request or does not answer, it returns false and the reply.
 func (o *KeyOwner) moveKeysHere(ctx context.Context, r *call.Request, earlier []outcome.Node) (call.Reply, bool) {
 	if !o.mayRun(keyID(r.Service, r.Key)) {
 		return call.Reply{}, true
@@ -31,7 +31,8 @@
 	return o.keys.MayRun(time.Now(), id)
 }
 
-// moveKeyFrom asks one earlier home, again while it runs the key or hands its keys over.
+// moveKeyFrom asks one earlier owner to move the key, and repeats this while that node runs the request or hands its keys
+// over.
 func (o *KeyOwner) moveKeyFrom(ctx context.Context, r *call.Request, owner outcome.Node) (call.Reply, bool) {
 	for !o.hasTakenOver(owner) {
 		resolution, err := o.requestMove(ctx, r, owner)
@@ -54,14 +55,14 @@
 	return call.Reply{}, true
 }
 
-// isLeaving reports whether the keys of this node go to its successor, who then asks in its place.
+// isLeaving reports whether this node is handing its keys over. Its successor then asks the earlier owners instead.
 func (o *KeyOwner) isLeaving() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.leaving
 }
 
-// hasTakenOver reports whether the keys of the earlier home have come here by a handover meanwhile.
+// hasTakenOver reports whether a handover has brought the keys of the earlier owner to this node.
 func (o *KeyOwner) hasTakenOver(owner outcome.Node) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/traffic/flow/open.go
+++ b/internal/traffic/flow/open.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// openAttempts are the attempts of idempotent requests that this node has and has not answered. Nothing is remembered
-// of those that ended: their sender may try again.
+// openAttempts counts the attempts of idempotent requests that this node has received and not answered. Ended attempts are
+// not remembered, because their sender may retry them.
 type openAttempts struct {
 	mu     sync.Mutex
 	counts map[string]int
--- a/internal/traffic/flow/pace.go
+++ b/internal/traffic/flow/pace.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// minCheckDelay is the least time after which the other node is asked on a new connection about an answer that
-	// has not come. Each further question waits twice as long.
+	// minCheckDelay is the minimum delay before the other node is queried on a new connection about an overdue reply. The
+	// delay doubles with each further query.
 	minCheckDelay = 250 * time.Millisecond
-	// maxCheckDelay is the most, for kinds of work that always take long.
+	// maxCheckDelay is the maximum delay before the first query, for kinds of work that always take long.
 	maxCheckDelay = 2 * time.Second
-	// checkDelayFactor is how many times its usual time an answer may take before the question.
+	// checkDelayFactor is the ratio of the delay before the first query to the typical duration.
 	checkDelayFactor = 2
 )
 
-// workKind names one kind of work of one service.
+// workKind identifies one kind of request of one service.
 type workKind struct {
 	service string
 	kind    string
 }
 
-// typicalDurations knows how long answers usually take, so that work that always takes long is not asked about each time.
+// typicalDurations tracks the typical duration of each kind of request, so that slow kinds are not queried at every
+// attempt.
 type typicalDurations struct {
 	byKind *call.UsualTimes[workKind]
 }
 
 func newTypicalDurations() *typicalDurations {
-	return &typicalDurations{byKind: call.NewUsualTimes[workKind](0)} // documents and routes bound the kinds
+	return &typicalDurations{byKind: call.NewUsualTimes[workKind](0)} // the documents and routes limit the number of kinds
 }
 
-// observe takes in the time of one answer.
+// observe adds the duration of one successful attempt.
 func (d *typicalDurations) observe(k workKind, duration time.Duration) {
 	d.byKind.Learn(k, duration)
 }
 
-// checkDelay returns how long an answer may take before it is asked about.
+// checkDelay returns how long a reply may take before the other node is queried.
 func (d *typicalDurations) checkDelay(k workKind) time.Duration {
 	return min(max(minCheckDelay, checkDelayFactor*d.byKind.Of(k)), maxCheckDelay)
 }
--- a/internal/traffic/flow/pace_test.go
+++ b/internal/traffic/flow/pace_test.go
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 )
 
-func TestPaceBounds(t *testing.T) {
+func TestCheckDelay(t *testing.T) {
 	tests := map[string]struct {
-		usual time.Duration
-		want  time.Duration
+		duration time.Duration
+		want     time.Duration
 	}{
-		"unknown":             {0, minCheckDelay},
-		"quick work":          {10 * time.Millisecond, minCheckDelay},
-		"work that is slow":   {400 * time.Millisecond, 800 * time.Millisecond},
-		"work that is slower": {5 * time.Second, maxCheckDelay},
+		"unknown":        {0, minCheckDelay},
+		"fast kind":      {10 * time.Millisecond, minCheckDelay},
+		"slow kind":      {400 * time.Millisecond, 800 * time.Millisecond},
+		"very slow kind": {5 * time.Second, maxCheckDelay},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -23,7 +23,7 @@
 			p := newTypicalDurations()
 			k := workKind{service: "venues", kind: "halls"}
 			for range 100 {
-				p.observe(k, test.usual)
+				p.observe(k, test.duration)
 			}
 			is.Equal(p.checkDelay(k), test.want)
 			is.Equal(p.checkDelay(workKind{service: "venues", kind: "schedules"}), minCheckDelay)
--- a/internal/traffic/flow/quarantine.go
+++ b/internal/traffic/flow/quarantine.go
@@ -14,7 +14,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// QuarantineConfig sets a Quarantine up.
+// QuarantineConfig configures a Quarantine.
 type QuarantineConfig struct {
 	Table quarantine.Config
 	Board *board.Loop
@@ -23,15 +23,15 @@
 }
 
 const (
-	// blameQueueLength is how many blames may wait to be told to other nodes. Further ones are dropped.
+	// blameQueueLength is how many blames may wait to be sent to other nodes. Further ones are dropped.
 	blameQueueLength = 256
-	// blameTimeout bounds the telling of one node.
+	// blameTimeout is the timeout for sending one blame to all nodes.
 	blameTimeout = time.Second
 )
 
-// Quarantine keeps requests that crash backend servers away from the local one, and tells the other nodes of the
-// service at once. It goes straight to them and not through the records of the availability zone, which take several
-// heartbeats: a caller may send its request again within milliseconds.
+// Quarantine keeps requests that crash backend servers away from the local one, and informs the other nodes of the service
+// immediately. It sends to them directly instead of using the records of the availability zone, which take several
+// heartbeats to spread: a caller may send its request again within milliseconds.
 type Quarantine struct {
 	config QuarantineConfig
 	blames chan quarantine.Blame
@@ -40,7 +40,7 @@
 	table *quarantine.Table
 }
 
-// NewQuarantine returns a quarantine. Run must be started for the other nodes to be told.
+// NewQuarantine returns an empty Quarantine. Other nodes are informed only while Run runs.
 func NewQuarantine(config QuarantineConfig) *Quarantine {
 	return &Quarantine{
 		config: config,
@@ -49,7 +49,7 @@
 	}
 }
 
-// Run tells the other nodes of the service of each blame, until the context ends.
+// Run sends each blame to the other nodes of the service until the context ends.
 func (q *Quarantine) Run(ctx context.Context) {
 	for {
 		select {
@@ -61,21 +61,21 @@
 	}
 }
 
-// Learn takes in what another node knows.
+// Learn records a blame that another node sent.
 func (q *Quarantine) Learn(b quarantine.Blame) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.table.Learn(time.Now(), b)
 }
 
-// Entries returns what is known against requests.
+// Entries returns the suspected and quarantined requests.
 func (q *Quarantine) Entries() []quarantine.Entry {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.table.Entries()
 }
 
-// guard runs the request unless it is quarantined, and learns from how the run ended.
+// guard runs the request unless it is quarantined, and records how the run ended.
 func (q *Quarantine) guard(r *call.Request, run func() call.Reply) call.Reply {
 	f := quarantine.NewFingerprint(r.Service, r.Kind, r.Method, r.Path, r.Body)
 	start := time.Now()
@@ -103,7 +103,7 @@
 	return quarantine.Inconclusive
 }
 
-// isCrash reports whether the backend server broke the connection while it ran the request.
+// isCrash reports whether the backend server closed the connection while it ran the request.
 func isCrash(reply *call.Reply) bool {
 	return reply.Outcome == call.Unknown && reply.Reason == call.ReasonBackendFailed
 }
@@ -136,7 +136,7 @@
 	}
 }
 
-// broadcast passes the blame to all other nodes of the service, side by side.
+// broadcast sends the blame to all other nodes of the service concurrently.
 func (q *Quarantine) broadcast(ctx context.Context, b quarantine.Blame) {
 	ctx, cancel := context.WithTimeout(ctx, blameTimeout)
 	defer cancel()
--- a/internal/traffic/flow/reach.go
+++ b/internal/traffic/flow/reach.go
@@ -15,7 +15,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// ReachabilityMonitorConfig sets a Reach up.
+// ReachabilityMonitorConfig configures a ReachabilityMonitor.
 type ReachabilityMonitorConfig struct {
 	Board *board.Loop
 	Peers *peer.Client
@@ -23,30 +23,32 @@
 }
 
 const (
-	// probePollInterval is the time between looks for nodes that are to be asked.
+	// probePollInterval is the interval between checks for nodes that are due for a probe.
 	probePollInterval = 50 * time.Millisecond
-	// probeTimeout bounds the wait for an answer.
+	// probeTimeout is the timeout of one probe.
 	probeTimeout = 400 * time.Millisecond
 )
 
-// ReachabilityMonitor keeps requests away from nodes that gave no answer, and asks these until they do. A nil Reach keeps nobody away.
+// ReachabilityMonitor keeps requests away from nodes that did not answer, and probes these nodes until they do. A nil
+// ReachabilityMonitor tracks no nodes.
 type ReachabilityMonitor struct {
 	config ReachabilityMonitorConfig
-	// wake is signalled when a node was lost.
+	// wake receives a value when a node becomes unreachable.
 	wake chan struct{}
-	// onChange is told of each node that is lost or found.
+	// onChange is called when a node becomes unreachable or reachable.
 	onChange func(node string, wake bool)
 
 	mu      sync.Mutex
 	tracker *reach.Tracker
 }
 
-// NewReachabilityMonitor returns a Reach that has lost nobody. Run must be started for nodes to be found again.
+// NewReachabilityMonitor returns a monitor that regards all nodes as reachable. Unreachable nodes are probed only while
+// Run runs.
 func NewReachabilityMonitor(config ReachabilityMonitorConfig) *ReachabilityMonitor {
 	return &ReachabilityMonitor{config: config, wake: make(chan struct{}, 1), onChange: func(string, bool) {}, tracker: reach.NewTracker()}
 }
 
-// observe takes in the reply of a node, or the lack of one.
+// observe marks the node as unreachable if the reply shows that it did not answer.
 func (r *ReachabilityMonitor) observe(node string, reply *call.Reply, elapsed time.Duration) {
 	if r == nil || !isNoAnswer(reply, elapsed) {
 		return
@@ -65,7 +67,8 @@
 	}
 }
 
-// isNoAnswer reports whether the node gave no answer. The patience of a caller may be shorter than any answer takes.
+// isNoAnswer reports whether the node did not answer. A short silence does not count, because the deadline of a caller may
+// be shorter than any reply takes.
 func isNoAnswer(reply *call.Reply, elapsed time.Duration) bool {
 	switch reply.Reason {
 	case call.ReasonPeerUnreachable:
@@ -76,7 +79,7 @@
 	return false
 }
 
-// Run asks lost nodes until the context ends.
+// Run probes unreachable nodes until the context ends.
 func (r *ReachabilityMonitor) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -91,7 +94,7 @@
 	}
 }
 
-// probeDue asks the nodes that are due, and reports whether any is lost.
+// probeDue probes the nodes that are due and reports whether any node is unreachable.
 func (r *ReachabilityMonitor) probeDue(ctx context.Context, group *conc.WaitGroup) bool {
 	r.mu.Lock()
 	due := r.tracker.Due(time.Now())
@@ -109,7 +112,7 @@
 	return left > 0
 }
 
-// probe puts a harmless question to the node; any answer will do.
+// probe sends the node a query without side effects. Any response marks it as reachable.
 func (r *ReachabilityMonitor) probe(ctx context.Context, node, address string) {
 	_, err := r.config.Peers.Resolve(ctx, address, peer.ResolveQuery{AttemptID: newAttemptID()}, probeTimeout)
 	if err == nil {
--- a/internal/traffic/flow/receiver.go
+++ b/internal/traffic/flow/receiver.go
@@ -15,21 +15,21 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// ReceiverConfig sets a Receiver up.
+// ReceiverConfig configures a Receiver.
 type ReceiverConfig struct {
 	Board   *board.Loop
 	Gate    *backend.Gate
 	Backend *backend.Client
 	// Quarantine keeps away requests that crash backend servers.
 	Quarantine *Quarantine
-	// CallTreeLimits bounds the requests whose calls have to wait further down; nil for no bound.
+	// CallTreeLimits limits the root requests whose calls queue further down the call tree; nil means no limit.
 	CallTreeLimits *CallTreeLimits
-	// RequeueShed lets a request that the backend server shed wait for another turn at the gate, which has learnt from it,
-	// as long as the request has attempts left.
+	// RequeueShed offers a request that the backend server shed to the gate again, as long as the request has attempts left.
+	// The gate has adjusted to the shed request by then.
 	RequeueShed bool
-	// RequeueBudget bounds such turns for all requests together; nil where their attempts are bound enough.
+	// RequeueBudget limits the requeues of all requests together. Nil means that only the attempts of each request limit them.
 	RequeueBudget *retry.BudgetConfig
-	// Events takes what operators should know, and Requests what was decided about single requests.
+	// Events receives the events for operators, and Requests the decisions on single requests.
 	Events   *events.Limiter
 	Requests *events.Limiter
 }
@@ -41,12 +41,12 @@
 	counters      receiverCounters
 }
 
-// NewReceiver returns a receiver.
+// NewReceiver returns a Receiver.
 func NewReceiver(config ReceiverConfig) *Receiver {
 	return &Receiver{config: config, requeueBudget: newRequeueBudget(config.RequeueBudget)}
 }
 
-// Receive admits the request, runs it on the backend server and returns the reply with the load after it.
+// Receive admits the request, runs it on the backend server, and returns the reply with the load measured afterwards.
 func (v *Receiver) Receive(ctx context.Context, r *call.Request) call.Reply {
 	reply := v.receive(ctx, r)
 	reply.Load = v.config.Gate.Load()
@@ -56,7 +56,7 @@
 	return reply
 }
 
-// logRefusal writes what decided that the request doesn't run here.
+// logRefusal logs why the request was refused and the state of the gate at that time.
 func (v *Receiver) logRefusal(r *call.Request, reply *call.Reply) {
 	limit, limited := v.config.CallTreeLimits.limit(r.Kind)
 	v.config.Requests.Emit(time.Now(), events.RequestNotAdmitted, events.Fields{
@@ -76,12 +76,12 @@
 	})
 }
 
-// Stats returns what the receiver did since the start.
+// Stats returns the counts since the start of the process.
 func (v *Receiver) Stats() ReceiverStats {
 	return v.counters.stats()
 }
 
-// MakesCalls reports whether requests were seen to make calls while they ran on the backend server.
+// MakesCalls reports whether requests have been observed to make calls while they ran on the backend server.
 func (v *Receiver) MakesCalls() bool {
 	return v.config.CallTreeLimits.makesCalls()
 }
@@ -94,7 +94,7 @@
 	return v.config.Quarantine.guard(r, func() call.Reply { return v.run(ctx, b, r) })
 }
 
-// refusalFor returns the reply to a request that the backend server can't take, or isn't to take any more.
+// refusalFor returns the reply to a request that must not be passed to the backend server, if that is the case.
 func refusalFor(b *board.Board, r *call.Request) (call.Reply, bool) {
 	if b.Backend.Service != r.Service || b.Backend.Address == "" || b.Backend.IsLost() {
 		return call.Refused(call.NotRun, call.ReasonNoInstance, noInstanceRetryAfter), true
@@ -110,52 +110,53 @@
 
 // run admits the request and runs it on the backend server.
 func (v *Receiver) run(ctx context.Context, b *board.Board, r *call.Request) call.Reply {
-	start, refusal, admitted := v.config.CallTreeLimits.begin(r, b.Backend.Slots)
+	started, refusal, admitted := v.config.CallTreeLimits.begin(r, b.Backend.Slots)
 	if !admitted {
 		v.counters.notStarted.Add(1)
 		return refusal
 	}
 	enqueued := time.Now()
-	turn, refusal, admitted := v.config.Gate.Acquire(ctx, r, shareOf(b, r))
+	slot, refusal, admitted := v.config.Gate.Acquire(ctx, r, shareOf(b, r))
 	if !admitted {
-		v.config.CallTreeLimits.cancel(r, start)
+		v.config.CallTreeLimits.cancel(r, started)
 		v.counters.notStarted.Add(1)
 		refusal.Waited = time.Since(enqueued)
 		return refusal
 	}
 	queueingDelay := time.Since(enqueued)
 	v.requeueBudget.earn()
-	result := v.runAdmitted(ctx, b, r, turn)
+	result := v.runAdmitted(ctx, b, r, slot)
 	for requeues := 1; v.requeue(ctx, r, &result); requeues++ {
 		enqueued = time.Now()
 		b = v.config.Board.Snapshot()
 		if _, refused := refusalFor(b, r); refused {
-			break // what the last turn said stands
+			break // the previous result is returned
 		}
-		if turn, _, admitted = v.config.Gate.Acquire(ctx, r, shareOf(b, r)); !admitted {
+		if slot, _, admitted = v.config.Gate.Acquire(ctx, r, shareOf(b, r)); !admitted {
 			break
 		}
 		queueingDelay += time.Since(enqueued)
-		result = v.runAdmitted(ctx, b, r, turn)
+		result = v.runAdmitted(ctx, b, r, slot)
 		result.Reply.AttemptsUsed += requeues
 	}
-	v.finish(r, start, queueingDelay, &result)
+	v.finish(r, started, queueingDelay, &result)
 	return result.Reply
 }
 
-// runAdmitted runs a request on the backend server in the turn that the gate gave it.
-func (v *Receiver) runAdmitted(ctx context.Context, b *board.Board, r *call.Request, turn backend.Slot) backend.Result {
+// runAdmitted runs a request on the backend server in the slot that the gate granted.
+func (v *Receiver) runAdmitted(ctx context.Context, b *board.Board, r *call.Request, slot backend.Slot) backend.Result {
 	result := v.config.Backend.Run(ctx, backend.Target{Address: b.Backend.Address, Instance: b.Backend.Instance}, r)
-	v.config.Gate.Release(gateSample(r, turn, result))
+	v.config.Gate.Release(gateSample(r, slot, result))
 	return result
 }
 
-// requeue reports whether a request that the backend server shed gets another turn here, and waits until it is due.
+// requeue reports whether a request that the backend server shed is offered to the gate again. It waits for the requeue
+// delay first.
 func (v *Receiver) requeue(ctx context.Context, r *call.Request, result *backend.Result) bool {
 	if !v.config.RequeueShed {
 		return false
 	}
-	wait, allowed := retry.DecideRequeue(retry.RequeueCandidate{
+	delay, allowed := retry.DecideRequeue(retry.RequeueCandidate{
 		Shed:         result.Overloaded,
 		SafeToRepeat: r.Idempotent || result.Reply.Outcome == call.NotRun,
 		AttemptsLeft: r.AttemptsLeft,
@@ -171,15 +172,15 @@
 		"kind":          r.Kind,
 		"rank":          r.Root.Rank,
 		"attempts_left": r.AttemptsLeft,
-		"wait_ms":       wait.Milliseconds(),
+		"wait_ms":       delay.Milliseconds(),
 	})
 	r.AttemptsLeft--
-	return pause.For(ctx, wait)
+	return pause.For(ctx, delay)
 }
 
-// finish takes in how a request ended that ran, or was shed by the backend server.
-func (v *Receiver) finish(r *call.Request, start trees.Start, queueingDelay time.Duration, result *backend.Result) {
-	v.config.CallTreeLimits.end(r, start, queueingDelay, *result)
+// finish records the end of a request that ran or that the backend server shed.
+func (v *Receiver) finish(r *call.Request, started trees.Start, queueingDelay time.Duration, result *backend.Result) {
+	v.config.CallTreeLimits.end(r, started, queueingDelay, *result)
 	result.Reply.Waited += queueingDelay
 	v.counters.count(*result)
 	if result.ConnectionBroken {
@@ -187,8 +188,8 @@
 	}
 }
 
-// gateSample tells the gate what the run showed about the backend server.
-func gateSample(r *call.Request, turn backend.Slot, result backend.Result) admission.Sample {
+// gateSample returns the observation of a run that the gate adjusts its limit by.
+func gateSample(r *call.Request, slot backend.Slot, result backend.Result) admission.Sample {
 	incomplete := result.Reply.Outcome != call.Ran
 	return admission.Sample{
 		Kind:           r.Kind,
@@ -196,12 +197,12 @@
 		HoldTime:       result.HoldTime,
 		Overloaded:     result.Overloaded,
 		Incomplete:     incomplete && !result.ConnectionBroken,
-		SaturatedLimit: turn.FullAt,
+		SaturatedLimit: slot.FullAt,
 		Failed:         result.ConnectionBroken || !incomplete && result.Reply.Status >= http.StatusInternalServerError,
 	}
 }
 
-// shareOf returns the share that the service's document gives the request's kind.
+// shareOf returns the share of the request's kind in the document of the service; 1 by default.
 func shareOf(b *board.Board, r *call.Request) int {
 	d, ok := b.Documents.ByService[r.Service]
 	if !ok {
--- a/internal/traffic/flow/receiver_test.go
+++ b/internal/traffic/flow/receiver_test.go
@@ -22,25 +22,25 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// A request that the backend server shed gets another turn where that is safe and it has attempts left. What has been
-// said of it is not taken back when there is no other turn.
-func TestShedRequestGetsAnotherTurn(t *testing.T) {
+// A request that the backend server shed is requeued if it is safe to repeat and has attempts left. If the requeue is
+// refused, the earlier result is returned.
+func TestRequeueShedRequest(t *testing.T) {
 	for name, test := range map[string]struct {
 		idempotent bool
 		attempts   int
-		// sheds is how many requests the backend server sheds first.
-		sheds int32
-		// leaves says that the node begins to leave meanwhile.
-		leaves         bool
-		status, turned int
-		used           int
+		// shedFirst is how many requests the backend server sheds before it accepts one.
+		shedFirst int32
+		// leaves says that the node begins to leave while the backend server sheds the request.
+		leaves       bool
+		status, runs int
+		used         int
 	}{
-		"shed once":             {idempotent: true, attempts: 1, sheds: 1, status: http.StatusOK, turned: 2, used: 1},
-		"shed again":            {idempotent: true, attempts: 1, sheds: 2, status: http.StatusServiceUnavailable, turned: 2, used: 1},
-		"without attempts":      {idempotent: true, attempts: 0, sheds: 1, status: http.StatusServiceUnavailable, turned: 1, used: 0},
-		"not idempotent":        {idempotent: false, attempts: 1, sheds: 1, status: http.StatusServiceUnavailable, turned: 1, used: 0},
-		"the node leaves":       {idempotent: true, attempts: 1, sheds: 1, leaves: true, status: http.StatusServiceUnavailable, turned: 1, used: 0},
-		"served the first time": {idempotent: true, attempts: 1, sheds: 0, status: http.StatusOK, turned: 1, used: 0},
+		"shed once":             {idempotent: true, attempts: 1, shedFirst: 1, status: http.StatusOK, runs: 2, used: 1},
+		"shed twice":            {idempotent: true, attempts: 1, shedFirst: 2, status: http.StatusServiceUnavailable, runs: 2, used: 1},
+		"without attempts":      {idempotent: true, attempts: 0, shedFirst: 1, status: http.StatusServiceUnavailable, runs: 1, used: 0},
+		"not idempotent":        {idempotent: false, attempts: 1, shedFirst: 1, status: http.StatusServiceUnavailable, runs: 1, used: 0},
+		"node is leaving":       {idempotent: true, attempts: 1, shedFirst: 1, leaves: true, status: http.StatusServiceUnavailable, runs: 1, used: 0},
+		"served the first time": {idempotent: true, attempts: 1, shedFirst: 0, status: http.StatusOK, runs: 1, used: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -48,7 +48,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			var arrived atomic.Int32
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				if arrived.Add(1) > test.sheds {
+				if arrived.Add(1) > test.shedFirst {
 					return
 				}
 				if test.leaves {
@@ -80,7 +80,7 @@
 			})
 			is.Equal(reply.Outcome, call.Ran)
 			is.Equal(reply.Status, test.status)
-			is.Equal(int(arrived.Load()), test.turned)
+			is.Equal(int(arrived.Load()), test.runs)
 			is.Equal(reply.AttemptsUsed, test.used)
 		})
 	}
--- a/internal/traffic/flow/sender.go
+++ b/internal/traffic/flow/sender.go
@@ -1,5 +1,6 @@
-// Package flow takes requests through a node: the Sender chooses an instance for a request and tries again within
-// bounds; the Receiver admits a request and runs it on the local backend server.
+// Package flow sends requests between nodes and runs them. The Sender chooses an instance for a request and retries within
+// limits. The KeyedSender sends requests with an idempotency key to the key owner, which runs each at most once. The
+// Receiver admits a request and runs it on the local backend server.
 //
 // # Usage
 //
@@ -25,7 +26,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// SenderConfig sets a Sender up.
+// SenderConfig configures a Sender.
 type SenderConfig struct {
 	Board    *board.Loop
 	Peers    *peer.Client
@@ -33,13 +34,15 @@
 	Budgets  *Budgets
 	Routing  routing.Config
 	Throttle throttle.Config
-	// MaxRefusals is how many nodes may refuse a request, beside their backend servers, before it is given up.
+	// MaxRefusals is how many refusals by nodes that did not involve their backend servers a request may get. After them, each
+	// further attempt counts as a retry.
 	MaxRefusals int
-	// MaxFleetRetries is how many retries for one service all nodes together may make at once; 0 for no bound but each node's.
+	// MaxFleetRetries limits the retries for one service that all nodes together may make at once. With 0, only the budget of
+	// each node limits them.
 	MaxFleetRetries float64
-	// Reachability keeps requests away from nodes that give no answer; nil where nothing does.
+	// Reachability keeps requests away from nodes that do not answer. With nil, such nodes are not tracked.
 	Reachability *ReachabilityMonitor
-	// Events takes what operators should know, and Requests what was decided about single requests.
+	// Events receives the events for operators, and Requests the decisions on single requests.
 	Events   *events.Limiter
 	Requests *events.Limiter
 }
@@ -52,7 +55,7 @@
 	typicalDurations *typicalDurations
 }
 
-// NewSender returns a sender.
+// NewSender returns a Sender.
 func NewSender(config SenderConfig) *Sender {
 	s := &Sender{
 		config:           config,
@@ -66,8 +69,8 @@
 	return s
 }
 
-// Send sends the request to an instance of its service, again where that is allowed, and returns the last reply.
-// A root request that would be shed further down is refused at once.
+// Send sends the request to an instance of its service, retries it if that is allowed, and returns the last reply. A root
+// request that would be shed further down its call chain is refused immediately.
 func (s *Sender) Send(ctx context.Context, r *call.Request) call.Reply {
 	if r.Depth > 0 {
 		return s.send(ctx, r)
@@ -114,7 +117,7 @@
 	})
 }
 
-// attemptsUsed returns how many of the attempts lent to a call count as used: all, where its own reply was lost.
+// attemptsUsed returns how many of the attempts lent to a call count as used. If the reply of the call was lost, all do.
 func attemptsUsed(reply *call.Reply, lent int) int {
 	if reply.Outcome == call.Unknown && !isCrash(reply) {
 		return lent
@@ -122,7 +125,8 @@
 	return reply.AttemptsUsed
 }
 
-// isFreeRefusal reports whether a node refused a request that reached no backend server, which costs nothing but the message.
+// isFreeRefusal reports whether a node refused the request without involving a backend server. Only the message was spent
+// on such a refusal.
 func isFreeRefusal(reply *call.Reply) bool {
 	if reply.Outcome != call.NotRun || reply.Final {
 		return false
@@ -130,18 +134,19 @@
 	return reply.Reason != call.ReasonBackendShed && reply.Reason != call.ReasonNoInstance
 }
 
-// sendState is what the attempts of one Send have come to.
+// sendState accumulates the results of the attempts of one Send.
 type sendState struct {
 	tried []string
-	// freeRefusals counts the refusals that reached no backend server.
+	// freeRefusals counts the refusals that involved no backend server.
 	freeRefusals int
 	attemptsUsed int
-	// queueingDelay is how long they stood in queues, and farBytes how many bytes went between availability zones for them.
+	// queueingDelay is the total time that the attempts spent in queues. crossZoneBytes is the number of bytes sent between
+	// availability zones for them.
 	queueingDelay  time.Duration
 	crossZoneBytes int64
-	// mayHaveRun says that an attempt ran, or may have.
+	// mayHaveRun says that an attempt ran or may have run.
 	mayHaveRun bool
-	// lastReply is the reply to the last attempt, or what is said where there is nobody to send one to.
+	// lastReply is the reply to the last attempt, or the refusal to return if there was no instance to send one to.
 	lastReply call.Reply
 }
 
@@ -149,30 +154,31 @@
 	return &sendState{lastReply: call.Refused(call.NotRun, call.ReasonNoInstance, noInstanceRetryAfter)}
 }
 
-func (t *sendState) record(node string, reply call.Reply) {
-	t.tried = append(t.tried, node)
-	t.lastReply = reply
-	t.attemptsUsed += reply.AttemptsUsed
-	t.queueingDelay += reply.Waited
-	t.crossZoneBytes += reply.FarBytes
+func (s *sendState) record(node string, reply call.Reply) {
+	s.tried = append(s.tried, node)
+	s.lastReply = reply
+	s.attemptsUsed += reply.AttemptsUsed
+	s.queueingDelay += reply.Waited
+	s.crossZoneBytes += reply.FarBytes
 	if isFreeRefusal(&reply) {
-		t.freeRefusals++
+		s.freeRefusals++
 	}
 	if reply.Outcome == call.Ran || reply.Outcome == call.Unknown {
-		t.mayHaveRun = true
+		s.mayHaveRun = true
 	}
 }
 
-// finalReply returns the reply for all attempts: one that was refused does not undo an earlier one that may have run.
-func (t *sendState) finalReply(reply call.Reply) call.Reply {
-	reply.AttemptsUsed, reply.Waited, reply.FarBytes = t.attemptsUsed, t.queueingDelay, t.crossZoneBytes
-	if t.mayHaveRun && reply.Outcome != call.Ran {
+// finalReply returns the reply for all attempts. If an earlier attempt may have run, a later refusal does not make the
+// outcome not_run.
+func (s *sendState) finalReply(reply call.Reply) call.Reply {
+	reply.AttemptsUsed, reply.Waited, reply.FarBytes = s.attemptsUsed, s.queueingDelay, s.crossZoneBytes
+	if s.mayHaveRun && reply.Outcome != call.Ran {
 		reply.Outcome = call.Unknown
 	}
 	return reply
 }
 
-// noInstanceRetryAfter is when to come back where no instance is known.
+// noInstanceRetryAfter is the Retry-After time if no instance is known.
 const noInstanceRetryAfter = 500 * time.Millisecond
 
 func (s *Sender) choose(r *call.Request, tried []string) (membership.Member, bool) {
@@ -207,10 +213,10 @@
 	return reply
 }
 
-// messageBytes is about how much the ids, times and headers of a request and its reply come to.
+// messageBytes is the approximate size of a request and its reply without their bodies.
 const messageBytes = 250
 
-// exchangedBytes returns about how many bytes go between two nodes for a request.
+// exchangedBytes returns the approximate number of bytes exchanged between two nodes for a request.
 func exchangedBytes(r *call.Request, reply *call.Reply) int64 {
 	return int64(messageBytes + len(r.Body) + len(reply.Body))
 }
@@ -231,7 +237,8 @@
 	return reply
 }
 
-// failureReply tells what a failed exchange leaves open. All attempts lent to it count as used.
+// failureReply returns the reply for a failed exchange. If the attempt was sent, its outcome is unknown and all attempts
+// lent to it count as used.
 func failureReply(err error, attempt *call.Request) call.Reply {
 	var failure *peer.Error
 	if !errors.As(err, &failure) {
@@ -248,7 +255,8 @@
 	return reply
 }
 
-// shouldRetry learns from the reply and reports whether to try another instance, which it charges.
+// shouldRetry reports whether to try another instance. If that is a retry, it charges the retry budget and the attempts of
+// the request. A successful reply credits the budget.
 func (s *Sender) shouldRetry(ctx context.Context, r *call.Request, reply call.Reply, state *sendState) bool {
 	if reply.Failure() == call.ReasonNone {
 		s.config.Budgets.earn(r.Service)
@@ -256,7 +264,7 @@
 	}
 	candidates := s.views.count(r.Service) - len(state.tried)
 	if isDrainingReply(reply) {
-		return candidates > 0 // a leaving instance has started nothing, and each instance is asked once
+		return candidates > 0 // a leaving instance has started nothing, and each instance is tried once
 	}
 	if isFreeRefusal(&reply) && state.freeRefusals <= s.config.MaxRefusals {
 		return candidates > 0 && ctx.Err() == nil
@@ -280,21 +288,21 @@
 	return true
 }
 
-// newAttemptID returns an id that no other attempt has at the same time.
+// newAttemptID returns a random id. No two concurrent attempts share one, except with negligible probability.
 func newAttemptID() string {
 	const base = 36
 	return strconv.FormatUint(rand.Uint64(), base)
 }
 
-// globalRandom is the program's own random source.
+// globalRandom uses the random source of the process.
 type globalRandom struct{}
 
-// IntN returns a number from 0 to n-1.
+// IntN returns a number in [0, n).
 func (globalRandom) IntN(n int) int {
 	return rand.IntN(n)
 }
 
-// Float64 returns a number from 0 up to, but not including, 1.
+// Float64 returns a number in [0, 1).
 func (globalRandom) Float64() float64 {
 	return rand.Float64()
 }
--- a/internal/traffic/flow/senderstats.go
+++ b/internal/traffic/flow/senderstats.go
@@ -9,17 +9,17 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/throttle"
 )
 
-// SenderStats are what a Sender goes by when it chooses instances and allows further attempts.
+// SenderStats holds the state that a Sender uses to choose instances and to allow retries.
 type SenderStats struct {
-	// Instances are the views of the instances that were called or may be, by node.
+	// Instances holds the statistics of the known instances by node.
 	Instances map[string]routing.Stats `json:"instances"`
-	// Budgets are the further attempts that each service's successes have earned.
+	// Budgets holds the tokens in the retry budget of each service.
 	Budgets map[string]float64 `json:"budgets"`
-	// Throttles are what this entry goes by when it refuses root requests, by service, kind and rank.
+	// Throttles holds the state of the entry throttles, ordered by service, rank and kind.
 	Throttles []ThrottleStats `json:"throttles"`
 }
 
-// ThrottleStats are what the throttle of one kind and rank goes by.
+// ThrottleStats holds the state of the throttle of one service, kind and rank.
 type ThrottleStats struct {
 	Service string `json:"service"`
 	Kind    string `json:"kind"`
@@ -28,7 +28,7 @@
 	throttle.Stats
 }
 
-// Stats returns what the sender goes by.
+// Stats returns the current state of the sender.
 func (s *Sender) Stats(now time.Time) SenderStats {
 	return SenderStats{Instances: s.views.stats(now), Budgets: s.config.Budgets.tokens(), Throttles: s.entryThrottles.stats(now)}
 }
@@ -50,8 +50,8 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	stats := make(map[string]routing.Stats, len(v.byNode))
-	for node, i := range v.byNode {
-		stats[node] = i.Stats(now)
+	for node, instance := range v.byNode {
+		stats[node] = instance.Stats(now)
 	}
 	return stats
 }
--- a/internal/traffic/flow/silence.go
+++ b/internal/traffic/flow/silence.go
@@ -10,13 +10,13 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// silentNodes are the nodes that left a request without an answer. A request that is sent to such a node may have run for
-// all that its caller will learn, so the node is asked something harmless first.
+// silentNodes tracks the nodes that did not answer a request. A request sent to such a node may run without its caller
+// learning so. Before the next request, the node is therefore sent a query without side effects.
 type silentNodes struct {
 	peers *peer.Client
 
 	mu sync.Mutex
-	// lastProbe is when each of them was asked last, by address.
+	// lastProbe holds the time of the last probe of each silent node, by address.
 	lastProbe map[string]time.Time
 }
 
@@ -25,13 +25,14 @@
 }
 
 const (
-	// silentProbeInterval is the time between questions to a silent node; requests meanwhile are refused without one.
+	// silentProbeInterval is the minimum interval between probes of a silent node. In between, requests to it are refused
+	// without a probe.
 	silentProbeInterval = 500 * time.Millisecond
-	// silentProbeTimeout bounds the wait for its answer.
+	// silentProbeTimeout is the timeout of one probe.
 	silentProbeTimeout = 250 * time.Millisecond
 )
 
-// observe takes in how an exchange with the node at the address ended.
+// observe updates the state of the node at the address with the result of an exchange.
 func (s *silentNodes) observe(address string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,13 +44,14 @@
 	}
 }
 
-// isSilence tells a node that doesn't answer from one whose process has ended, whose keys another may have taken over.
+// isSilence reports whether a node did not answer although its process may still run. If its process has ended, another
+// node may have taken over its keys.
 func isSilence(err error) bool {
 	var failure *peer.Error
 	return errors.As(err, &failure) && failure.Sent && failure.Reason == call.ReasonPeerSilent
 }
 
-// isResponsive reports whether the node at the address is worth a request.
+// isResponsive reports whether requests may be sent to the node at the address. It probes a silent node if a probe is due.
 func (s *silentNodes) isResponsive(ctx context.Context, address string) bool {
 	silent, probe := s.check(address, time.Now())
 	if !probe {
@@ -63,7 +65,7 @@
 	return true
 }
 
-// check reports whether the node is silent as far as known, and whether it is to be asked now.
+// check reports whether the node is regarded as silent, and whether it is due for a probe.
 func (s *silentNodes) check(address string, now time.Time) (silent, probe bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/traffic/flow/silence_test.go
+++ b/internal/traffic/flow/silence_test.go
@@ -11,36 +11,36 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-func TestSilences(t *testing.T) {
+func TestSilentNodes(t *testing.T) {
 	const address = "10.0.1.21:7001"
 	lost := &peer.Error{Address: address, Sent: true, Reason: call.ReasonPeerSilent}
 	now := time.Unix(1000, 0)
-	for name, c := range map[string]struct {
-		ends        []error // how exchanges ended before
-		asked       bool    // it was asked a moment ago
-		silent, ask bool
+	for name, test := range map[string]struct {
+		results       []error // results of the exchanges before
+		probed        bool    // a probe was sent less than silentProbeInterval ago
+		silent, probe bool
 	}{
-		"nothing is known":                 {},
-		"answered":                         {ends: []error{nil}},
-		"not sent":                         {ends: []error{&peer.Error{Address: address}}},
-		"the connection broke":             {ends: []error{&peer.Error{Address: address, Sent: true, Reason: call.ReasonPeerUnreachable}}},
-		"another error":                    {ends: []error{errors.New("another")}},
-		"sent without an answer":           {ends: []error{lost}, silent: true, ask: true},
-		"sent without an answer, answered": {ends: []error{lost, nil}},
-		"asked a moment ago":               {ends: []error{lost}, asked: true, silent: true},
+		"unknown node":             {},
+		"answered":                 {results: []error{nil}},
+		"request not sent":         {results: []error{&peer.Error{Address: address}}},
+		"connection broken":        {results: []error{&peer.Error{Address: address, Sent: true, Reason: call.ReasonPeerUnreachable}}},
+		"other error":              {results: []error{errors.New("another")}},
+		"no answer":                {results: []error{lost}, silent: true, probe: true},
+		"no answer, then answered": {results: []error{lost, nil}},
+		"probed recently":          {results: []error{lost}, probed: true, silent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSilentNodes(nil)
-			for _, err := range c.ends {
+			for _, err := range test.results {
 				s.observe(address, err)
 			}
-			if c.asked {
+			if test.probed {
 				s.check(address, now.Add(-silentProbeInterval/2))
 			}
-			silent, ask := s.check(address, now)
-			is.Equal(silent, c.silent)
-			is.Equal(ask, c.ask)
+			silent, probe := s.check(address, now)
+			is.Equal(silent, test.silent)
+			is.Equal(probe, test.probe)
 		})
 	}
 }
--- a/internal/traffic/flow/stats.go
+++ b/internal/traffic/flow/stats.go
@@ -8,21 +8,21 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// ReceiverStats counts what a Receiver did since the start.
+// ReceiverStats holds counts of a Receiver since the start of the process.
 type ReceiverStats struct {
-	// Started are requests sent to the backend server.
+	// Started counts the requests sent to the backend server.
 	Started uint64 `json:"started"`
-	// Succeeded are those of them that ended with a whole answer below 500.
+	// Succeeded counts the started requests that got a complete response with a status below 500.
 	Succeeded uint64 `json:"succeeded"`
-	// Wasted are those that ended without, so that the work done for them was lost.
+	// Wasted counts the started requests that did not, so that the work done for them was lost.
 	Wasted uint64 `json:"wasted"`
-	// WastedMicros is the time for which they held a slot, in microseconds.
+	// WastedMicros is the total time for which the wasted requests held a slot, in microseconds.
 	WastedMicros uint64 `json:"wasted_micros"`
-	// NotStarted are requests that were refused before any work.
+	// NotStarted counts the requests that were refused before any work was done for them.
 	NotStarted uint64 `json:"not_started"`
 }
 
-// receiverCounters are the counters behind ReceiverStats.
+// receiverCounters holds the counters for ReceiverStats.
 type receiverCounters struct {
 	succeeded    atomic.Uint64
 	wasted       atomic.Uint64
--- a/internal/traffic/flow/trees.go
+++ b/internal/traffic/flow/trees.go
@@ -9,18 +9,20 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// CallTreeLimits bounds the root requests whose calls have to wait further down. A nil Trees bounds nothing.
+// CallTreeLimits limits the root requests in flight of kinds whose calls queue further down the call tree. A nil
+// CallTreeLimits sets no limit.
 type CallTreeLimits struct {
 	mu     sync.Mutex
 	limits *trees.Limits
 }
 
-// NewCallTreeLimits returns bounds for the requests of one node.
+// NewCallTreeLimits returns the limits for the requests of one node.
 func NewCallTreeLimits(config trees.Config) *CallTreeLimits {
 	return &CallTreeLimits{limits: trees.NewLimits(config)}
 }
 
-// begin counts a root request, or returns the reply that refuses it. Calls are part of what was admitted before.
+// begin counts a root request, or returns the reply that refuses it. Calls are not counted: they belong to a root request
+// that was admitted before.
 func (l *CallTreeLimits) begin(r *call.Request, slots int) (trees.Start, call.Reply, bool) {
 	if l == nil || r.Depth > 0 {
 		return trees.Start{}, call.Reply{}, true
@@ -34,7 +36,7 @@
 	return trees.Start{}, call.Refused(call.NotRun, call.ReasonCallsWait, backend.Jittered(l.limits.RetryAfter(r.Kind))), false
 }
 
-// limit returns how many root requests of the kind may run, and whether that holds.
+// limit returns the in-flight limit for root requests of the kind, and whether it applies.
 func (l *CallTreeLimits) limit(kind string) (float64, bool) {
 	if l == nil {
 		return 0, false
@@ -44,7 +46,7 @@
 	return l.limits.Value(kind)
 }
 
-// cancel takes back a begin whose request did not start.
+// cancel undoes a begin whose request did not start.
 func (l *CallTreeLimits) cancel(r *call.Request, start trees.Start) {
 	if l == nil || r.Depth > 0 {
 		return
@@ -54,7 +56,7 @@
 	l.limits.Cancel(start)
 }
 
-// end takes in how a request ended that had waited for a slot.
+// end records the result of a request and its queueing delay at the local gate.
 func (l *CallTreeLimits) end(r *call.Request, start trees.Start, queueingDelay time.Duration, result backend.Result) {
 	if l == nil || r.Depth > 0 {
 		return
@@ -69,7 +71,7 @@
 	})
 }
 
-// makesCalls reports whether requests of some kind were seen to make calls.
+// makesCalls reports whether requests of any kind have been observed to make calls.
 func (l *CallTreeLimits) makesCalls() bool {
 	if l == nil {
 		return false
@@ -79,7 +81,8 @@
 	return l.limits.MakesCalls()
 }
 
-// isOverload reports whether a call failed for want of room. One that ran out of time may just have worked for long.
+// isOverload reports whether a call failed because of overload. A call that exceeded its deadline does not count, because
+// it may have worked all that time.
 func isOverload(reason call.Reason) bool {
 	switch reason {
 	case call.ReasonOverload, call.ReasonCallsWait, call.ReasonQueueTimeout, call.ReasonBackendShed:
--- a/internal/traffic/flow/trees_test.go
+++ b/internal/traffic/flow/trees_test.go
@@ -11,10 +11,10 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// Pattern: one backend server of a service is left, and its requests wait for its own slots. That wait takes as much of
-// their time as one further down.
-func TestWaitAtTheOwnGateLowersTheBound(t *testing.T) {
-	limit := func(waited time.Duration) float64 {
+// With one backend server of a service left, its requests queue for its slots. That queueing delay must lower the limit as
+// much as one further down the call tree.
+func TestLocalQueueingDelayLowersLimit(t *testing.T) {
+	limit := func(queueingDelay time.Duration) float64 {
 		limits := NewCallTreeLimits(trees.DefaultConfig)
 		r := &call.Request{Kind: "sheet"}
 		var running []trees.Start
@@ -22,7 +22,7 @@
 			for start, _, ok := limits.begin(r, 36); ok; start, _, ok = limits.begin(r, 36) {
 				running = append(running, start)
 			}
-			limits.end(r, running[0], waited, backend.Result{HoldTime: 500 * time.Millisecond, Downstream: call.Below{Calls: 2}})
+			limits.end(r, running[0], queueingDelay, backend.Result{HoldTime: 500 * time.Millisecond, Downstream: call.Below{Calls: 2}})
 			running = running[1:]
 		}
 		value, _ := limits.limit("sheet")
--- a/internal/traffic/flow/turns.go
+++ b/internal/traffic/flow/turns.go
@@ -6,7 +6,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/retry"
 )
 
-// requeueBudget is the budget of further turns at the gate of the local backend server. A nil turnBudget bounds nothing.
+// requeueBudget limits how many requests may be offered to the local gate again. A nil requeueBudget sets no limit.
 type requeueBudget struct {
 	mu     sync.Mutex
 	budget *retry.RequeueBudget
@@ -20,7 +20,7 @@
 	return &requeueBudget{budget: retry.NewRequeueBudget(*config)}
 }
 
-// earn adds what a request earns that the gate admitted.
+// earn credits the budget for a request that the gate admitted.
 func (b *requeueBudget) earn() {
 	if b == nil {
 		return
@@ -30,7 +30,7 @@
 	b.budget.Earn()
 }
 
-// spend spends a turn and reports whether there was one.
+// spend takes one requeue from the budget and reports whether there was one.
 func (b *requeueBudget) spend(isMostUrgent bool) bool {
 	if b == nil {
 		return true
--- a/internal/traffic/flow/views.go
+++ b/internal/traffic/flow/views.go
@@ -9,8 +9,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// instanceViews are what this node knows of the instances of each service. The members of a service are taken in anew only
-// when the board has another list of them.
+// instanceViews holds what this node knows about the instances of each service. The instances of a service are updated
+// only when the board has a new list of its members.
 type instanceViews struct {
 	config routing.Config
 
@@ -29,14 +29,14 @@
 	return &instanceViews{config: config, byService: map[string]*serviceView{}, byNode: map[string]*routing.Instance{}}
 }
 
-// choice is the node that gets a request.
+// choice is the node chosen for a request.
 type choice struct {
 	node string
-	// spilled says that it is in another availability zone, though there are instances in the own one.
+	// spilled says that the node is in another availability zone although the local zone has instances.
 	spilled bool
 }
 
-// choose returns the node that gets a request of the rank.
+// choose returns the node that the request is sent to.
 func (v *instanceViews) choose(service string, members []membership.Member, now time.Time, r routing.Request) (choice, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -51,44 +51,44 @@
 	}, true
 }
 
-// count returns how many instances of the service are in use.
+// count returns the number of instances of the service in use.
 func (v *instanceViews) count(service string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	w, ok := v.byService[service]
+	view, ok := v.byService[service]
 	if !ok {
 		return 0
 	}
-	return w.set.Len()
+	return view.set.Len()
 }
 
 func (v *instanceViews) begin(node string, rank int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if i, ok := v.byNode[node]; ok {
-		i.Begin(rank)
+	if instance, ok := v.byNode[node]; ok {
+		instance.Begin(rank)
 	}
 }
 
-// setUnreachable says whether the node gives no answer.
+// setUnreachable sets whether the node is unreachable.
 func (v *instanceViews) setUnreachable(node string, unreachable bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if i, ok := v.byNode[node]; ok {
-		i.Unreachable = unreachable
+	if instance, ok := v.byNode[node]; ok {
+		instance.Unreachable = unreachable
 	}
 }
 
-// end takes in the reply to an attempt that began at the start.
+// end records the reply to an attempt that began at start.
 func (v *instanceViews) end(node string, start, now time.Time, r *call.Request, reply call.Reply) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	i, ok := v.byNode[node]
+	instance, ok := v.byNode[node]
 	if !ok {
 		return
 	}
 	elapsed := now.Sub(start)
-	i.End(now, routing.Sample{
+	instance.End(now, routing.Sample{
 		Result:  routingResult(&reply, elapsed),
 		Latency: elapsed,
 		Kind:    r.Kind,
@@ -103,11 +103,12 @@
 	})
 }
 
-// minSilence is the shortest wait without a reply that is held against an instance: the patience of a caller may be
-// shorter than any answer takes.
+// minSilence is the shortest time without a reply that counts as a failure of the instance. The deadline of a caller may
+// be shorter than any reply takes.
 const minSilence = 250 * time.Millisecond
 
-// routingResult returns what a reply says about the instance. Failures further down the chain are not its own.
+// routingResult returns what a reply shows about the instance. Failures further down the call chain are not attributed to
+// it.
 func routingResult(reply *call.Reply, elapsed time.Duration) routing.Result {
 	if reply.Deeper != call.ReasonNone {
 		return routing.Neutral
@@ -130,41 +131,41 @@
 	return routing.Neutral
 }
 
-// acceptsNoWork reports whether the instance has no backend server that takes work.
+// acceptsNoWork reports whether the reply shows that the instance has no backend server that accepts requests.
 func acceptsNoWork(reply *call.Reply) bool {
 	return reply.Reason == call.ReasonDraining || reply.Reason == call.ReasonNoInstance
 }
 
 func (v *instanceViews) setFor(service string, members []membership.Member, now time.Time) *routing.Set {
-	w, ok := v.byService[service]
+	view, ok := v.byService[service]
 	if !ok {
-		w = &serviceView{set: routing.NewSet(v.config)}
-		v.byService[service] = w
+		view = &serviceView{set: routing.NewSet(v.config)}
+		v.byService[service] = view
 	}
-	if !sameSlice(w.members, members) {
-		v.update(w, members, now)
+	if !sameSlice(view.members, members) {
+		v.update(view, members, now)
 	}
-	return w.set
+	return view.set
 }
 
-// sameSlice reports whether both are one slice, which the board never changes in place.
+// sameSlice reports whether both are the same slice. The board never changes a list of members in place.
 func sameSlice(a, b []membership.Member) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (v *instanceViews) update(w *serviceView, members []membership.Member, now time.Time) {
-	for _, m := range w.members {
+func (v *instanceViews) update(view *serviceView, members []membership.Member, now time.Time) {
+	for _, m := range view.members {
 		delete(v.byNode, m.Node)
 	}
-	w.members = members
-	known := make([]routing.Member, 0, len(members))
+	view.members = members
+	routingMembers := make([]routing.Member, 0, len(members))
 	for _, m := range members {
-		known = append(known, routing.Member{Node: m.Node, Zone: m.Zone, Slots: m.Slots, Unconfirmed: m.Unconfirmed})
+		routingMembers = append(routingMembers, routing.Member{Node: m.Node, Zone: m.Zone, Slots: m.Slots, Unconfirmed: m.Unconfirmed})
 	}
-	w.set.Update(now, known)
+	view.set.Update(now, routingMembers)
 	for _, m := range members {
-		if i := w.set.Find(m.Node); i != nil {
-			v.byNode[m.Node] = i
+		if instance := view.set.Find(m.Node); instance != nil {
+			v.byNode[m.Node] = instance
 		}
 	}
 }
--- a/internal/traffic/flow/views_test.go
+++ b/internal/traffic/flow/views_test.go
@@ -12,30 +12,30 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-func TestWhatARefusalShowsOfAnInstance(t *testing.T) {
+func TestRoutingResult(t *testing.T) {
 	for name, test := range map[string]struct {
-		reply call.Reply
-		took  time.Duration
-		want  routing.Result
+		reply   call.Reply
+		elapsed time.Duration
+		want    routing.Result
 	}{
-		"good answer":              {call.Reply{Outcome: call.Ran, Status: 404}, 0, routing.Good},
-		"server error":             {call.Reply{Outcome: call.Ran, Status: 500}, 0, routing.Failed},
-		"server error from deeper": {call.Reply{Outcome: call.Ran, Status: 500, Deeper: call.ReasonOverload}, 0, routing.Neutral},
-		"shed":                     {call.Refused(call.NotRun, call.ReasonOverload, 0), 0, routing.Shed},
-		"leaving":                  {call.Refused(call.NotRun, call.ReasonDraining, 0), 0, routing.Shed},
-		"out of reach":             {call.Refused(call.NotRun, call.ReasonPeerUnreachable, 0), 0, routing.Failed},
-		"caller went away":         {call.Refused(call.Unknown, call.ReasonCanceled, 0), 0, routing.Neutral},
-		"quarantined":              {call.Refused(call.NotRun, call.ReasonQuarantined, 0), 0, routing.Neutral},
-		"silent":                   {call.Refused(call.Unknown, call.ReasonPeerSilent, 0), time.Second, routing.Failed},
-		"impatient caller":         {call.Refused(call.Unknown, call.ReasonPeerSilent, 0), time.Millisecond, routing.Neutral},
+		"successful reply":                {call.Reply{Outcome: call.Ran, Status: 404}, 0, routing.Good},
+		"server error":                    {call.Reply{Outcome: call.Ran, Status: 500}, 0, routing.Failed},
+		"server error from downstream":    {call.Reply{Outcome: call.Ran, Status: 500, Deeper: call.ReasonOverload}, 0, routing.Neutral},
+		"shed":                            {call.Refused(call.NotRun, call.ReasonOverload, 0), 0, routing.Shed},
+		"leaving":                         {call.Refused(call.NotRun, call.ReasonDraining, 0), 0, routing.Shed},
+		"node is unreachable":             {call.Refused(call.NotRun, call.ReasonPeerUnreachable, 0), 0, routing.Failed},
+		"request canceled":                {call.Refused(call.Unknown, call.ReasonCanceled, 0), 0, routing.Neutral},
+		"quarantined":                     {call.Refused(call.NotRun, call.ReasonQuarantined, 0), 0, routing.Neutral},
+		"silent":                          {call.Refused(call.Unknown, call.ReasonPeerSilent, 0), time.Second, routing.Failed},
+		"silent for less than minSilence": {call.Refused(call.Unknown, call.ReasonPeerSilent, 0), time.Millisecond, routing.Neutral},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(routingResult(&test.reply, test.took), test.want)
+			is.New(t).Equal(routingResult(&test.reply, test.elapsed), test.want)
 		})
 	}
 }
 
-func TestViewsOfThoseThatLeftAreDropped(t *testing.T) {
+func TestViewsOfDepartedNodesAreDropped(t *testing.T) {
 	is := is.New(t)
 	v := newInstanceViews(routing.DefaultConfig("sender", "z"))
 	now := time.Unix(1_000_000, 0)
@@ -47,7 +47,7 @@
 	is.True(ok)
 	is.Equal(chosen.node, "two")
 	is.Equal(len(v.byNode), 1)
-	v.begin("one", 0) // an attempt of before is nobody's any more
+	v.begin("one", 0) // an attempt that began before the node left is ignored
 	v.end("one", now, now, &call.Request{}, call.Reply{})
 	is.Equal(v.count("a"), 1)
 	_, ok = v.choose("a", nil, now, routing.Request{})
@@ -55,22 +55,22 @@
 	is.Equal(len(v.byNode), 0)
 }
 
-// A request is spilled over where its own zone has instances that take work, and not where it has none.
+// A request counts as spilled only if the local zone has instances that accept requests.
 func TestSpilledRequests(t *testing.T) {
 	for name, test := range map[string]struct {
-		own    []membership.Member
+		local  []membership.Member
 		leaves bool
 		want   bool
 	}{
-		"own zone has room for others": {own: []membership.Member{{Node: "near", Zone: "z"}}, want: true},
-		"own zone's instance leaves":   {own: []membership.Member{{Node: "near", Zone: "z"}}, leaves: true},
-		"own zone has none":            {},
+		"local zone accepts other kinds": {local: []membership.Member{{Node: "near", Zone: "z"}}, want: true},
+		"local instance is leaving":      {local: []membership.Member{{Node: "near", Zone: "z"}}, leaves: true},
+		"no local instance":              {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			v := newInstanceViews(routing.DefaultConfig("sender", "z"))
 			now := time.Unix(1_000_000, 0)
-			members := append(test.own, membership.Member{Node: "far", Zone: "y"})
+			members := append(test.local, membership.Member{Node: "far", Zone: "y"})
 			request := routing.Request{Kind: "sheets", Tried: []string{"near"}}
 			_, ok := v.choose("a", members, now, request)
 			is.True(ok)
