--- a/internal/traffic/backend/client.go
+++ b/internal/traffic/backend/client.go
@@ -1,11 +1,11 @@
-// Package backend speaks to the local backend server: it admits requests, passes them on over HTTP, and listens to
-// the backend server's announcements.
+// Package backend connects a node to its local backend server. It admits requests, sends them to the backend server over
+// HTTP, and receives the backend server's announcements.
 //
 // # Usage
 //
 //	gate := backend.NewGate(admission.GateConfig{...})
-//	client := backend.NewClient(chains)
-//	reply, sample := client.Run(ctx, "127.0.0.1:9001", request)
+//	client := backend.NewClient(backend.ClientConfig{MaxBody: 1 << 20}, chains)
+//	result := client.Run(ctx, backend.Target{Address: "127.0.0.1:9001"}, request)
 package backend
 
 import (
@@ -26,7 +26,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// Headers that a backend server gets with each request. It sends the chain header on with its own calls.
+// Headers sent to the backend server with each request. The backend server copies the chain header to the calls that it
+// makes for the request.
 const (
 	ChainHeader    = "Comfreyhoist-Chain"
 	DeadlineHeader = "Comfreyhoist-Deadline-Ms"
@@ -34,36 +35,36 @@
 	KeyHeader      = "Idempotency-Key"
 )
 
-// Headers names the headers between a node and its backend server. An empty name stands for a header that isn't used.
+// Headers holds the names of the headers between a node and its backend server. A header with an empty name isn't used.
 type Headers struct {
-	// Chain, Rank and Key go with each request.
+	// Chain, Rank and Key are set on each request.
 	Chain, Rank, Key string
-	// TimeLeft is how many milliseconds the node waits.
+	// TimeLeft carries the time until the deadline of the request, in milliseconds.
 	TimeLeft string
-	// Instance names the start of the backend server that alone may run the request.
+	// Instance identifies the start of the backend server that the request is for. No other start may run it.
 	Instance string
-	// RequestID is the request's own name, which an answer repeats.
+	// RequestID carries the ID of the request. The response repeats it.
 	RequestID string
-	// Signature stands on every answer that the backend server made.
+	// Signature is set on every response that the backend server itself produced.
 	Signature string
-	// NotRun stands on an answer of a backend server that did not run the request.
+	// NotRun is set on the response when the backend server did not run the request.
 	NotRun string
 }
 
-// DefaultHeaders are those of the product's own interface.
+// DefaultHeaders are the headers of comfreyhoist's own backend interface.
 var DefaultHeaders = Headers{Chain: ChainHeader, Rank: RankHeader, Key: KeyHeader, TimeLeft: DeadlineHeader}
 
-// ClientConfig sets a Client up.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// Headers is DefaultHeaders where it is zero.
+	// Headers defaults to DefaultHeaders.
 	Headers Headers
-	// MaxBody bounds the body of an answer, in bytes.
+	// MaxBody is the maximum size of a response body, in bytes.
 	MaxBody int64
-	// Liveness learns whether the backend server answers or refuses connections; nil for nobody.
+	// Liveness records whether the backend server responds or refuses connections. It may be nil.
 	Liveness *Liveness
 }
 
-// Client runs requests on the local backend server.
+// Client sends requests to the local backend server.
 type Client struct {
 	config    ClientConfig
 	chains    *call.Chains
@@ -74,7 +75,7 @@
 	maxConnections int
 }
 
-// NewClient returns a client that enters each running request in chains.
+// NewClient returns a client that registers each running request in chains.
 func NewClient(config ClientConfig, chains *call.Chains) *Client {
 	if config.Headers == (Headers{}) {
 		config.Headers = DefaultHeaders
@@ -84,43 +85,44 @@
 	return c
 }
 
-// defaultMaxConnections holds until the backend server has announced how many it gives.
+// defaultMaxConnections is the connection limit until the backend server announces its own.
 const defaultMaxConnections = 64
 
-// SetMaxConnections bounds the connections to the backend server.
-func (c *Client) SetMaxConnections(connections int) {
+// SetMaxConnections sets the maximum number of connections to the backend server. Values below 1 are ignored.
+func (c *Client) SetMaxConnections(maxConnections int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if connections <= 0 || connections == c.maxConnections {
+	if maxConnections <= 0 || maxConnections == c.maxConnections {
 		return
 	}
-	c.maxConnections = connections
-	c.transport.setLimit(connections)
+	c.maxConnections = maxConnections
+	c.transport.setLimit(maxConnections)
 }
 
-// Result is what running a request told about the backend server.
+// Result is the outcome of one request that was sent to the backend server.
 type Result struct {
 	Reply call.Reply
-	// ServiceTime is the time without the calls down the chain.
+	// ServiceTime is how long the request took, without the calls that the backend server made for it.
 	ServiceTime time.Duration
-	// HoldTime is the whole time for which the request held its slot.
+	// HoldTime is how long the request held its slot, calls included.
 	HoldTime time.Duration
-	// Overloaded says that the backend server itself shed the request. A 503 after calls down the chain isn't its own.
+	// Overloaded reports whether the backend server itself shed the request. A 503 after it made calls for the request
+	// doesn't count, because a callee may have caused it.
 	Overloaded bool
-	// ConnectionBroken says that the connection broke after the request was sent.
+	// ConnectionBroken reports whether the connection broke after the request was sent.
 	ConnectionBroken bool
-	// Downstream is what the calls that the backend server made for the request came to.
+	// Downstream summarizes the calls that the backend server made for the request.
 	Downstream call.Below
 }
 
-// Target is the backend server that is to run a request.
+// Target identifies the backend server that runs a request.
 type Target struct {
 	Address string
-	// Instance names its start; empty where it gave no name.
+	// Instance identifies the start of the backend server; empty if it announced no ID.
 	Instance string
 }
 
-// Run sends the request to the backend server and waits for the whole answer.
+// Run sends the request to the backend server and reads the whole response.
 func (c *Client) Run(ctx context.Context, target Target, r *call.Request) Result {
 	token := c.newToken()
 	chain := c.chains.Begin(ctx, token, r)
@@ -140,7 +142,8 @@
 	return result
 }
 
-// newToken returns the token of one request. Only one that the backend server gets must be hard to guess.
+// newToken returns the token that identifies one request in the call chain. A token that is sent to the backend server is
+// random, so that it is hard to guess; others are counted.
 func (c *Client) newToken() string {
 	if c.config.Headers.Chain != "" {
 		return uuid.NewString()
@@ -154,17 +157,18 @@
 }
 
 var (
-	// errOtherRequest says that an answer belongs to another request.
-	errOtherRequest = errors.New("the answer is for another request")
-	// errUnsigned says that an answer isn't the backend server's.
-	errUnsigned = errors.New("the answer bears no signature")
+	// errOtherRequest is returned for a response with the ID of another request.
+	errOtherRequest = errors.New("response belongs to another request")
+	// errUnsigned is returned for a successful response that the backend server did not produce.
+	errUnsigned = errors.New("response has no signature header")
 )
 
-// errResponseTooLarge says that the backend server ran the request, but that its answer can't be passed on.
-var errResponseTooLarge = errors.New("answer is too large")
+// errResponseTooLarge is returned when the backend server ran the request, but its response body exceeds MaxBody.
+var errResponseTooLarge = errors.New("response body exceeds the size limit")
 
-// exchangeError is a failed exchange with the backend server.
+// exchangeError is the failure of an exchange with the backend server.
 type exchangeError struct {
+	// sent reports whether the request may have been sent, in whole or in part.
 	sent  bool
 	cause error
 }
@@ -173,7 +177,7 @@
 	return fmt.Sprintf("backend server: %v", e.cause)
 }
 
-// exchange sends the request and reads the answer, on a connection of its own for the time.
+// exchange sends the request and reads the response on a connection that it uses exclusively.
 func (c *Client) exchange(ctx context.Context, target Target, r *call.Request, token string) (call.Reply, *exchangeError) {
 	request, err := c.newRequest(ctx, target, r, token)
 	if err != nil {
@@ -202,11 +206,11 @@
 	return reply, nil
 }
 
-// maxStaleResponses is how many answers to earlier requests are passed over.
+// maxStaleResponses is how many responses to earlier requests are skipped on one connection.
 const maxStaleResponses = 2
 
-// roundTrip sends the request on the connection and returns the answer, with its head where one came. An answer that comes late, to a
-// request before, is passed over.
+// roundTrip sends the request on the connection and returns the reply. The HTTP response is nil if no response header was
+// received. Late responses to earlier requests on the connection are skipped.
 func (c *Client) roundTrip(conn *persistentConn, request *http.Request, r *call.Request) (call.Reply, *http.Response, error) {
 	if err := conn.send(&c.transport, request); err != nil {
 		return call.Reply{}, nil, err
@@ -246,7 +250,7 @@
 	return body, err
 }
 
-// ReadBody reads a body of the length, or of up to the most bytes where the length isn't known, which is then below 0.
+// ReadBody reads a body of the given length, but at most limit bytes. A negative length means that it isn't known.
 func ReadBody(body io.Reader, length, limit int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(io.LimitReader(body, limit))
@@ -276,13 +280,13 @@
 	return request, nil
 }
 
-// isForOtherRequest reports whether the answer belongs to another request.
+// isForOtherRequest reports whether the response carries the ID of another request.
 func (c *Client) isForOtherRequest(r *call.Request, response *http.Response) bool {
 	name := c.config.Headers.RequestID
 	return name != "" && response.Header.Get(name) != "" && response.Header.Get(name) != r.Header.Get(name)
 }
 
-// checkSignature finds successes that the backend server didn't make.
+// checkSignature returns errUnsigned for a successful response that the backend server didn't produce.
 func (c *Client) checkSignature(response *http.Response) error {
 	succeeded := response.StatusCode >= http.StatusOK && response.StatusCode < http.StatusMultipleChoices
 	if name := c.config.Headers.Signature; name != "" && succeeded && response.Header.Get(name) == "" {
@@ -291,7 +295,7 @@
 	return nil
 }
 
-// isNotRun reports whether the backend server says that it did not run the request.
+// isNotRun reports whether the response says that the backend server did not run the request.
 func (c *Client) isNotRun(response *http.Response) bool {
 	name := c.config.Headers.NotRun
 	return name != "" && (response.Header.Get(name) != "" || response.StatusCode == http.StatusMisdirectedRequest)
@@ -304,7 +308,7 @@
 	return call.ReasonBackendShed
 }
 
-// hostHeader carries the host that the caller asked for between nodes.
+// hostHeader carries the host from the caller's request between nodes.
 const hostHeader = "Host"
 
 func (c *Client) setHeaders(request *http.Request, target Target, r *call.Request, token string) {
@@ -324,7 +328,7 @@
 	setHeader(request, names.Instance, target.Instance)
 }
 
-// setHeader sets a header that has a name and a value.
+// setHeader sets the header, unless its name or value is empty.
 func setHeader(request *http.Request, name, value string) {
 	if name != "" && value != "" {
 		request.Header.Set(name, value)
@@ -351,13 +355,13 @@
 	return call.ReasonBackendFailed
 }
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop lists the headers that apply to a single connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// EndToEnd returns a copy of the headers without those that concern one connection only.
+// EndToEnd returns a copy of the headers without the hop-by-hop ones.
 func EndToEnd(h http.Header) http.Header {
 	result := h.Clone()
 	if result == nil {
@@ -366,7 +370,7 @@
 	return removeHopByHop(result)
 }
 
-// removeHopByHop takes out the headers that concern one connection only: known ones, and those that Connection names.
+// removeHopByHop removes the hop-by-hop headers in place: those in the list, and those that the Connection header names.
 func removeHopByHop(h http.Header) http.Header {
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
--- a/internal/traffic/backend/client_test.go
+++ b/internal/traffic/backend/client_test.go
@@ -26,7 +26,7 @@
 	return backend.NewClient(backend.ClientConfig{MaxBody: 1 << 10}, call.NewChains())
 }
 
-// A kept connection that breaks in the middle of a request must not make the transport send the request again.
+// TestBrokenConnectionSendsOnce guards against sending a request twice when a persistent connection breaks during the request.
 func TestBrokenConnectionSendsOnce(t *testing.T) {
 	tests := map[string]struct{ method, body, key string }{
 		"keyed post with body":    {http.MethodPost, "booking", "key-1"},
@@ -53,13 +53,14 @@
 			second := client.Run(t.Context(), backend.Target{Address: address}, r)
 			is.Equal(second.Reply.Outcome, call.Unknown)
 			is.True(second.ConnectionBroken)
-			is.Equal(received.Load(), int32(1)) // how often the backend server got the request
+			is.Equal(received.Load(), int32(1)) // the backend server must get the request once
 		})
 	}
 }
 
-// An answer that is too large is no crash of the backend server, so its request must not be blamed for one.
-func TestTooLargeAnswerIsNoCrash(t *testing.T) {
+// TestTooLargeResponseIsNoCrash guards against treating a response that exceeds the size limit as a crash of the backend server,
+// which could quarantine its request.
+func TestTooLargeResponseIsNoCrash(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, 2<<10))
@@ -67,10 +68,11 @@
 	defer server.Close()
 	result := newClient().Run(t.Context(), backend.Target{Address: strings.TrimPrefix(server.URL, "http://")}, newRequest(http.MethodGet, "", ""))
 	is.Equal(result.Reply.Reason, call.ReasonAnswerTooLarge)
-	is.Equal(result.Reply.Outcome, call.Unknown) // it ran, but the answer is lost
+	is.Equal(result.Reply.Outcome, call.Unknown) // the request ran, but its response is lost
 	is.True(!result.ConnectionBroken)
 }
 
+// TestCancellationReachesBackend checks that canceling a request cancels it at the backend server too.
 func TestCancellationReachesBackend(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -87,7 +89,8 @@
 	harness.Eventually(t, 10*time.Second, ended.Load)
 }
 
-func TestChangedConnectionsCloseTheOld(t *testing.T) {
+// TestLimitChangeClosesIdleConnections checks that each change of the connection limit closes the idle connections.
+func TestLimitChangeClosesIdleConnections(t *testing.T) {
 	is := is.New(t)
 	var open atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -109,15 +112,15 @@
 	harness.Eventually(t, 10*time.Second, func() bool { return open.Load() == 1 })
 }
 
-// A request that is given up ends its connection, which the backend server may hold for longer. Until it lets go, the
-// next request waits.
-func TestConnectionCountsUntilTheServerLetsGo(t *testing.T) {
+// TestConnectionCountsUntilServerClosesIt guards against exceeding the connection limit of the backend server. A canceled request
+// closes its connection, but the backend server may hold it for longer; until then, the next request must wait.
+func TestConnectionCountsUntilServerClosesIt(t *testing.T) {
 	is := is.New(t)
-	started, letGo := make(chan struct{}, 2), make(chan struct{})
+	started, release := make(chan struct{}, 2), make(chan struct{})
 	var opened atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		started <- struct{}{}
-		<-letGo
+		<-release
 	}))
 	server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
@@ -135,14 +138,14 @@
 	group.Go(func() { first <- client.Run(ctx, backend.Target{Address: address}, newRequest(http.MethodGet, "", "")) })
 	<-started
 	cancel()
-	is.Equal((<-first).Reply.Reason, call.ReasonCanceled) // at once, though the backend server goes on
-	waiting, stop := context.WithTimeout(t.Context(), 100*time.Millisecond)
+	is.Equal((<-first).Reply.Reason, call.ReasonCanceled) // returns at once, although the backend server still runs the request
+	waitCtx, stop := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer stop()
-	second := client.Run(waiting, backend.Target{Address: address}, newRequest(http.MethodGet, "", ""))
+	second := client.Run(waitCtx, backend.Target{Address: address}, newRequest(http.MethodGet, "", ""))
 	is.Equal(second.Reply.Reason, call.ReasonDeadline)
 	is.Equal(second.Reply.Outcome, call.NotRun)
 	is.Equal(opened.Load(), int32(1))
-	close(letGo)
+	close(release)
 	third := client.Run(t.Context(), backend.Target{Address: address}, newRequest(http.MethodGet, "", ""))
 	is.Equal(third.Reply.Status, http.StatusOK)
 }
--- a/internal/traffic/backend/connections.go
+++ b/internal/traffic/backend/connections.go
@@ -13,9 +13,9 @@
 	"github.com/sourcegraph/conc"
 )
 
-// dialer makes connections to the backend server, and never has more of them than it gives. A connection counts until
-// the backend server has let go of it too: a request that is given up ends its connection, and the backend server
-// would see the next one while it still holds the last.
+// dialer opens connections to the backend server, up to the number that the backend server allows. A connection counts
+// against this limit until the backend server has closed it too. Otherwise a canceled request would free its connection at
+// once, and the backend server would get the next one while it still holds the old one.
 type dialer struct {
 	group conc.WaitGroup
 
@@ -25,12 +25,12 @@
 	limiter *connectionLimiter
 }
 
-// connectionLimiter is the connections to one backend server.
+// connectionLimiter limits the number of open connections to one backend server.
 type connectionLimiter struct {
 	mu    sync.Mutex
 	limit int
 	open  int
-	// changed closes when there may be room.
+	// changed is closed whenever open or limit changes, and then replaced.
 	changed chan struct{}
 }
 
@@ -38,7 +38,7 @@
 	return &connectionLimiter{limit: limit, changed: make(chan struct{})}
 }
 
-// setLimit bounds the connections from now on. Those that are open stay.
+// setLimit sets the maximum number of connections. Connections that are already open stay open.
 func (d *dialer) setLimit(limit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// limiterFor returns the count of the backend server at the address. One at another address counts anew.
+// limiterFor returns the limiter of the backend server at the address. A new address gets a new limiter.
 func (d *dialer) limiterFor(address string) *connectionLimiter {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,7 +58,7 @@
 	return d.limiter
 }
 
-// dial waits until there is room for one more connection and makes it.
+// dial waits until the limit allows another connection and opens it.
 func (d *dialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	limiter := d.limiterFor(address)
 	if err := limiter.acquire(ctx); err != nil {
@@ -109,18 +109,19 @@
 	c.changed = make(chan struct{})
 }
 
-// connection is one to the backend server. Closing it returns at once, but it counts until the other end is closed.
+// connection is a connection to the backend server. Close returns at once, but the connection counts against the limit
+// until the backend server has closed it too, or lingerTimeout has passed.
 type connection struct {
 	net.Conn
 	dialer  *dialer
 	limiter *connectionLimiter
 
 	closed atomic.Bool
-	// readMu is held while bytes are read, so that only one of the user and part reads.
+	// readMu ensures that Read and lingerClose never read at the same time.
 	readMu sync.Mutex
 }
 
-// SyscallConn returns the connection as the system knows it.
+// SyscallConn returns the raw network connection.
 func (c *connection) SyscallConn() (syscall.RawConn, error) {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -129,7 +130,7 @@
 	return s.SyscallConn()
 }
 
-// Read reads until the connection is closed at this end.
+// Read reads from the connection. After Close it returns net.ErrClosed.
 func (c *connection) Read(p []byte) (int, error) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -139,20 +140,20 @@
 	return c.Conn.Read(p)
 }
 
-// Close ends the connection for its user.
+// Close aborts pending reads and writes, and closes the connection in the background.
 func (c *connection) Close() error {
 	if c.closed.Swap(true) {
 		return net.ErrClosed
 	}
-	err := c.SetDeadline(time.Now()) // ends reads and writes that are waiting
+	err := c.SetDeadline(time.Now()) // aborts pending reads and writes
 	c.dialer.group.Go(c.lingerClose)
 	return err
 }
 
-// lingerTimeout bounds the wait for a backend server that doesn't let go of a connection.
+// lingerTimeout is how long lingerClose waits for the backend server to close its side of a connection.
 const lingerTimeout = 5 * time.Second
 
-// lingerClose tells the backend server that the connection ends, and waits until it has let go of it.
+// lingerClose shuts down the write side and waits until the backend server has closed the connection.
 func (c *connection) lingerClose() {
 	defer c.limiter.release()
 	defer func() { _ = c.Conn.Close() }()
--- a/internal/traffic/backend/gate.go
+++ b/internal/traffic/backend/gate.go
@@ -11,33 +11,34 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// Gate makes admission decisions for the goroutines of many requests.
+// Gate is an admission.Gate that is safe for concurrent use. Acquire blocks while its request is queued.
 type Gate struct {
 	mu      sync.Mutex
 	gate    *admission.Gate
 	waiters map[*admission.Ticket]chan decision
-	// waitStarted is signalled when a request begins to wait.
+	// waitStarted is signalled when a request is queued.
 	waitStarted chan struct{}
 }
 
-// decision is the final word on a ticket that waited.
+// decision is the final admission decision on a queued ticket.
 type decision struct {
 	admitted bool
 	refusal  admission.Refusal
 }
 
-// NewGate returns a gate.
+// NewGate returns a gate with the configuration.
 func NewGate(config admission.GateConfig) *Gate {
 	return &Gate{gate: admission.NewGate(config), waiters: map[*admission.Ticket]chan decision{}, waitStarted: make(chan struct{}, 1)}
 }
 
-// Slot is a slot that a request was given.
+// Slot is a slot of the backend server that a request holds.
 type Slot struct {
-	// FullAt is the limit, where it was the last slot of it, else 0.
+	// FullAt is the in-flight limit if this slot was the last one within it, else 0.
 	FullAt int
 }
 
-// Acquire waits for a slot. Without one it returns the reply that refuses the request. Whoever got a slot calls Leave.
+// Acquire waits for a slot and reports whether the request got one. If not, it returns the reply that refuses the request.
+// The holder of a slot must call Release.
 func (g *Gate) Acquire(ctx context.Context, r *call.Request, share int) (Slot, call.Reply, bool) {
 	if ctx.Err() != nil {
 		return Slot{}, g.abandonedReply(ctx, r.Root.Rank), false
@@ -57,21 +58,22 @@
 	return Slot{FullAt: t.SaturatedLimit}, call.Reply{}, true
 }
 
-// Release frees a slot and reports how the request went.
+// Release frees a slot and records the sample of the request that held it.
 func (g *Gate) Release(s admission.Sample) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.notify(g.gate.Finish(time.Now(), s))
 }
 
-// Advance drops requests that waited too long. It is called regularly.
+// Advance refuses queued requests that reached their maximum queueing delay or can't end before their deadline. It must be called
+// regularly.
 func (g *Gate) Advance() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.notify(g.gate.Advance(time.Now()))
 }
 
-// Run drops requests that waited too long, with a look each tick while any wait, until the context ends.
+// Run calls Advance every tick while requests are queued, until the context ends.
 func (g *Gate) Run(ctx context.Context, tick time.Duration) {
 	for {
 		select {
@@ -85,14 +87,14 @@
 	}
 }
 
-// Announce sets the slots and connections that the backend server claims.
+// Announce sets the numbers of slots and connections that the backend server announced.
 func (g *Gate) Announce(slots, connections int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.gate.Announce(slots, connections)
 }
 
-// Load returns the load to report to others.
+// Load returns the load of the gate, as it is reported to other nodes.
 func (g *Gate) Load() call.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -104,43 +106,44 @@
 	}
 }
 
-// HoldTime returns how long requests lately held their slots; 0 where that isn't known.
+// HoldTime returns how long recent requests held their slots; 0 if unknown.
 func (g *Gate) HoldTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gate.HoldTime()
 }
 
-// IsMoreUrgentPresent reports whether a request that is more urgent than the rank came lately.
+// IsMoreUrgentPresent reports whether a request that is more urgent than the rank has arrived recently.
 func (g *Gate) IsMoreUrgentPresent(rank int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gate.IsMoreUrgentPresent(time.Now(), rank)
 }
 
-// QueuedByRank returns how many requests of each rank wait.
+// QueuedByRank returns the number of queued requests of each rank.
 func (g *Gate) QueuedByRank() [admission.Ranks]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gate.QueuedByRank()
 }
 
-// Totals returns what became of the requests of each rank since the start.
+// Totals returns the numbers of requests since the start, by rank and outcome.
 func (g *Gate) Totals() admission.Totals {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gate.Totals()
 }
 
-// Stats returns what the gate decides by, and why.
+// Stats returns the values on which the gate bases its decisions, and their reasons.
 func (g *Gate) Stats() admission.Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gate.Stats(time.Now())
 }
 
-// newTicket stands for the request at the gate. Turns are shared between the callers of root requests; calls of what was
-// admitted go by the age of their roots alone, so that what has begun first ends first.
+// newTicket returns the ticket of the request. Slots are shared fairly between the callers of root requests. Calls of admitted
+// root requests are ordered by the age of their root request alone, so that the oldest root request finishes first. Their
+// tickets therefore have no caller.
 func newTicket(r *call.Request, share int) *admission.Ticket {
 	caller := r.Root.Caller
 	if r.Depth > 0 {
@@ -177,27 +180,27 @@
 
 func (g *Gate) wait(ctx context.Context, t *admission.Ticket, waiter chan decision) (call.Reply, bool) {
 	select {
-	case a := <-waiter:
-		if a.admitted {
+	case d := <-waiter:
+		if d.admitted {
 			return call.Reply{}, true
 		}
-		return refusedReply(a.refusal), false
+		return refusedReply(d.refusal), false
 	case <-ctx.Done():
 		g.withdraw(t, waiter)
 		return g.abandonedReply(ctx, t.Rank), false
 	}
 }
 
-// withdraw takes back a ticket, or frees the slot that it was given in the same moment.
+// withdraw removes a ticket from the queue. If the ticket was admitted in the meantime, it frees the slot.
 func (g *Gate) withdraw(t *admission.Ticket, waiter chan decision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, waits := g.waiters[t]; waits {
+	if _, queued := g.waiters[t]; queued {
 		delete(g.waiters, t)
 		g.gate.Withdraw(t)
 		return
 	}
-	if a := <-waiter; a.admitted {
+	if d := <-waiter; d.admitted {
 		g.notify(g.gate.Cancel(time.Now()))
 	}
 }
@@ -217,10 +220,10 @@
 	}
 }
 
-func (g *Gate) decide(t *admission.Ticket, a decision) {
+func (g *Gate) decide(t *admission.Ticket, d decision) {
 	waiter := g.waiters[t]
 	delete(g.waiters, t)
-	waiter <- a
+	waiter <- d
 }
 
 var refusalReasons = map[admission.Cause]call.Reason{
@@ -233,13 +236,13 @@
 	return call.Refused(call.NotRun, refusalReasons[r.Cause], Jittered(r.RetryAfter))
 }
 
-// Jittered puts a time off by up to half. Requests refused in one moment would else come back in one moment too, and
-// most of them be refused again.
+// Jittered returns the duration, extended at random by up to half. Without jitter, requests that were refused at the same
+// time would all be retried at the same time, and most would be refused again.
 func Jittered(d time.Duration) time.Duration {
 	return d + time.Duration(rand.Float64()*float64(d)/2)
 }
 
-// abandonedReply is the reply to a request whose caller went away or whose deadline passed while it waited.
+// abandonedReply returns the reply to a request that was canceled or whose deadline passed while it was queued.
 func (g *Gate) abandonedReply(ctx context.Context, rank int) call.Reply {
 	if ctx.Err() == context.DeadlineExceeded {
 		return call.Refused(call.NotRun, call.ReasonDeadline, Jittered(g.retryAfter(rank)))
--- a/internal/traffic/backend/gate_test.go
+++ b/internal/traffic/backend/gate_test.go
@@ -10,9 +10,10 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// Pattern: the calls of many admitted requests wait at the deepest service. They go by the age of their roots, whoever sent
-// these, so that what has begun first ends first; root requests take turns between their callers.
-func TestOrderAtTheGate(t *testing.T) {
+// TestQueueOrder checks the order in which queued requests get slots. Calls of admitted root requests are ordered by the age of
+// their root request, whoever its caller is, so that the oldest root request finishes first. Root requests alternate between
+// their callers.
+func TestQueueOrder(t *testing.T) {
 	start := time.Now()
 	for name, test := range map[string]struct {
 		depth int
--- a/internal/traffic/backend/listener.go
+++ b/internal/traffic/backend/listener.go
@@ -7,40 +7,40 @@
 	"github.com/julienschmidt/httprouter"
 )
 
-// AnnouncePath is where a backend server announces itself to its local node, again and again.
+// AnnouncePath is the path to which a backend server posts its periodic announcements on its local node.
 const AnnouncePath = "/announce"
 
-// Announcement is what a backend server says of itself, as JSON.
+// Announcement describes a backend server. It is sent as JSON.
 type Announcement struct {
 	Service string `json:"service"`
-	// Address is the IP and port that take requests.
+	// Address is the IP and port on which the backend server accepts requests.
 	Address     string `json:"address"`
 	Slots       int    `json:"slots"`
 	Connections int    `json:"connections"`
-	// Instance names this start of the backend server; empty for no name.
+	// Instance identifies this start of the backend server; it may be empty.
 	Instance string `json:"instance,omitempty"`
-	// Started is when that was, in milliseconds of Unix time, and Sequence counts the announcements since; 0 for
+	// Started is the time of this start, in Unix milliseconds, and Sequence counts the announcements since then. 0 means
 	// unknown.
 	Started  int64  `json:"started,omitempty"`
 	Sequence uint64 `json:"sequence,omitempty"`
-	// Leaving says that the backend server takes no new work.
+	// Leaving reports whether the backend server accepts no new requests because it is about to stop.
 	Leaving bool `json:"leaving"`
 }
 
-// maxAnnouncement is in bytes.
+// maxAnnouncement is the maximum size of an announcement, in bytes.
 const maxAnnouncement = 4 << 10
 
-// RegisterAnnouncements adds the route for announcements to the router.
+// RegisterAnnouncements adds a route to the router that validates announcements and passes them to announce.
 func RegisterAnnouncements(router *httprouter.Router, announce func(Announcement)) {
 	router.POST(AnnouncePath, func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		var a Announcement
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement))
 		if err := decoder.Decode(&a); err != nil {
-			http.Error(w, "announcement is not JSON: "+err.Error(), http.StatusBadRequest)
+			http.Error(w, "announcement is not valid JSON: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 		if a.Service == "" || a.Address == "" || a.Slots <= 0 || a.Connections <= 0 {
-			http.Error(w, "service, address, slots or connections is missing", http.StatusBadRequest)
+			http.Error(w, "announcement lacks a service, an address, or a positive number of slots or connections", http.StatusBadRequest)
 			return
 		}
 		announce(a)
--- a/internal/traffic/backend/transport.go
+++ b/internal/traffic/backend/transport.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// maxIdleTime is how long an unused connection is kept where the backend server says nothing else.
+	// maxIdleTime is how long an idle connection is kept. A Keep-Alive header of the backend server can only shorten it.
 	maxIdleTime = 4 * time.Second
-	// idleMargin is how much sooner than the backend server a connection is closed.
+	// idleMargin is how long before the backend server's own idle timeout a connection is closed.
 	idleMargin = 500 * time.Millisecond
-	// asyncWriteSize is the size in bytes from which on a request is written while its answer is awaited: the backend server may
-	// answer before it has read all.
+	// asyncWriteSize is the body size, in bytes, from which a request is written while the response is read: the backend
+	// server may respond before it has read the whole body.
 	asyncWriteSize = 16 << 10
 )
 
-// transport keeps connections to the local backend server. It does less than the library's: a request is written and its answer read by
-// the goroutine that waits for it, never sent twice, and an answer that belongs to an earlier request is told apart.
+// transport keeps persistent connections to the local backend server. Unlike http.Transport, it never sends a request
+// twice, it lets the goroutine that waits for the response write the request and read the response, and it lets its user
+// recognize the responses to earlier requests.
 type transport struct {
 	dialer dialer
 
 	mu      sync.Mutex
 	address string
-	// idle are the connections that nobody uses, the one used last at the end.
+	// idle holds the connections that aren't in use, the most recently used one last.
 	idle []*persistentConn
 }
 
-// get returns a connection to the address that one request has to itself.
+// get returns a connection to the address for the exclusive use of one request.
 func (t *transport) get(ctx context.Context, address string) (*persistentConn, error) {
 	for {
 		idle := t.pop(address)
@@ -53,7 +54,8 @@
 	return newPersistentConn(conn), nil
 }
 
-// pop takes out the idle connection that was used last, or returns nil. Those to another address are of a former backend server.
+// pop removes and returns the most recently used idle connection, or nil. Idle connections to another address belong to an
+// earlier backend server and are closed.
 func (t *transport) pop(address string) *persistentConn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,7 +72,7 @@
 	return conn
 }
 
-// put keeps a connection for the next request.
+// put keeps the connection for another request, and closes the idle connections that have expired.
 func (t *transport) put(address string, conn *persistentConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +89,7 @@
 	t.idle = append(t.idle, conn)
 }
 
-// closeIdle closes so many of the connections, those that were idle longest first.
+// closeIdle closes the given number of idle connections, the least recently used ones first.
 func (t *transport) closeIdle(count int) {
 	for _, conn := range t.idle[:count] {
 		_ = conn.Close()
@@ -95,7 +97,7 @@
 	t.idle = slices.Delete(t.idle, 0, count)
 }
 
-// setLimit bounds the connections, and closes those that are idle.
+// setLimit sets the maximum number of connections and closes the idle ones.
 func (t *transport) setLimit(connections int) {
 	t.dialer.setLimit(connections)
 	t.mu.Lock()
@@ -103,18 +105,19 @@
 	t.closeIdle(len(t.idle))
 }
 
-// persistentConn is a connection to the backend server that may serve several requests, one after the other.
+// persistentConn is a connection to the backend server that can carry several requests, one at a time.
 type persistentConn struct {
 	net.Conn
 	raw    syscall.RawConn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// served says that it has served a request, so that a late answer to that may come.
+	// served reports whether the connection has carried a request before, so that a late response to it may arrive.
 	served bool
-	// idleTimeout is how long it may be idle, by the last answer, and until when it is now.
+	// idleTimeout is how long the connection may be idle, according to the last response. idleDeadline is when the current
+	// idle period ends.
 	idleTimeout  time.Duration
 	idleDeadline time.Time
-	// written is closed when the present request is written, whole is then true unless that failed.
+	// written is closed when the write of the current request has ended. writeSucceeded then reports whether it succeeded.
 	written        chan struct{}
 	writeSucceeded bool
 }
@@ -122,12 +125,13 @@
 func newPersistentConn(conn net.Conn) *persistentConn {
 	c := &persistentConn{Conn: conn, reader: bufio.NewReader(conn), writer: bufio.NewWriter(conn)}
 	if s, ok := conn.(syscall.Conn); ok {
-		c.raw, _ = s.SyscallConn() // without it, the connection is taken for sound
+		c.raw, _ = s.SyscallConn() // without it, isReusable only checks the idle deadline
 	}
 	return c
 }
 
-// isReusable reports whether another request may be sent: the backend server has neither closed the connection nor sent anything meanwhile.
+// isReusable reports whether another request may be sent: the idle deadline hasn't passed, and the backend server has
+// neither closed the connection nor sent unexpected data.
 func (c *persistentConn) isReusable(now time.Time) bool {
 	if !now.Before(c.idleDeadline) {
 		return false
@@ -145,7 +149,7 @@
 	return err == nil && quiet
 }
 
-// send writes the request, and returns before that where it is long.
+// send writes the request. A request with a body of at least asyncWriteSize bytes is written in the background.
 func (c *persistentConn) send(t *transport, request *http.Request) error {
 	c.written, c.writeSucceeded = make(chan struct{}), false
 	if request.ContentLength < asyncWriteSize {
@@ -154,7 +158,7 @@
 	}
 	t.dialer.group.Go(func() {
 		defer close(c.written)
-		_ = c.write(request) // that it failed shows in the answer, or in its absence
+		_ = c.write(request) // the read of the response reports the failure
 	})
 	return nil
 }
@@ -168,7 +172,7 @@
 	return err
 }
 
-// receive reads the head of the next answer that is final.
+// receive reads the header of the next response that isn't informational.
 func (c *persistentConn) receive(request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, request)
@@ -182,19 +186,21 @@
 	}
 }
 
-// prepareReuse reports whether the connection may serve another request after the answer, which was read whole, and notes for how long.
+// prepareReuse reports whether the connection can carry another request, and sets its idle deadline. The response must have
+// been read completely.
 func (c *persistentConn) prepareReuse(now time.Time, response *http.Response) bool {
 	select {
 	case <-c.written:
 	default:
-		return false // the backend server answered before it had read all
+		return false // the backend server responded before it read the whole request
 	}
 	c.served = true
 	c.idleDeadline = now.Add(c.idleTimeout)
 	return c.writeSucceeded && !response.Close && c.reader.Buffered() == 0
 }
 
-// parseIdleTimeout returns how long a connection may be kept, by the header in which the backend server tells how long it keeps it.
+// parseIdleTimeout returns how long an idle connection is kept: idleMargin less than the timeout in the Keep-Alive header,
+// and at most maxIdleTime.
 func parseIdleTimeout(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/internal/traffic/backend/transport_test.go
+++ b/internal/traffic/backend/transport_test.go
@@ -18,13 +18,13 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// scriptedServer is a backend server that does as its script says, and counts its connections.
+// scriptedServer is a backend server that runs a script on each connection and counts its connections.
 type scriptedServer struct {
 	address     string
 	connections atomic.Int32
 }
 
-// newScriptedServer runs the script for each connection, which closes after it.
+// newScriptedServer starts a server that runs the script on each connection and closes the connection after it.
 func newScriptedServer(t *testing.T, script func(conn net.Conn, requests *bufio.Reader)) *scriptedServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -50,7 +50,7 @@
 	return s
 }
 
-// nextID reads a request with its body and returns its id, or "" where there is none.
+// nextID reads a request with its body and returns the request ID, or "" if there is no request.
 func nextID(requests *bufio.Reader) string {
 	r, err := http.ReadRequest(requests)
 	if err != nil {
@@ -74,9 +74,10 @@
 	return r
 }
 
-// Pattern: backend servers that answer twice, close connections without a word, or begin their answers with others. A request gets its
-// own answer, on a new connection where the kept one isn't to be trusted.
-func TestConnectionsOfOddBackendServers(t *testing.T) {
+// TestReuseAfterUnusualResponses guards against returning the response to another request. Its backend servers respond twice, close
+// connections without notice, or send an informational response first. Each request must get its own response, on a new
+// connection if the persistent one can't be reused.
+func TestReuseAfterUnusualResponses(t *testing.T) {
 	for name, test := range map[string]struct {
 		script      func(conn net.Conn, requests *bufio.Reader)
 		connections int32
@@ -86,7 +87,7 @@
 				respond(conn, id, "")
 			}
 		}, 1},
-		"a second answer comes with the next one": {func(conn net.Conn, requests *bufio.Reader) {
+		"second response arrives before the next one": {func(conn net.Conn, requests *bufio.Reader) {
 			last := ""
 			for id := nextID(requests); id != ""; id = nextID(requests) {
 				if last != "" {
@@ -96,21 +97,21 @@
 				last = id
 			}
 		}, 1},
-		"a second answer comes at once": {func(conn net.Conn, requests *bufio.Reader) {
+		"second response arrives at once": {func(conn net.Conn, requests *bufio.Reader) {
 			for id := nextID(requests); id != ""; id = nextID(requests) {
 				respond(conn, id, "")
 				respond(conn, id, "")
 			}
 		}, 2},
-		"closed after each answer": {func(conn net.Conn, requests *bufio.Reader) {
+		"closed after each response": {func(conn net.Conn, requests *bufio.Reader) {
 			respond(conn, nextID(requests), "")
 		}, 2},
-		"kept for no time": {func(conn net.Conn, requests *bufio.Reader) {
+		"keep-alive timeout of 0": {func(conn net.Conn, requests *bufio.Reader) {
 			for id := nextID(requests); id != ""; id = nextID(requests) {
 				respond(conn, id, "Keep-Alive: timeout=0\r\n")
 			}
 		}, 2},
-		"an interim answer first": {func(conn net.Conn, requests *bufio.Reader) {
+		"informational response first": {func(conn net.Conn, requests *bufio.Reader) {
 			for id := nextID(requests); id != ""; id = nextID(requests) {
 				_, _ = io.WriteString(conn, "HTTP/1.1 103 Early Hints\r\n\r\n")
 				respond(conn, id, "")
@@ -120,20 +121,20 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			server, client := newScriptedServer(t, test.script), newClientWithRequestIDs()
-			defer client.SetMaxConnections(1) // closes what is kept
+			defer client.SetMaxConnections(1) // closes the idle connections
 			for _, id := range []string{"first", "second"} {
 				result := client.Run(t.Context(), backend.Target{Address: server.address}, newRequestWithID(id))
 				is.Equal(result.Reply.Outcome, call.Ran)
 				is.Equal(string(result.Reply.Body), id)
-				time.Sleep(20 * time.Millisecond) // for what comes late, or closes
+				time.Sleep(20 * time.Millisecond) // lets a second response or the close arrive
 			}
 			is.Equal(server.connections.Load(), test.connections)
 		})
 	}
 }
 
-// An answer to somebody else's request on a new connection is nobody's.
-func TestAnswerOfAnotherRequest(t *testing.T) {
+// TestResponseToOtherRequest checks that a response with the ID of another request on a new connection fails the request.
+func TestResponseToOtherRequest(t *testing.T) {
 	is := is.New(t)
 	server := newScriptedServer(t, func(conn net.Conn, requests *bufio.Reader) {
 		_ = nextID(requests)
@@ -144,8 +145,9 @@
 	is.Equal(result.Reply.Reason, call.ReasonBackendFailed)
 }
 
-// A backend server that answers before it has read a long body gets nothing else on the connection.
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
+// TestResponseBeforeBodyIsRead guards against reusing a connection on which a long request body is still being written because the
+// backend server responded before it had read the body.
+func TestResponseBeforeBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	rest := make(chan string, 2)
 	server := newScriptedServer(t, func(conn net.Conn, requests *bufio.Reader) {
@@ -164,11 +166,12 @@
 	is.Equal(string(client.Run(t.Context(), backend.Target{Address: server.address}, long).Reply.Body), "long")
 	is.Equal(string(client.Run(t.Context(), backend.Target{Address: server.address}, newRequestWithID("next")).Reply.Body), "next")
 	bodies := map[string]bool{<-rest: true, <-rest: true}
-	is.Equal(bodies, map[string]bool{"": true, "a wash": true}) // what is left of the long one is its own
+	is.Equal(bodies, map[string]bool{"": true, "a wash": true}) // no other request was sent within the rest of the long body
 	is.Equal(server.connections.Load(), int32(2))
 }
 
-func TestHeadersOfOneConnectionStay(t *testing.T) {
+// TestEndToEndRemovesHopByHopHeaders checks that hop-by-hop headers, including those that Connection names, are removed.
+func TestEndToEndRemovesHopByHopHeaders(t *testing.T) {
 	is := is.New(t)
 	got := backend.EndToEnd(http.Header{
 		"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=5"}, "Accept": {"*/*"}, "X-Name": {"a", "b"},
