--- a/internal/traffic/peer/blame.go
+++ b/internal/traffic/peer/blame.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// Blame tells the node at the address what is known against a request.
+// Blame sends evidence that a request crashes backend servers to the node at the address.
 func (c *Client) Blame(ctx context.Context, address string, b quarantine.Blame) error {
 	message := &peerpb.BlameRequest{
 		Service:    b.Fingerprint.Service,
@@ -30,24 +30,24 @@
 	return nil
 }
 
-// EvidenceReceiver takes in what other nodes know against requests.
+// EvidenceReceiver receives the evidence that other nodes have against requests.
 type EvidenceReceiver interface {
 	Learn(b quarantine.Blame)
 }
 
-// QuarantineServer answers the RPCs about requests that crash backend servers.
+// QuarantineServer serves the RPCs about requests that crash backend servers.
 type QuarantineServer struct {
 	peerpb.DRPCQuarantineUnimplementedServer
 
 	receiver EvidenceReceiver
 }
 
-// NewQuarantineServer returns a server that hands evidence to the learner.
+// NewQuarantineServer returns a server that passes evidence to the receiver.
 func NewQuarantineServer(receiver EvidenceReceiver) *QuarantineServer {
 	return &QuarantineServer{receiver: receiver}
 }
 
-// Blame takes in the evidence. The learner checks it.
+// Blame passes the evidence to the receiver, which validates it.
 func (s *QuarantineServer) Blame(_ context.Context, m *peerpb.BlameRequest) (*peerpb.BlameReply, error) {
 	s.receiver.Learn(quarantine.Blame{
 		Fingerprint: quarantine.Fingerprint{Service: m.GetService(), Kind: m.GetKind(), Hash: m.GetHash()},
--- a/internal/traffic/peer/client.go
+++ b/internal/traffic/peer/client.go
@@ -1,11 +1,11 @@
-// Package peer carries requests between nodes over drpc.
+// Package peer sends requests between nodes over DRPC.
 //
 // # Usage
 //
 //	client := peer.NewClient(pool, "node_1")
 //	reply, err := client.Call(ctx, address, request)
 //
-// An *Error from Call says whether the other node may have begun the request.
+// The *Error returned by Call reports whether the other node may have started the request.
 package peer
 
 import (
@@ -20,19 +20,19 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// Error is a failed exchange with another node.
+// Error is the failure of an exchange with another node.
 type Error struct {
 	Address string
-	// Sent says that the request was sent, so that the other node may have begun it.
+	// Sent reports whether the request was sent, so that the other node may have started it.
 	Sent bool
-	// Reason is what a caller is told.
+	// Reason is the reason reported to the caller.
 	Reason call.Reason
-	// RetryAfter is when the request may be sent again.
+	// RetryAfter is how long to wait before the request may be sent again.
 	RetryAfter time.Duration
 	Cause      error
 }
 
-// Error returns the failure on one line.
+// Error returns the address, the reason and the cause on one line.
 func (e *Error) Error() string {
 	return fmt.Sprintf("peer %s: %s: %v", e.Address, e.Reason, e.Cause)
 }
@@ -48,12 +48,12 @@
 	node string
 }
 
-// NewClient returns a client that names itself as the source node.
+// NewClient returns a client that sends requests with node as their source node.
 func NewClient(pool *Pool, node string) *Client {
 	return &Client{pool: pool, node: node}
 }
 
-// use runs f on a kept connection, or on a new one where none that is kept is to be trusted.
+// use runs f on a pooled connection, or on a new one if the request asks for that.
 func (c *Client) use(ctx context.Context, address string, r *call.Request, f func(drpc.Conn) error) error {
 	if r.NewConnection {
 		return c.pool.UseNew(ctx, address, f)
@@ -85,9 +85,10 @@
 	return reply, nil
 }
 
-// unsentRetryAfter is when to come back after a request that found no connection.
+// unsentRetryAfter is how long to wait before a request is sent again that got no connection.
 const unsentRetryAfter = 500 * time.Millisecond
 
+// unsentError returns the error of a request that was not sent.
 func unsentError(ctx context.Context, address string, err error) *Error {
 	failure := &Error{Address: address, Reason: contextReason(ctx), RetryAfter: unsentRetryAfter, Cause: err}
 	if trace.IsLimitExceeded(err) {
@@ -96,12 +97,12 @@
 	return failure
 }
 
-// noReplyError is the failure of what was sent and got no answer.
+// noReplyError returns the error of a message that was sent, but got no reply.
 func noReplyError(ctx context.Context, address string, err error) *Error {
 	return &Error{Address: address, Sent: true, Reason: contextReason(ctx), Cause: err}
 }
 
-// query puts one question to the node at the address, on a connection of its own, because an older one may be silent.
+// query sends one query to the node at the address, on a new connection, because an existing one may have gone silent.
 func query[A any](ctx context.Context, c *Client, address string, timeout time.Duration, f func(context.Context, peerpb.DRPCPeerClient) (A, error)) (A, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -117,14 +118,14 @@
 }
 
 const (
-	// recentWindow is how long ago a connection was used at most to be trusted with a question.
+	// recentWindow is how recently a connection must have been used for queryRecent to reuse it.
 	recentWindow = time.Second
-	// recentTimeout bounds the wait for an answer there, before the question goes out on a connection of its own.
+	// recentTimeout is how long queryRecent waits for a reply on a reused connection before it opens a new one.
 	recentTimeout = 120 * time.Millisecond
 )
 
-// queryRecent is ask for a question that may be put twice. Most such questions are about answers that only take long, so that a
-// connection that worked a moment ago will do, and only where that gives no answer a new one is made.
+// queryRecent is like query, for queries that may be sent twice. Most such queries are sent because a reply takes long while the
+// connections work. It therefore tries a recently used connection first, and opens a new one only if that gives no reply.
 func queryRecent[A any](ctx context.Context, c *Client, address string, timeout time.Duration, f func(context.Context, peerpb.DRPCPeerClient) (A, error)) (A, error) {
 	var response A
 	err := c.pool.UseRecent(address, recentWindow, func(conn drpc.Conn) (err error) {
@@ -150,7 +151,7 @@
 	}
 }
 
-// checkAndParseReply returns the reply in an answer that is one to the request.
+// checkAndParseReply returns the reply in the message, or an error if the message isn't a reply to the request.
 func checkAndParseReply(r *call.Request, response *peerpb.CallReply) (call.Reply, error) {
 	if err := checkReply(r, response); err != nil {
 		return call.Reply{}, err
@@ -160,10 +161,10 @@
 
 func checkReply(r *call.Request, response *peerpb.CallReply) error {
 	if response.GetAttemptId() != r.AttemptID {
-		return fmt.Errorf("answer is for attempt %q, not %q", response.GetAttemptId(), r.AttemptID)
+		return fmt.Errorf("reply is for attempt %q, not %q", response.GetAttemptId(), r.AttemptID)
 	}
 	if response.GetOutcome() == peerpb.Outcome_OUTCOME_UNSPECIFIED {
-		return fmt.Errorf("answer has no outcome")
+		return fmt.Errorf("reply has no outcome")
 	}
 	return nil
 }
--- a/internal/traffic/peer/ends.go
+++ b/internal/traffic/peer/ends.go
@@ -6,16 +6,16 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// closeDelayer is a connection to another node that keeps back the end of each RPC and sends it with the next one. The other
-// node has sent its answer by then and has nothing to do but to read the end, which would wake it up once more for each RPC.
-// It is for one writer at a time, as drpc has it.
+// closeDelayer is a connection to another node that holds back the close frame of each RPC and sends it together with the next
+// RPC. The other node has already replied when the close frame arrives, so that sending it at once would only cost the node
+// another wake-up for each RPC. A closeDelayer supports one writer at a time, which DRPC guarantees.
 type closeDelayer struct {
 	net.Conn
 
 	pending []byte
 }
 
-// Write sends what is held back, and the bytes, unless these end an RPC.
+// Write sends the pending close frames and the bytes. If the bytes are a close frame, it only adds them to the pending ones.
 func (d *closeDelayer) Write(p []byte) (int, error) {
 	if isCloseFrame(p) {
 		d.pending = append(d.pending, p...)
@@ -30,7 +30,7 @@
 	return max(written-pendingSize, 0), err
 }
 
-// isCloseFrame reports whether the bytes are one frame that closes an RPC, and nothing else.
+// isCloseFrame reports whether the bytes are exactly one frame that closes an RPC.
 func isCloseFrame(p []byte) bool {
 	rest, frame, ok, err := drpcwire.ParseFrame(p)
 	return err == nil && ok && len(rest) == 0 && frame.Kind == drpcwire.KindClose && frame.Done
--- a/internal/traffic/peer/fuzz_test.go
+++ b/internal/traffic/peer/fuzz_test.go
@@ -11,9 +11,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// FuzzParseRequest checks that no bytes from another node break the reader, and that what it accepts is in bounds.
+// FuzzParseRequest checks that no bytes from another node make parseRequest panic, and that accepted requests are within bounds.
 func FuzzParseRequest(f *testing.F) {
-	whole, err := proto.Marshal(requestMessage(&call.Request{
+	valid, err := proto.Marshal(requestMessage(&call.Request{
 		AttemptID: "a",
 		Service:   "bookings",
 		Kind:      "booking",
@@ -24,7 +24,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole, uint(0))
+	f.Add(valid, uint(0))
 	f.Add([]byte{0x0a, 0x00}, uint(9))
 	f.Fuzz(func(t *testing.T, bytes []byte, bit uint) {
 		var m peerpb.CallRequest
@@ -36,32 +36,32 @@
 			return
 		}
 		if r.Root.Rank < 0 || r.Root.Rank >= admission.Ranks || r.Depth < 0 || r.AttemptsLeft < 0 {
-			t.Errorf("accepted out of bounds: %+v", r)
+			t.Errorf("accepted a request that is out of bounds: %+v", r)
 		}
 		checkDamageDetected(t, &m, bit)
 	})
 }
 
-// FuzzCheckReply checks that an answer is taken only for its own attempt and only when whole.
+// FuzzCheckReply checks that a reply is accepted only for its own attempt and only if it is undamaged.
 func FuzzCheckReply(f *testing.F) {
-	whole, err := proto.Marshal(replyMessage("a", call.Reply{Outcome: call.Ran, Status: 200, Body: []byte("done")}))
+	valid, err := proto.Marshal(replyMessage("a", call.Reply{Outcome: call.Ran, Status: 200, Body: []byte("done")}))
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole, uint(0))
+	f.Add(valid, uint(0))
 	f.Fuzz(func(t *testing.T, bytes []byte, bit uint) {
 		var m peerpb.CallReply
 		if proto.Unmarshal(bytes, &m) != nil || checkReply(&call.Request{AttemptID: "a"}, &m) != nil {
 			return
 		}
 		if m.GetAttemptId() != "a" {
-			t.Errorf("accepted another's answer: %+v", &m)
+			t.Errorf("accepted a reply to another attempt: %+v", &m)
 		}
 		checkDamageDetected(t, &m, bit)
 	})
 }
 
-// checkDamageDetected fails the test where a message with the bit flipped on its way gets to a reader, or a whole one does not.
+// checkDamageDetected fails the test if the message with the bit flipped is decoded, or if the undamaged message is not.
 func checkDamageDetected(t *testing.T, m proto.Message, bit uint) {
 	t.Helper()
 	enc := messageEncoding{Encoding: protoEncoding{}}
@@ -71,7 +71,7 @@
 	}
 	read := m.ProtoReflect().New().Interface()
 	if err := enc.Unmarshal(encoded, read); err != nil || !proto.Equal(read, m) {
-		t.Errorf("a whole message was not read: %v", err)
+		t.Errorf("an undamaged message was not decoded: %v", err)
 	}
 	bit %= uint(8 * len(encoded))
 	encoded[bit/8] ^= 1 << (bit % 8)
--- a/internal/traffic/peer/handover.go
+++ b/internal/traffic/peer/handover.go
@@ -9,30 +9,30 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// RememberedKey is one key that a leaving node hands over: Done with a reply, NotRun or Moved.
+// RememberedKey is an idempotency key that a leaving node hands over. Its state is Done, with a reply, or NotRun or Moved.
 type RememberedKey = outcome.Entry[call.Reply]
 
-// HandoverPart is a part of what a leaving node hands over.
+// HandoverPart is one message of a handover, by which a leaving node transfers its idempotency keys to another node.
 type HandoverPart struct {
 	ID    string
 	Part  int
 	Parts int
 	Keys  []RememberedKey
-	// Owners are the nodes for whose keys the receiver answers once it has all parts.
+	// Owners are the key owners on whose behalf the receiver answers once it has all parts.
 	Owners []outcome.Node
-	// TargetIncarnation is the process that takes the keys over. A later one of the same name must not, because the former may
-	// have run some of them.
+	// TargetIncarnation identifies the process that takes over the keys. A later process of the same node must not take them
+	// over, because the earlier one may have run requests with some of these keys.
 	TargetIncarnation uint64
 }
 
-// HandOver sends one part and reports whether the receiver took it; false says that it will never take any.
+// HandOver sends one part and reports whether the receiver accepted it. False means that the receiver will never accept any part.
 func (c *Client) HandOver(ctx context.Context, address string, p HandoverPart, timeout time.Duration) (bool, error) {
 	request := &peerpb.HandoverRequest{SourceNode: c.node, HandoverId: p.ID, Part: int32(p.Part), Parts: int32(p.Parts), TargetIncarnation: p.TargetIncarnation}
 	for _, k := range p.Keys {
 		request.Keys = append(request.Keys, keyMessage(k))
 	}
-	for _, h := range p.Owners {
-		request.Homes = append(request.Homes, ownerMessage(h))
+	for _, o := range p.Owners {
+		request.Homes = append(request.Homes, ownerMessage(o))
 	}
 	response, err := query(ctx, c, address, timeout, func(ctx context.Context, client peerpb.DRPCPeerClient) (*peerpb.HandoverReply, error) {
 		return client.Handover(ctx, request)
@@ -43,7 +43,7 @@
 	return !response.GetRefused(), nil
 }
 
-// Handover takes in a part of a leaving node's keys.
+// Handover passes a part of a leaving node's keys to the outcome store.
 func (s *Server) Handover(ctx context.Context, m *peerpb.HandoverRequest) (*peerpb.HandoverReply, error) {
 	p := HandoverPart{ID: m.GetHandoverId(), Part: int(m.GetPart()), Parts: int(m.GetParts()), TargetIncarnation: m.GetTargetIncarnation()}
 	for _, k := range m.GetKeys() {
@@ -53,8 +53,8 @@
 		}
 		p.Keys = append(p.Keys, key)
 	}
-	for _, h := range m.GetHomes() {
-		p.Owners = append(p.Owners, parseOwner(h))
+	for _, o := range m.GetHomes() {
+		p.Owners = append(p.Owners, parseOwner(o))
 	}
 	accepted, err := s.outcomes.TakeOver(ctx, p)
 	if err != nil {
--- a/internal/traffic/peer/headers.go
+++ b/internal/traffic/peer/headers.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// errMalformedHeaders says that the headers of a message can't be read.
-var errMalformedHeaders = errors.New("headers are malformed")
+// errMalformedHeaders is returned for a header block that can't be parsed.
+var errMalformedHeaders = errors.New("malformed headers: a line lacks its name, colon or line feed")
 
 const (
 	nameTerminator  = ':'
 	valueTerminator = '\n'
 )
 
-// encodeHeaders returns the headers as they stand in messages: each as its name, a colon, the value and a line feed. One block costs less
-// than a message for each header.
+// encodeHeaders returns the headers as one block: for each header its name, a colon, the value and a line feed. A single block is
+// cheaper to encode than a protobuf message for each header.
 func encodeHeaders(h http.Header) []byte {
 	size := 0
 	for name, values := range h {
@@ -35,7 +35,7 @@
 	return block
 }
 
-// parseHeaders reads a block of headers.
+// parseHeaders parses a block written by encodeHeaders.
 func parseHeaders(block []byte) (http.Header, error) {
 	text := string(block)
 	count := strings.Count(text, string(valueTerminator))
--- a/internal/traffic/peer/headers_test.go
+++ b/internal/traffic/peer/headers_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestHeadersComeBack(t *testing.T) {
+func TestHeadersRoundTrip(t *testing.T) {
 	for name, h := range map[string]http.Header{
 		"none":                {},
 		"one":                 {"Host": {"sheets.example"}},
@@ -24,12 +24,12 @@
 	}
 }
 
-func TestMalformedHeadersAreRefused(t *testing.T) {
+func TestMalformedHeadersAreRejected(t *testing.T) {
 	for name, block := range map[string]string{
 		"no colon":     "Host\n",
-		"no end":       "Host:x",
+		"no line feed": "Host:x",
 		"no name":      ":x\n",
-		"an empty one": "\n",
+		"empty header": "\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := parseHeaders([]byte(block))
@@ -38,7 +38,8 @@
 	}
 }
 
-// A name or value that was read from the network has no line feed, but a header may be set by more than that.
+// FuzzParseHeaders checks that parsed headers survive another round trip. Names and values that were read from the network contain no
+// line feed, but headers may also come from elsewhere.
 func FuzzParseHeaders(f *testing.F) {
 	f.Add([]byte("Host:x\nAccept:*/*\nAccept:text/plain\n"))
 	f.Add([]byte("Host"))
@@ -47,9 +48,9 @@
 		if err != nil {
 			return
 		}
-		again, err := parseHeaders(encodeHeaders(h))
-		if err != nil || len(again) != len(h) {
-			t.Fatalf("%q doesn't come back", block)
+		reparsed, err := parseHeaders(encodeHeaders(h))
+		if err != nil || len(reparsed) != len(h) {
+			t.Fatalf("headers of block %q changed in a round trip", block)
 		}
 	})
 }
--- a/internal/traffic/peer/messages.go
+++ b/internal/traffic/peer/messages.go
@@ -53,16 +53,16 @@
 	}
 }
 
-// parseRequest checks a message from another node and returns the request in it.
+// parseRequest validates a message from another node and returns its request.
 func parseRequest(m *peerpb.CallRequest, now time.Time) (*call.Request, error) {
 	if m.GetAttemptId() == "" || m.GetService() == "" || m.GetKind() == "" || m.GetMethod() == "" {
-		return nil, fmt.Errorf("attempt, service, kind or method is missing")
+		return nil, fmt.Errorf("attempt ID, service, kind or method is empty")
 	}
 	if m.GetRank() < 0 || m.GetRank() >= admission.Ranks {
 		return nil, fmt.Errorf("rank %d is out of range", m.GetRank())
 	}
 	if m.GetAttemptsLeft() < 0 || m.GetDepth() < 0 || m.GetCrashes() < 0 {
-		return nil, fmt.Errorf("attempts, depth or crashes is negative")
+		return nil, fmt.Errorf("number of attempts left, depth or number of crashes is negative")
 	}
 	header, err := parseHeaders(m.GetHeaders())
 	if err != nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-// parseReply returns the reply in a message of another node.
+// parseReply returns the reply in a message from another node.
 func parseReply(m *peerpb.CallReply) (call.Reply, error) {
 	header, err := parseHeaders(m.GetHeaders())
 	if err != nil {
--- a/internal/traffic/peer/messages_test.go
+++ b/internal/traffic/peer/messages_test.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// BenchmarkExchange encodes, seals, opens and reads a request and its reply, without a connection.
+// BenchmarkExchange encodes and decodes a request and its reply, without a connection.
 func BenchmarkExchange(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 16 << 10, 256 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/traffic/peer/pool.go
+++ b/internal/traffic/peer/pool.go
@@ -12,20 +12,20 @@
 	"storj.io/drpc/drpcconn"
 )
 
-// PoolConfig sets a Pool up.
+// PoolConfig configures a Pool.
 type PoolConfig struct {
-	// MaxPerPeer bounds the connections to one node.
+	// MaxPerPeer is the maximum number of pooled connections to one node.
 	MaxPerPeer int
-	// MaxIdle is how long an unused connection is trusted.
+	// MaxIdle is how long a connection may be idle before it is closed instead of reused.
 	MaxIdle     time.Duration
 	DialTimeout time.Duration
-	// LocalIP is the IP to connect from; nil for any.
+	// LocalIP is the local IP of outgoing connections; nil for any.
 	LocalIP net.IP
-	// Compressor makes messages small; nil for none.
+	// Compressor compresses messages; nil disables compression.
 	Compressor *Compressor
 }
 
-// Pool keeps drpc connections to other nodes. A connection carries one RPC at a time.
+// Pool keeps DRPC connections to other nodes. A connection carries one RPC at a time.
 type Pool struct {
 	config PoolConfig
 
@@ -38,21 +38,24 @@
 	return &Pool{config: config, peers: map[string]*peerConns{}}
 }
 
+// peerConns holds the pooled connections to one node.
 type peerConns struct {
+	// idle holds the connections that aren't in use, the most recently used one last.
 	idle []idleConn
+	// open is the number of connections, idle or in use.
 	open int
 }
 
-// prune closes the connections that have been idle for longer than the time. Those used last are used first, so the others
-// would stay for good.
+// prune closes the connections that have been idle for at least maxIdle. The most recently used connection is always reused
+// first, so that without pruning the others would stay open forever.
 func (c *peerConns) prune(now time.Time, maxIdle time.Duration) {
-	kept := 0
-	for kept < len(c.idle) && now.Sub(c.idle[kept].since) >= maxIdle {
-		_ = c.idle[kept].conn.Close()
-		kept++
+	expired := 0
+	for expired < len(c.idle) && now.Sub(c.idle[expired].since) >= maxIdle {
+		_ = c.idle[expired].conn.Close()
+		expired++
 	}
-	c.open -= kept
-	c.idle = slices.Delete(c.idle, 0, kept)
+	c.open -= expired
+	c.idle = slices.Delete(c.idle, 0, expired)
 }
 
 func (c *peerConns) closeIdle() {
@@ -68,33 +71,33 @@
 	since time.Time
 }
 
-// rankReserveRatio is the part of the connections to one node that each rank leaves to more urgent ones.
+// rankReserveRatio is the ratio of the connections to one node that each rank leaves to the next more urgent one.
 const rankReserveRatio = 0.05
 
-// maxInUse returns how many connections to one node may be in use for a request of the rank to take a further one, so
-// that a flood of less urgent requests leaves some to the urgent.
+// maxInUse returns the number of connections in use to one node from which a request of the rank gets no further one. Less
+// urgent ranks have a lower limit, so that a flood of their requests leaves connections for more urgent ones.
 func (p *Pool) maxInUse(rank int) int {
 	return max(int(float64(p.config.MaxPerPeer)*(1-rankReserveRatio*float64(rank))), 1)
 }
 
-// errTooManyConnections says that the bound of connections to one node is reached.
+// errTooManyConnections is returned when the limit on connections to one node is reached.
 var errTooManyConnections = trace.LimitExceeded("too many connections to the node")
 
-// Use runs f on a connection to the address. The connection is kept for later use only if f succeeds.
+// Use runs f on a pooled connection to the address. The connection is returned to the pool only if f succeeds.
 func (p *Pool) Use(ctx context.Context, address string, f func(drpc.Conn) error) error {
 	return p.UseFor(ctx, UseOptions{Address: address}, f)
 }
 
-// UseOptions says what a connection is for.
+// UseOptions describes the use of a connection.
 type UseOptions struct {
 	Address string
-	// Rank is that of the request. Less urgent ranks may use fewer connections.
+	// Rank is the rank of the request. Less urgent ranks may use fewer connections.
 	Rank int
-	// Compress says that the messages are to be packed.
+	// Compress reports whether the messages are sent compressed.
 	Compress bool
 }
 
-// UseFor is Use for a request.
+// UseFor is like Use, with options.
 func (p *Pool) UseFor(ctx context.Context, u UseOptions, f func(drpc.Conn) error) error {
 	conn, err := p.take(ctx, u.Address, u.Rank)
 	if err != nil {
@@ -103,7 +106,8 @@
 	return p.run(u, conn, f)
 }
 
-// UseNew runs f on a connection that is made for it, for what an older connection left open.
+// UseNew runs f on a new connection outside the pool, which is closed afterwards. It serves to find out what an older connection
+// left undecided.
 func (p *Pool) UseNew(ctx context.Context, address string, f func(drpc.Conn) error) error {
 	conn, err := p.dial(ctx, address)
 	if err != nil {
@@ -113,10 +117,10 @@
 	return f(encodedConn{Conn: conn, compressor: p.config.Compressor})
 }
 
-// errNoRecentConnection says that no idle connection was used lately.
-var errNoRecentConnection = trace.NotFound("no connection to the node was used lately")
+// errNoRecentConnection is returned when no idle connection was used recently enough.
+var errNoRecentConnection = trace.NotFound("no idle connection to the node was used recently")
 
-// UseRecent runs f on an idle connection on which an RPC succeeded within the time, or returns errNoRecent.
+// UseRecent runs f on an idle connection on which an RPC succeeded within the duration, or returns errNoRecentConnection.
 func (p *Pool) UseRecent(address string, within time.Duration, f func(drpc.Conn) error) error {
 	conn := p.takeRecent(address, within)
 	if conn == nil {
@@ -138,7 +142,7 @@
 	return conn
 }
 
-// CloseIdle closes the idle connections to a node that was found silent, so that none of them is trusted again.
+// CloseIdle closes the idle connections to a node that stopped replying, so that none of them is reused.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,7 +193,8 @@
 	return conn, nil
 }
 
-// takeIdle returns the idle connection used last, or nil with a place reserved for a new one.
+// takeIdle returns the most recently used idle connection. If there is none, it returns nil and counts a new connection as open,
+// which the caller of takeIdle then opens.
 func (p *Pool) takeIdle(address string, rank int, now time.Time) (*drpcconn.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,6 +225,7 @@
 	peer.idle = append(peer.idle, idleConn{conn: conn, since: now})
 }
 
+// releaseConn removes a connection that was closed or couldn't be opened from the count.
 func (p *Pool) releaseConn(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/traffic/peer/promise.go
+++ b/internal/traffic/peer/promise.go
@@ -7,27 +7,29 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// PromiseQuery asks a keeper of a shard for a promise, or takes it back.
+// PromiseQuery asks a keeper of a shard to promise that the end of the shard may move to Until, or to take its promise back.
 type PromiseQuery struct {
 	Shard string
 	Term  uint64
-	// Until is in Unix milliseconds.
+	// Until is the new end of the shard, in Unix milliseconds.
 	Until int64
+	// Fence reports whether the keeper must take back its promise.
 	Fence bool
-	// Incarnation is the process that is asked.
+	// Incarnation identifies the process that the query is for.
 	Incarnation uint64
 }
 
-// PromiseResult is the keeper's answer.
+// PromiseResult is a keeper's reply to a PromiseQuery.
 type PromiseResult struct {
-	// Known is false where the asked process is another one.
-	Known   bool
+	// Known is false if a process with another incarnation received the query.
+	Known bool
+	// Granted reports whether the keeper gave the promise.
 	Granted bool
-	// Until is the latest end that was promised, with Fence, in Unix milliseconds.
+	// Until is the latest end that the keeper promised, in Unix milliseconds. It is set for queries with Fence.
 	Until int64
 }
 
-// Promise asks the keeper at the address.
+// Promise sends the query to the keeper at the address.
 func (c *Client) Promise(ctx context.Context, address string, q PromiseQuery, timeout time.Duration) (PromiseResult, error) {
 	request := &peerpb.PromiseRequest{
 		Shard:           q.Shard,
@@ -45,14 +47,14 @@
 	return PromiseResult{Known: response.GetKnown(), Granted: response.GetGranted(), Until: response.GetUntilUnixMillis()}, nil
 }
 
-// Promise answers as a keeper.
+// Promise answers a query as a keeper.
 func (s *Server) Promise(_ context.Context, m *peerpb.PromiseRequest) (*peerpb.PromiseReply, error) {
-	a := s.promiser.Promise(PromiseQuery{
+	result := s.promiser.Promise(PromiseQuery{
 		Shard:       m.GetShard(),
 		Term:        m.GetTerm(),
 		Until:       m.GetUntilUnixMillis(),
 		Fence:       m.GetFence(),
 		Incarnation: m.GetIncarnation(),
 	})
-	return &peerpb.PromiseReply{Known: a.Known, Granted: a.Granted, UntilUnixMillis: a.Until}, nil
+	return &peerpb.PromiseReply{Known: result.Known, Granted: result.Granted, UntilUnixMillis: result.Until}, nil
 }
--- a/internal/traffic/peer/resolve.go
+++ b/internal/traffic/peer/resolve.go
@@ -25,33 +25,35 @@
 	peerpb.ResolveReply_STATE_MOVED:   outcome.Moved,
 }
 
-// ResolveQuery asks what became of an attempt.
+// ResolveQuery asks a node for the state of an attempt.
 type ResolveQuery struct {
 	AttemptID string
 	Key       string
 	Service   string
-	// Incarnation is the process that the attempt was sent to; 0 for any.
+	// Incarnation identifies the process that the attempt was sent to; 0 for any.
 	Incarnation uint64
-	// Delegated says that the attempt was sent by the home of its key.
+	// Delegated reports whether the owner of the key sent the attempt.
 	Delegated bool
-	// Move takes a key that has not run away from the asked node: it never runs there.
-	Move   bool
+	// Move asks the node to give up the key if it has not run: its request will never run on that node.
+	Move bool
+	// MoveTo is the node to which the key moves.
 	MoveTo outcome.Node
 }
 
-// Resolution is the answer to a Question.
+// Resolution is the reply to a ResolveQuery.
 type Resolution struct {
-	// Known is false where the asked node is not the process that the attempt was sent to.
+	// Known is false if the node that replied is not the process that the attempt was sent to.
 	Known bool
 	State outcome.State
-	// Reply is set with Done.
+	// Reply is set if State is Done.
 	Reply call.Reply
-	// Fingerprint tells requests under one key apart. It is set for a key that is to move, and 0 where that was not seen.
+	// Fingerprint distinguishes different requests with the same key. It is set for a key that moves, and 0 if the node has
+	// not seen the key.
 	Fingerprint uint64
 }
 
-// Resolve asks the node at the address. It trusts no connection that may have gone silent: for a key it makes a new one, and
-// for an attempt without a key it takes one that has just worked, or a new one where that gives no answer.
+// Resolve sends the query to the node at the address. It avoids connections that may have gone silent. A query with a key uses a
+// new connection. A query without a key uses a recently used connection, and a new one if that gives no reply.
 func (c *Client) Resolve(ctx context.Context, address string, q ResolveQuery, timeout time.Duration) (Resolution, error) {
 	request := &peerpb.ResolveRequest{
 		AttemptId:   q.AttemptID,
@@ -84,12 +86,12 @@
 	return resolution, nil
 }
 
-// CloseIdle closes the idle connections to the node at the address, which was found silent.
+// CloseIdle closes the idle connections to the node at the address, because the node stopped replying.
 func (c *Client) CloseIdle(address string) {
 	c.pool.CloseIdle(address)
 }
 
-// Resolve answers what became of an attempt.
+// Resolve returns the state of an attempt.
 func (s *Server) Resolve(_ context.Context, m *peerpb.ResolveRequest) (*peerpb.ResolveReply, error) {
 	resolution := s.outcomes.Resolve(ResolveQuery{
 		AttemptID:   m.GetAttemptId(),
--- a/internal/traffic/peer/reuse_test.go
+++ b/internal/traffic/peer/reuse_test.go
@@ -19,13 +19,13 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// countingListener counts the connections that were made, and how often something came in on them.
+// countingListener counts the accepted connections and the reads on them that returned data.
 type countingListener struct {
 	net.Listener
 
 	accepted atomic.Int64
 	reads    atomic.Int64
-	// silent drops what comes in on the connections that were made before.
+	// silent discards the data received on connections that were accepted before it was set.
 	silent atomic.Bool
 }
 
@@ -38,7 +38,7 @@
 	return &countingConn{Conn: conn, listener: l, afterSilence: l.silent.Load()}, nil
 }
 
-// countingConn counts the reads that brought something.
+// countingConn counts the reads that returned data.
 type countingConn struct {
 	net.Conn
 
@@ -58,14 +58,14 @@
 	}
 }
 
-// receiverFunc answers requests at once.
+// receiverFunc is a Receiver that replies with the result of the function.
 type receiverFunc func(r *call.Request) call.Reply
 
 func (f receiverFunc) Receive(_ context.Context, r *call.Request) call.Reply {
 	return f(r)
 }
 
-// runningStore says of every attempt that it runs.
+// runningStore is an OutcomeStore that reports every attempt as running.
 type runningStore struct{}
 
 func (runningStore) Resolve(peer.ResolveQuery) peer.Resolution {
@@ -76,13 +76,13 @@
 	return false, nil
 }
 
-// Pattern: one answer of ten takes so long that it is asked about. The questions go out on connections that have just
-// worked, and on a new one where there is none.
-func TestQuestionsUseConnectionsThatWork(t *testing.T) {
+// TestQueriesReuseRecentConnections guards against opening a connection for each query about a slow reply. A query uses a recently used
+// connection, and a new one only if there is none.
+func TestQueriesReuseRecentConnections(t *testing.T) {
 	for name, test := range map[string]struct {
 		calls int
-		// made is how many connections there are after ten questions.
-		made int64
+		// connections is the number of connections that were accepted after ten queries.
+		connections int64
 	}{
 		"after calls": {3, 1},
 		"before any":  {0, 10},
@@ -100,13 +100,14 @@
 				is.NoErr(err)
 				is.Equal(resolution.State, outcome.Running)
 			}
-			is.Equal(l.accepted.Load(), test.made)
+			is.Equal(l.accepted.Load(), test.connections)
 		})
 	}
 }
 
-// Pattern: the open connections went silent. A question goes out again on a new one and is answered.
-func TestQuestionPassesASilentConnection(t *testing.T) {
+// TestQueryAfterSilentConnection checks that a query that gets no reply on a pooled connection, because it went silent, is sent again on
+// a new connection and answered.
+func TestQueryAfterSilentConnection(t *testing.T) {
 	is := is.New(t)
 	l := &countingListener{}
 	refuse := receiverFunc(func(*call.Request) call.Reply { return call.Refused(call.NotRun, call.ReasonOverload, time.Second) })
@@ -120,8 +121,8 @@
 	is.True(time.Since(begin) < 500*time.Millisecond)
 }
 
-// startNode starts a node that answers with the receiver, and returns a client of it, the client's pool and the address. The
-// counter, where there is one, counts its connections.
+// startNode starts a node that passes requests to the receiver, and returns a client of it, the client's pool and the node's address.
+// The counter, if not nil, counts the node's connections.
 func startNode(t *testing.T, receiver peer.Receiver, maxIdle time.Duration, counter *countingListener) (*peer.Client, *peer.Pool, string) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -144,7 +145,7 @@
 	return peer.NewClient(pool, "node_1"), pool, address
 }
 
-// sendCall sends one request, whose context ends as soon as its answer is there.
+// sendCall sends one request, whose context ends as soon as the reply has arrived.
 func sendCall(t *testing.T, client *peer.Client, address string, depth int) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -154,8 +155,9 @@
 	is.New(t).NoErr(err)
 }
 
-// Pattern: a flood of requests that are refused at once. The context of each ends as soon as its answer is there.
-func TestAnsweredCallsKeepTheirConnection(t *testing.T) {
+// TestAnsweredCallsKeepConnection guards against closing the connection of a call whose context ends as soon as the reply has arrived.
+// A flood of requests that are refused at once would then open a connection for each.
+func TestAnsweredCallsKeepConnection(t *testing.T) {
 	is := is.New(t)
 	l := &countingListener{}
 	refuse := receiverFunc(func(*call.Request) call.Reply { return call.Refused(call.NotRun, call.ReasonOverload, time.Second) })
@@ -166,9 +168,9 @@
 	is.Equal(l.accepted.Load(), int64(1))
 }
 
-// Pattern: thousands of short calls a second at the deepest service. Each wakes its node up once for the request, and not once
-// more for the end of the call.
-func TestNodeIsWokenUpOnceForEachCall(t *testing.T) {
+// TestOneReadPerCall guards against a second wake-up of the node for the close frame of each call, which costs much at thousands of short
+// calls per second. The close frame must arrive together with the next request.
+func TestOneReadPerCall(t *testing.T) {
 	is := is.New(t)
 	l := &countingListener{}
 	refuse := receiverFunc(func(*call.Request) call.Reply { return call.Refused(call.NotRun, call.ReasonOverload, time.Second) })
@@ -180,17 +182,17 @@
 	is.True(l.reads.Load() <= calls+1)
 }
 
-// Pattern: a burst needs many connections at once, and the load after it few. Those that are left over are closed, though
-// others to the same node stay in use.
-func TestConnectionsOfABurstAreClosed(t *testing.T) {
+// TestBurstConnectionsAreClosed guards against keeping the connections of a burst open while later load uses only a few of the connections
+// to the node.
+func TestBurstConnectionsAreClosed(t *testing.T) {
 	is := is.New(t)
 	const burst, maxIdle = 20, 100 * time.Millisecond
-	var together sync.WaitGroup
-	together.Add(burst)
+	var allArrived sync.WaitGroup
+	allArrived.Add(burst)
 	client, pool, address := startNode(t, receiverFunc(func(r *call.Request) call.Reply {
-		if r.Depth == 0 { // one of the burst
-			together.Done()
-			together.Wait()
+		if r.Depth == 0 { // a request of the burst
+			allArrived.Done()
+			allArrived.Wait()
 		}
 		return call.Refused(call.NotRun, call.ReasonOverload, time.Second)
 	}), maxIdle, nil)
--- a/internal/traffic/peer/seal.go
+++ b/internal/traffic/peer/seal.go
@@ -13,32 +13,32 @@
 	"storj.io/drpc/drpcenc"
 )
 
-// errChecksumMismatch says that a message was changed on its way.
+// errChecksumMismatch is returned for a message that was damaged in transit.
 var errChecksumMismatch = errors.New("message does not match its checksum")
 
 const (
-	// checksumSize is the length of the checksum before each message, in bytes.
+	// checksumSize is the size of the checksum before each message, in bytes.
 	checksumSize = 8
-	// dictionaryID names the dictionary in each message.
+	// dictionaryID identifies the compression dictionary in each compressed message.
 	dictionaryID = 1
-	// maxMessageSize bounds an unpacked message, in bytes.
+	// maxMessageSize is the maximum size of a decompressed message, in bytes.
 	maxMessageSize = 8 << 20
-	// compressionWindow is how far back a packed message repeats itself, in bytes.
+	// compressionWindow is the window size of the compression, in bytes.
 	compressionWindow = 64 << 10
 )
 
-// commonTerms stand in most messages.
+// commonTerms are strings that occur in most messages. They are part of the compression dictionary.
 var commonTerms = []string{
 	"application/octet-stream", "application/json", "Content-Type", "Accept-Encoding", "identity", "User-Agent", "Accept", "*/*", "Host",
 }
 
-// Compressor makes messages small and unpacks them. All nodes of a fleet need the same one.
+// Compressor compresses and decompresses messages with a dictionary. All nodes of a fleet must use the same dictionary.
 type Compressor struct {
 	encoder *zstd.Encoder
 	decoder *zstd.Decoder
 }
 
-// NewCompressor returns a packer for messages in which the words stand often.
+// NewCompressor returns a compressor whose dictionary contains the terms, which should occur in many messages.
 func NewCompressor(terms ...string) (*Compressor, error) {
 	dictionary := []byte(strings.Join(append(terms, commonTerms...), "\n"))
 	encoder, err := zstd.NewWriter(nil,
@@ -61,55 +61,56 @@
 	return &Compressor{encoder: encoder, decoder: decoder}, nil
 }
 
-// The first byte of a message says how it stands.
+// The first byte of a message is its form.
 const (
 	formPlain      = 0
 	formCompressed = 1
 )
 
-// errUnknownForm says that a message stands in a form that this node doesn't know.
-var errUnknownForm = errors.New("message is in an unknown form")
+// errUnknownForm is returned for a message that is empty, whose first byte is not a known form, or that is compressed when the node
+// has no Compressor.
+var errUnknownForm = errors.New("message is empty or in an unknown form")
 
-// compress appends the message in the packed form.
-func (p *Compressor) compress(buffer, message []byte) []byte {
-	return p.encoder.EncodeAll(message, append(buffer, formCompressed))
+// compress appends the message in the compressed form to the buffer.
+func (c *Compressor) compress(buffer, message []byte) []byte {
+	return c.encoder.EncodeAll(message, append(buffer, formCompressed))
 }
 
-// decode returns the message, and whether it was packed.
-func (p *Compressor) decode(message []byte) ([]byte, bool, error) {
+// decode returns the message without its form, and reports whether it was compressed.
+func (c *Compressor) decode(message []byte) ([]byte, bool, error) {
 	switch {
 	case len(message) == 0:
 		return nil, false, errUnknownForm
 	case message[0] == formPlain:
 		return message[1:], false, nil
-	case message[0] == formCompressed && p != nil:
-		decompressed, err := p.decoder.DecodeAll(message[1:], nil)
+	case message[0] == formCompressed && c != nil:
+		decompressed, err := c.decoder.DecodeAll(message[1:], nil)
 		return decompressed, true, trace.Wrap(err)
 	}
 	return nil, false, errUnknownForm
 }
 
-// messageEncoding is an encoding that puts a checksum behind each message, so that damage to any field is found. No message has a
-// checksum of a part of its own.
+// messageEncoding is an encoding that puts a checksum before each message, so that damage to any field is detected. Messages
+// therefore have no checksum fields.
 type messageEncoding struct {
 	drpc.Encoding
 	compressor *Compressor
-	// compress says that messages are sent packed.
+	// compress reports whether messages are sent compressed.
 	compress bool
-	// wasCompressed is set where the message that was read was packed; nil for nobody who asks.
+	// wasCompressed receives whether the message that was read was compressed. It may be nil.
 	wasCompressed *bool
 }
 
-// Marshal returns the encoded message and its checksum.
-func (s messageEncoding) Marshal(m drpc.Message) ([]byte, error) {
-	return s.MarshalAppend(nil, m)
+// Marshal returns the checksum and the encoded message.
+func (e messageEncoding) Marshal(m drpc.Message) ([]byte, error) {
+	return e.MarshalAppend(nil, m)
 }
 
-// MarshalAppend appends the checksum and the encoded message.
-func (s messageEncoding) MarshalAppend(buffer []byte, m drpc.Message) ([]byte, error) {
+// MarshalAppend appends the checksum and the encoded message to the buffer.
+func (e messageEncoding) MarshalAppend(buffer []byte, m drpc.Message) ([]byte, error) {
 	start := len(buffer)
 	var placeholder [checksumSize]byte
-	buffer, err := s.encode(append(buffer, placeholder[:]...), m)
+	buffer, err := e.encode(append(buffer, placeholder[:]...), m)
 	if err != nil {
 		return nil, err
 	}
@@ -118,20 +119,20 @@
 	return buffer, nil
 }
 
-// encode appends the message in its form.
-func (s messageEncoding) encode(buffer []byte, m drpc.Message) ([]byte, error) {
-	if !s.compress || s.compressor == nil {
-		return drpcenc.MarshalAppend(m, s.Encoding, append(buffer, formPlain))
+// encode appends the form and the encoded message to the buffer.
+func (e messageEncoding) encode(buffer []byte, m drpc.Message) ([]byte, error) {
+	if !e.compress || e.compressor == nil {
+		return drpcenc.MarshalAppend(m, e.Encoding, append(buffer, formPlain))
 	}
-	encoded, err := s.Encoding.Marshal(m)
+	encoded, err := e.Encoding.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
-	return s.compressor.compress(buffer, encoded), nil
+	return e.compressor.compress(buffer, encoded), nil
 }
 
-// Unmarshal reads the message where its checksum is right.
-func (s messageEncoding) Unmarshal(buffer []byte, m drpc.Message) error {
+// Unmarshal verifies the checksum and decodes the message.
+func (e messageEncoding) Unmarshal(buffer []byte, m drpc.Message) error {
 	if len(buffer) < checksumSize {
 		return errChecksumMismatch
 	}
@@ -139,17 +140,17 @@
 	if binary.LittleEndian.Uint64(checksum) != xxhash.Sum64(message) {
 		return errChecksumMismatch
 	}
-	encoded, compressed, err := s.compressor.decode(message)
+	encoded, compressed, err := e.compressor.decode(message)
 	if err != nil {
 		return err
 	}
-	if s.wasCompressed != nil {
-		*s.wasCompressed = compressed
+	if e.wasCompressed != nil {
+		*e.wasCompressed = compressed
 	}
-	return s.Encoding.Unmarshal(encoded, m)
+	return e.Encoding.Unmarshal(encoded, m)
 }
 
-// encodedConn is a connection whose messages carry checksums.
+// encodedConn is a connection that uses messageEncoding.
 type encodedConn struct {
 	drpc.Conn
 	compressor *Compressor
@@ -161,13 +162,13 @@
 	return c.Conn.Invoke(ctx, rpc, messageEncoding{Encoding: enc, compressor: c.compressor, compress: c.compress}, in, out)
 }
 
-// encodedHandler serves RPCs whose messages carry checksums.
+// encodedHandler serves RPCs that use messageEncoding.
 type encodedHandler struct {
 	handler    drpc.Handler
 	compressor *Compressor
 }
 
-// NewHandler returns a handler for RPCs that come over a Pool with the same packer.
+// NewHandler returns a handler for RPCs that are sent through a Pool with an equal Compressor. It passes the decoded RPCs to h.
 func NewHandler(h drpc.Handler, compressor *Compressor) drpc.Handler {
 	return encodedHandler{handler: h, compressor: compressor}
 }
@@ -177,7 +178,7 @@
 	return h.handler.HandleRPC(&encodedStream{Stream: stream, compressor: h.compressor}, rpc)
 }
 
-// encodedStream is the server's side of one RPC. It answers in the form in which it was asked.
+// encodedStream is the server side of one RPC. It sends compressed messages if the message received last was compressed.
 type encodedStream struct {
 	drpc.Stream
 	compressor *Compressor
@@ -189,7 +190,7 @@
 	return s.Stream.MsgSend(m, messageEncoding{Encoding: enc, compressor: s.compressor, compress: s.compress})
 }
 
-// MsgRecv receives a message and checks it.
+// MsgRecv receives a message and verifies its checksum.
 func (s *encodedStream) MsgRecv(m drpc.Message, enc drpc.Encoding) error {
 	return s.Stream.MsgRecv(m, messageEncoding{Encoding: enc, compressor: s.compressor, wasCompressed: &s.compress})
 }
--- a/internal/traffic/peer/seal_test.go
+++ b/internal/traffic/peer/seal_test.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// protoEncoding stands for the encoding of the generated code.
+// protoEncoding replaces the encoding of the generated code.
 type protoEncoding struct{}
 
 func (protoEncoding) Marshal(m drpc.Message) ([]byte, error) {
@@ -23,7 +23,8 @@
 	return proto.Unmarshal(buffer, m.(proto.Message))
 }
 
-func TestEveryFlippedBitIsFound(t *testing.T) {
+// TestBitFlipsAreDetected checks that flipping any single bit of a message makes the checksum fail.
+func TestBitFlipsAreDetected(t *testing.T) {
 	headers := encodeHeaders(http.Header{"X": {"y"}})
 	body := bytes.Repeat([]byte("ballroom"), 100)
 	for name, sent := range map[string]proto.Message{
@@ -39,11 +40,11 @@
 
 func testEncodingsDetectBitFlips(t *testing.T, sent proto.Message) {
 	t.Helper()
-	packer, err := NewCompressor("X-Some-Header")
+	compressor, err := NewCompressor("X-Some-Header")
 	is.New(t).NoErr(err)
 	for name, enc := range map[string]messageEncoding{
-		"plain":  {Encoding: protoEncoding{}},
-		"packed": {Encoding: protoEncoding{}, compressor: packer, compress: true},
+		"plain":      {Encoding: protoEncoding{}},
+		"compressed": {Encoding: protoEncoding{}, compressor: compressor, compress: true},
 	} {
 		t.Run(name, func(t *testing.T) { testBitFlips(t, enc, sent) })
 	}
@@ -64,10 +65,11 @@
 	is.Equal(enc.Unmarshal(encoded[:3], received), errChecksumMismatch)
 }
 
-// Bytes between availability zones are what a call costs most.
-func TestPackedMessagesAreSmaller(t *testing.T) {
+// TestCompressedMessagesAreSmaller checks that compression pays off for a typical request. Bytes sent between availability zones are the
+// largest cost of a call.
+func TestCompressedMessagesAreSmaller(t *testing.T) {
 	is := is.New(t)
-	packer, err := NewCompressor("X-Request-Name", "X-Calling-Service")
+	compressor, err := NewCompressor("X-Request-Name", "X-Calling-Service")
 	is.NoErr(err)
 	id := "b5d47934b518c678.858882962b8c3d29.360816f9491c73f4"
 	request := &peerpb.CallRequest{
@@ -79,7 +81,7 @@
 	}
 	plain, err := messageEncoding{Encoding: protoEncoding{}}.Marshal(request)
 	is.NoErr(err)
-	packed, err := messageEncoding{Encoding: protoEncoding{}, compressor: packer, compress: true}.Marshal(request)
+	compressed, err := messageEncoding{Encoding: protoEncoding{}, compressor: compressor, compress: true}.Marshal(request)
 	is.NoErr(err)
-	is.True(len(packed) < len(plain))
+	is.True(len(compressed) < len(plain))
 }
--- a/internal/traffic/peer/server.go
+++ b/internal/traffic/peer/server.go
@@ -8,25 +8,26 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// Receiver runs requests that other nodes send here.
+// Receiver handles requests from other nodes.
 type Receiver interface {
 	Receive(ctx context.Context, r *call.Request) call.Reply
 }
 
-// OutcomeStore remembers attempts and keys.
+// OutcomeStore remembers the outcomes of attempts and of idempotency keys.
 type OutcomeStore interface {
+	// Resolve returns the state of an attempt.
 	Resolve(q ResolveQuery) Resolution
-	// TakeOver takes in a part of a leaving node's keys. False says that no part will ever be taken; an error, that
-	// the part is for another process, which may have taken it.
+	// TakeOver accepts a part of a leaving node's keys. False means that no part will ever be accepted. An error means that the
+	// part is for another process, which may have accepted it.
 	TakeOver(ctx context.Context, p HandoverPart) (bool, error)
 }
 
-// Promiser answers as a keeper of shards.
+// Promiser answers queries as a keeper of shards.
 type Promiser interface {
 	Promise(q PromiseQuery) PromiseResult
 }
 
-// Server answers the RPCs of other nodes.
+// Server serves the RPCs of other nodes.
 type Server struct {
 	peerpb.DRPCPeerUnimplementedServer
 
@@ -35,13 +36,13 @@
 	promiser Promiser
 }
 
-// NewServer returns a server that hands requests to the receiver, questions about them to the keeper, and questions
+// NewServer returns a server that passes requests to the receiver, queries about attempts and handovers to outcomes, and queries
 // about shards to the promiser.
 func NewServer(receiver Receiver, outcomes OutcomeStore, promiser Promiser) *Server {
 	return &Server{receiver: receiver, outcomes: outcomes, promiser: promiser}
 }
 
-// Call runs one attempt.
+// Call passes one attempt to the receiver and returns its reply. A malformed request is refused as not admitted.
 func (s *Server) Call(ctx context.Context, m *peerpb.CallRequest) (*peerpb.CallReply, error) {
 	r, err := parseRequest(m, time.Now())
 	if err != nil {
