--- a/internal/decide/routing/crossing.go
+++ b/internal/decide/routing/crossing.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// kindAverageWeight is the weight of one request in the mean of its kind.
+	// kindAverageWeight is the weight of one request in the moving average of its kind.
 	kindAverageWeight = 0.1
-	// kindAverageExpiry is for how long such a mean is known.
+	// kindAverageExpiry is the time after the last observation at which the average of a kind is discarded.
 	kindAverageExpiry = 10 * time.Second
 )
 
-// kindAverages are recent means by kind of request.
+// kindAverages holds a moving average per request kind.
 type kindAverages struct {
 	byKind map[string]kindAverage
-	// startAtZero means begin at 0, others with the first value.
+	// startAtZero makes a new average start at 0 instead of at the first observed value.
 	startAtZero bool
 }
 
@@ -21,7 +21,7 @@
 	updatedAt time.Time
 }
 
-// observe takes in the value of one request.
+// observe adds the value of one request to the average of its kind.
 func (m *kindAverages) observe(now time.Time, kind string, value float64) {
 	if m.byKind == nil {
 		m.byKind = map[string]kindAverage{}
@@ -39,7 +39,7 @@
 	m.byKind[kind] = average
 }
 
-// initial returns where a mean begins.
+// initial returns the start value of a new average whose first observation is value.
 func (m *kindAverages) initial(value float64) float64 {
 	if m.startAtZero {
 		return 0
@@ -47,7 +47,7 @@
 	return value
 }
 
-// get returns the mean of the kind; 0 where none is known.
+// get returns the average of the kind, or 0 if there is no recent one.
 func (m *kindAverages) get(now time.Time, kind string) float64 {
 	average, ok := m.byKind[kind]
 	if !ok || now.Sub(average.updatedAt) > kindAverageExpiry {
@@ -56,15 +56,19 @@
 	return average.value
 }
 
-// maxCrossingFraction is the largest part of the requests that moves; the others show when their calls no longer cross.
+// maxCrossingFraction is the largest fraction of requests that is moved to another availability zone. The others
+// stay, so that it is noticed when their calls no longer cross between zones.
 const maxCrossingFraction = 0.98
 
-// maxCrossZoneSlowdown is how many times as long as at an instance of the own zone requests may take at one of another that saves bytes.
+// maxCrossZoneSlowdown limits the expected latency at an instance of another zone that saves cross-zone bytes, as a
+// multiple of the expected latency at the instance in the sender's zone.
 const maxCrossZoneSlowdown = 1.5
 
-// pickFewerCrossZoneBytes returns an instance of another availability zone where the calls of the request cross between zones so much
-// less that the request itself had better cross once: where the own zone lacks something further down, or has too little
-// of it. It returns nil where there is none. Only so large a part of the requests moves as has calls that cross.
+// pickFewerCrossZoneBytes returns an instance of another availability zone at which the request and its calls send
+// fewer bytes between zones than if it stayed at own. This is the case if the sender's zone lacks a service further
+// down the call chain or has too little capacity of it. It returns nil if there is no such instance.
+//
+// The fraction of requests that is moved is the fraction whose calls cross between zones.
 func (s *Set) pickFewerCrossZoneBytes(now time.Time, random Source, r Request, own *Instance) *Instance {
 	ownBytes, requestBytes := own.crossZoneBytes.get(now, r.Kind), s.sizes.get(now, r.Kind)
 	if random.Float64() >= min(own.crossZoneFraction.get(now, r.Kind), maxCrossingFraction) {
@@ -75,7 +79,9 @@
 	})
 }
 
-// isQuickEnough reports whether the instance has room and takes little longer than the other one.
+// isQuickEnough reports whether the instance is below the spill utilization and its expected latency is less than
+// maxCrossZoneSlowdown times that of the other instance. If the latencies cannot be compared, only the utilization
+// counts.
 func (i *Instance) isQuickEnough(now time.Time, r Request, other *Instance) bool {
 	if i.requestsAhead(r.Rank)+1 > i.config.SpillUtilization*i.capacity(now) {
 		return false
--- a/internal/decide/routing/crossing_test.go
+++ b/internal/decide/routing/crossing_test.go
@@ -10,13 +10,13 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/routing"
 )
 
-// crossZoneFraction sends requests to a node in each of three zones, which answer in the times and with the bytes below, and returns
-// the part that left the own zone z0. Of the slots of the own node so many are taken.
+// crossZoneFraction sends requests from zone z0 to one node in each of three zones and returns the fraction that left
+// z0. sample gives the latency and bytes at each node; taken is how many slots of the node in z0 are in use.
 func crossZoneFraction(sample func(node string) routing.Sample, taken int, r routing.Request) float64 {
 	random := rand.New(rand.NewPCG(1, 1))
 	s := newSet(3)
 	now := start
-	far := 0
+	crossed := 0
 	const count = 2000
 	for range taken {
 		s.Find("node_0").Begin(r.Rank)
@@ -25,45 +25,47 @@
 		now = now.Add(5 * time.Millisecond)
 		i, _ := s.Choose(now, random, r)
 		if i.Member.Zone != "z0" {
-			far++
+			crossed++
 		}
 		i.Begin(r.Rank)
 		answer := sample(i.Member.Node)
 		answer.Kind, answer.Rank, answer.Result = r.Kind, r.Rank, routing.Good
 		i.End(now, answer)
 	}
-	return float64(far) / count
+	return float64(crossed) / count
 }
 
-// Pattern: a zone lacks the service at the end of a chain, so that each of the many calls there crosses to another zone. The
-// request further up crosses instead, once, and takes all of its calls along; where no zone has it, nothing moves.
-func TestRequestsCrossWhereTheirCallsWould(t *testing.T) {
+// TestRequestsCrossZonesInsteadOfCalls guards against cross-zone traffic that grows with the number of calls: a zone
+// lacks the service at the end of a chain, so each call there crosses to another zone. The request further up the
+// chain crosses once instead and takes its calls along. If no zone has the service, nothing moves.
+func TestRequestsCrossZonesInsteadOfCalls(t *testing.T) {
 	for name, test := range map[string]struct {
 		below       map[string]int64
 		least, most float64
 	}{
-		"own zone lacks it":         {map[string]int64{"node_0": 4000}, 0.95, 1},
-		"a few calls cross":         {map[string]int64{"node_0": 500}, 0, 0},
-		"no zone has it":            {map[string]int64{"node_0": 4000, "node_1": 4000, "node_2": 4000}, 0, 0.1},
-		"one of the others has it":  {map[string]int64{"node_0": 4000, "node_1": 4000}, 0.9, 1},
-		"only the other zones lack": {map[string]int64{"node_1": 4000, "node_2": 4000}, 0, 0},
+		"own zone lacks the service":     {map[string]int64{"node_0": 4000}, 0.95, 1},
+		"a few calls cross":              {map[string]int64{"node_0": 500}, 0, 0},
+		"no zone has the service":        {map[string]int64{"node_0": 4000, "node_1": 4000, "node_2": 4000}, 0, 0.1},
+		"one other zone has the service": {map[string]int64{"node_0": 4000, "node_1": 4000}, 0.9, 1},
+		"only other zones lack it":       {map[string]int64{"node_1": 4000, "node_2": 4000}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			part := crossZoneFraction(func(node string) routing.Sample {
+			fraction := crossZoneFraction(func(node string) routing.Sample {
 				return routing.Sample{Latency: 20 * time.Millisecond, Bytes: 800, DownstreamCrossZoneBytes: test.below[node]}
 			}, 0, routing.Request{Kind: "ledger", IsCall: true})
-			t.Logf("%.2f crossed", part)
-			is.New(t).True(part >= test.least && part <= test.most)
+			t.Logf("%.2f crossed", fraction)
+			is.New(t).True(fraction >= test.least && fraction <= test.most)
 		})
 	}
 }
 
-// Pattern: the zone that lacks something is idle and the others are busy. As long as these are quick, their load is no reason to
-// send many calls across; where they are full, it is.
-func TestBusyZonesTakeWhatWouldCross(t *testing.T) {
+// TestLoadOfOtherZonesLimitsCrossing guards against calls that cross between zones because the other zones are busy.
+// The sender's zone is idle but lacks a service further down the chain; requests move to another zone while that one
+// is fast, and stay if it is slow or full.
+func TestLoadOfOtherZonesLimitsCrossing(t *testing.T) {
 	for name, test := range map[string]struct {
 		inFlight    int
-		took        time.Duration
+		latency     time.Duration
 		least, most float64
 	}{
 		"half busy": {slots / 2, 25 * time.Millisecond, 0.95, 1},
@@ -71,39 +73,41 @@
 		"full":      {slots, 25 * time.Millisecond, 0, 0.1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			part := crossZoneFraction(func(node string) routing.Sample {
+			fraction := crossZoneFraction(func(node string) routing.Sample {
 				if node == "node_0" {
 					return routing.Sample{Latency: 20 * time.Millisecond, Bytes: 800, DownstreamCrossZoneBytes: 4000, Load: routing.Load{Limit: slots}}
 				}
-				return routing.Sample{Latency: test.took, Bytes: 800, Load: routing.Load{InFlight: test.inFlight, Limit: slots}}
+				return routing.Sample{Latency: test.latency, Bytes: 800, Load: routing.Load{InFlight: test.inFlight, Limit: slots}}
 			}, 0, routing.Request{Kind: "ledger", IsCall: true})
-			t.Logf("%.2f crossed", part)
-			is.New(t).True(part >= test.least && part <= test.most)
+			t.Logf("%.2f crossed", fraction)
+			is.New(t).True(fraction >= test.least && fraction <= test.most)
 		})
 	}
 }
 
-// Pattern: the own zone has too little of the service at the end of a chain, and the calls of some requests cross. Only so many
-// requests cross instead, not all.
-func TestSomeRequestsCrossWhereSomeCallsWould(t *testing.T) {
+// TestFractionOfRequestsThatCross guards against moving all requests when the sender's zone has too little capacity
+// at the end of a chain and only some calls cross. The fraction of requests that crosses follows the fraction of
+// calls that would.
+func TestFractionOfRequestsThatCross(t *testing.T) {
 	for name, share := range map[string]float64{"a fifth": 0.2, "half": 0.5, "most": 0.8} {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(2, 2))
-			part := crossZoneFraction(func(node string) routing.Sample {
+			fraction := crossZoneFraction(func(node string) routing.Sample {
 				below := int64(0)
 				if node == "node_0" && random.Float64() < share {
 					below = 4000
 				}
 				return routing.Sample{Latency: 20 * time.Millisecond, Bytes: 800, DownstreamCrossZoneBytes: below}
 			}, 0, routing.Request{Kind: "ledger", IsCall: true})
-			t.Logf("%.2f crossed", part)
-			is.New(t).True(part >= share-0.2 && part <= share+0.1)
+			t.Logf("%.2f crossed", fraction)
+			is.New(t).True(fraction >= share-0.2 && fraction <= share+0.1)
 		})
 	}
 }
 
-// Pattern: the own zone is nearly full and another is quicker. What is small goes there, and what is large stays: its bytes
-// cost more than the time is worth.
+// TestLargeAnswersStayInTheirZone guards against large answers between zones when the sender's zone is nearly full
+// and another zone is faster. Requests with small answers move; for large ones the cost of the bytes exceeds the gain
+// in time.
 func TestLargeAnswersStayInTheirZone(t *testing.T) {
 	for name, test := range map[string]struct {
 		bytes       int64
@@ -113,15 +117,15 @@
 		"large": {6000, 0, 0.05},
 	} {
 		t.Run(name, func(t *testing.T) {
-			part := crossZoneFraction(func(node string) routing.Sample {
-				took := 100 * time.Millisecond
+			fraction := crossZoneFraction(func(node string) routing.Sample {
+				latency := 100 * time.Millisecond
 				if node == "node_0" {
-					took = 250 * time.Millisecond
+					latency = 250 * time.Millisecond
 				}
-				return routing.Sample{Latency: took, Bytes: test.bytes}
+				return routing.Sample{Latency: latency, Bytes: test.bytes}
 			}, slots-1, routing.Request{Kind: "browse"})
-			t.Logf("%.2f crossed", part)
-			is.New(t).True(part >= test.least && part <= test.most)
+			t.Logf("%.2f crossed", fraction)
+			is.New(t).True(fraction >= test.least && fraction <= test.most)
 		})
 	}
 }
--- a/internal/decide/routing/instance.go
+++ b/internal/decide/routing/instance.go
@@ -7,65 +7,69 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
 )
 
-// Result is what a reply says about the instance that gave it.
+// Result is what the outcome of an attempt says about the health of the instance.
 type Result int
 
-// The results.
 const (
-	// Neutral says nothing, as when the caller went away or a call further down failed.
+	// Neutral says nothing about the instance, for example because the caller went away or a call further down the
+	// chain failed.
 	Neutral Result = iota
-	// Good is an answer of the backend server.
+	// Good means that the backend server answered.
 	Good
-	// Failed is a server error, a broken connection or silence.
+	// Failed means a server error, a broken connection or a timeout.
 	Failed
-	// Shed means that requests of this rank and of less urgent ones are refused.
+	// Shed means that the instance refuses requests of this rank and of less urgent ranks.
 	Shed
-	// KindLimited means that as many requests of the kind run as may, because their calls wait further down.
+	// KindLimited means that the requests of this kind have reached their in-flight limit at the instance, because
+	// their calls are queued further down the chain.
 	KindLimited
 )
 
-// Load is what an instance reports about itself. It lags.
+// Load is the load that an instance reports about itself. It lags behind the actual load.
 type Load struct {
 	InFlight int
 	Queued   int
 	Limit    int
-	// SheddingRank is the most urgent rank that it sheds; 0 for none.
+	// SheddingRank is the most urgent rank that the instance sheds; 0 means none.
 	SheddingRank int
 }
 
-// Sample is what one attempt showed.
+// Sample is the observed outcome of one attempt.
 type Sample struct {
 	Result  Result
 	Latency time.Duration
 	Kind    string
-	// Rank of the request. Where it was shed, requests of this rank and of less urgent ones are.
+	// Rank is the rank of the request. If the request was shed, the instance sheds this rank and all less urgent
+	// ones.
 	Rank int
-	// AllShed says that the instance takes requests of no rank.
+	// AllShed says that the instance refuses requests of all ranks.
 	AllShed bool
-	// Reason names what failed, for the dump.
+	// Reason names the failure or the refusal, for the state dump.
 	Reason string
-	// Bytes is how many the request and its reply came to, and FarBytesBelow how many the calls down its chain sent between
-	// availability zones.
+	// Bytes is the size of the request and its reply. DownstreamCrossZoneBytes is how many bytes the calls further
+	// down the chain sent between availability zones.
 	Bytes, DownstreamCrossZoneBytes int64
-	// Load is as reported; a Limit of 0 says that there was no report.
+	// Load is the load that the instance reported; a Limit of 0 means that it reported none.
 	Load Load
 }
 
-// Instance is what the sender knows of one instance.
+// Instance is the state that a sender keeps about one instance.
 type Instance struct {
 	Member Member
-	// Unreachable says that the instance gives no answer. It gets requests only where all others are ejected.
+	// Unreachable says that the instance does not answer. It gets requests only if all others are ejected or
+	// unreachable.
 	Unreachable bool
 
 	config   *Config
 	inFlight [admission.Ranks]int
 	load     Load
-	// joinedAt is when the instance became known, after the others; zero for those known from the start.
+	// joinedAt is when the instance was added; zero if it belongs to the first members of the set.
 	joinedAt time.Time
 
 	latencies latencies
-	// sizes are the bytes of requests with their answers, whichever instance answers. farBelow is how many bytes the calls of those
-	// that this one runs send between availability zones, and farShare the part of them whose calls send any.
+	// sizes averages the bytes of requests with their replies over all instances of the set. crossZoneBytes averages
+	// how many bytes the calls of the requests at this instance send between availability zones, and
+	// crossZoneFraction is the fraction of requests whose calls send any.
 	sizes             *kindAverages
 	crossZoneBytes    kindAverages
 	crossZoneFraction kindAverages
@@ -75,21 +79,22 @@
 	failures     int
 	ejectedUntil time.Time
 	ejection     Ejection
-	// kindLimitedUntil is for how long a refusal says that requests of the kind are bounded.
+	// kindLimitedUntil is, by kind, until when the instance counts as having reached the in-flight limit of that
+	// kind.
 	kindLimitedUntil map[string]time.Time
 	lastShed         ShedEvidence
 	sheddingRank     int
 	shedUntil        time.Time
 }
 
-// Begin counts an attempt of the rank on its way.
+// Begin records the start of an attempt of the given rank.
 func (i *Instance) Begin(rank int) {
 	i.inFlight[rank]++
 }
 
-// End takes in what an attempt showed.
+// End records the outcome of an attempt.
 func (i *Instance) End(now time.Time, s Sample) {
-	i.inFlight[s.Rank] = max(i.inFlight[s.Rank]-1, 0) // the attempt may have begun before the instance left and came back
+	i.inFlight[s.Rank] = max(i.inFlight[s.Rank]-1, 0) // the attempt may have begun before the instance left and rejoined
 	if s.Load.Limit > 0 {
 		i.load = s.Load
 	}
@@ -130,19 +135,20 @@
 	i.kindLimitedUntil[kind] = now.Add(i.config.KindLimitedTime)
 }
 
-// isKindLimited reports whether the instance lately refused the request's kind because calls wait further down.
+// isKindLimited reports whether the instance recently refused a request of the same kind because that kind had
+// reached its in-flight limit. Calls are exempt.
 func (i *Instance) isKindLimited(now time.Time, r Request) bool {
 	return !r.IsCall && now.Before(i.kindLimitedUntil[r.Kind])
 }
 
-// acceptsRequests reports whether the instance answers and takes requests of some rank.
+// acceptsRequests reports whether the instance answers and accepts requests of at least one rank.
 func (i *Instance) acceptsRequests(now time.Time) bool {
 	return !i.Unreachable && !i.isEjected(now) && !i.sheds(now, 0)
 }
 
-// crossZoneIndicator is what a request adds to the part of those whose calls cross between availability zones.
-func crossZoneIndicator(farBytesBelow int64) float64 {
-	if farBytesBelow > 0 {
+// crossZoneIndicator returns 1 if the calls of a request sent bytes between availability zones, and 0 otherwise.
+func crossZoneIndicator(crossZoneBytes int64) float64 {
+	if crossZoneBytes > 0 {
 		return 1
 	}
 	return 0
@@ -155,7 +161,7 @@
 	return i.config.EjectionTime
 }
 
-// minErrorWeight is the least weight of one reply in the error rate.
+// minErrorWeight is the minimum weight of one reply in the error rate.
 const minErrorWeight = 0.1
 
 func (i *Instance) observeError(now time.Time, value float64) {
@@ -164,7 +170,7 @@
 	i.errorUpdatedAt = now
 }
 
-// decay is the part that is left of something learned then.
+// decay returns the weight that remains at now of a value observed at then.
 func (i *Instance) decay(now, then time.Time) float64 {
 	return math.Exp(-float64(now.Sub(then)) / float64(i.config.TimeConstant))
 }
@@ -173,14 +179,14 @@
 	return now.Before(i.ejectedUntil)
 }
 
-// failingErrorRate is the error rate from which an instance loses the preference of its zone.
+// failingErrorRate is the error rate from which an instance is no longer preferred for being in the sender's zone.
 const failingErrorRate = 0.5
 
 func (i *Instance) isFailing(now time.Time) bool {
 	return i.errorRate(now) >= failingErrorRate
 }
 
-// errorRate is the part of the replies that were failures; what is long past counts less.
+// errorRate returns the fraction of replies that were failures. It decays with the time since the last reply.
 func (i *Instance) errorRate(now time.Time) float64 {
 	if i.errorAverage == 0 {
 		return 0
@@ -192,9 +198,9 @@
 	return now.Before(i.shedUntil) && rank >= i.sheddingRank
 }
 
-// requestsAhead is how many requests the instance has ahead of one of the rank, as far as known. While the instance sheds less
-// urgent ones, those are what waits there, and they let the request pass; then only what this sender has on its way of
-// the rank and of more urgent ones tells how many don't.
+// requestsAhead estimates how many requests the instance serves before a new one of the given rank. While the
+// instance sheds less urgent ranks, its queue holds mostly requests that the new one overtakes, so only the requests
+// in flight and this sender's own attempts of the rank and of more urgent ranks count.
 func (i *Instance) requestsAhead(rank int) float64 {
 	if rank < i.load.SheddingRank {
 		return float64(i.load.InFlight + i.inFlightUpTo(rank))
@@ -202,7 +208,7 @@
 	return float64(max(i.inFlightUpTo(admission.Ranks-1), i.load.InFlight+i.load.Queued))
 }
 
-// inFlightUpTo counts this sender's attempts of the rank and of more urgent ones.
+// inFlightUpTo returns how many attempts of the given rank and of more urgent ranks this sender has in flight.
 func (i *Instance) inFlightUpTo(rank int) int {
 	count := 0
 	for _, inFlight := range i.inFlight[:rank+1] {
@@ -211,10 +217,11 @@
 	return count
 }
 
-// minSlowStartFraction is the part of its capacity that counts for an instance that has just joined.
+// minSlowStartFraction is the fraction of its capacity that an instance counts with when it has just joined.
 const minSlowStartFraction = 0.1
 
-// capacity is the limit that the instance reported, else its slots, less while it is new.
+// capacity returns the in-flight limit that the instance reported, or its slots if it reported none. It is scaled
+// down during the slow start.
 func (i *Instance) capacity(now time.Time) float64 {
 	full := float64(max(i.Member.Slots, 1))
 	if i.load.Limit > 0 {
@@ -227,41 +234,44 @@
 	return full * max(minSlowStartFraction, float64(age)/float64(i.config.SlowStart))
 }
 
-// averageLatency returns how long requests of the kind and rank took on average; 0 where none was answered.
+// averageLatency returns the average latency of requests of the same kind and rank; 0 if none was answered.
 func (i *Instance) averageLatency(r Request) time.Duration {
 	return i.latencies.byClass[requestClass{rank: r.Rank, kind: r.Kind}].average
 }
 
-// minLatency keeps the cost of very quick instances apart.
+// minLatency is the lowest latency used in comparisons. Without it, very fast instances would all have a cost near 0,
+// whatever their load.
 const minLatency = 100 * time.Microsecond
 
-// penalizedLatency is the latency, with errors counted as slowness. What is long past counts less, so that an instance that was
-// slow or failed is tried again.
+// penalizedLatency returns the decayed latency plus the penalty for errors. Because both decay, an instance that was
+// slow or failing is tried again.
 func (i *Instance) penalizedLatency(now time.Time, l latency) float64 {
 	return max(float64(l.peakAverage)*i.decay(now, l.updatedAt), float64(minLatency)) + i.errorPenalty(now)
 }
 
-// errorPenalty is the latency that the errors count as.
+// errorPenalty returns the latency that is added for the error rate.
 func (i *Instance) errorPenalty(now time.Time) float64 {
 	return i.errorRate(now) * float64(i.config.FailureCost)
 }
 
-// penalty is what makes the time at an instance of another availability zone count for more: a factor, and a fixed time.
+// penalty raises the expected time at an instance of another availability zone: the time is multiplied by factor,
+// then extra is added.
 type penalty struct {
 	factor float64
 	extra  time.Duration
 }
 
-// noPenalty takes the time as it is.
+// noPenalty leaves the expected time unchanged.
 var noPenalty = penalty{factor: 1}
 
-// apply returns the time with the markup.
+// apply returns the expected time with the penalty.
 func (p penalty) apply(time float64) float64 {
 	return p.factor*time + float64(p.extra)
 }
 
-// isCheaper compares the time in which the request is expected to be answered, the own one with the markup. While no
-// latencies of both can be compared, they count as equal, and only errors and the requests ahead make the difference.
+// isCheaper reports whether the expected time to answer the request, with the penalty, is lower than that of the
+// other instance. If the two have no latencies that can be compared, both count with the same latency, and only
+// errors and the number of requests ahead decide.
 func (i *Instance) isCheaper(now time.Time, r Request, other *Instance, p penalty) bool {
 	ownLoad := (i.requestsAhead(r.Rank) + 1) / i.capacity(now)
 	otherLoad := (other.requestsAhead(r.Rank) + 1) / other.capacity(now)
--- a/internal/decide/routing/latency.go
+++ b/internal/decide/routing/latency.go
@@ -7,18 +7,19 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
 )
 
-// latency is the peak-weighted mean latency of some of an instance's requests; zero where none is known.
+// latency is the peak-weighted average latency of one group of requests at an instance; zero if there is none. A
+// sample above the average replaces it at once, and the average then decays towards lower samples.
 type latency struct {
 	peakAverage time.Duration
-	// average gives no more weight to peaks.
+	// average is a plain moving average, without the weight on peaks.
 	average   time.Duration
 	updatedAt time.Time
 }
 
-// averageWeight is the weight of one answer in the mean.
+// averageWeight is the weight of one sample in the plain moving average.
 const averageWeight = 0.05
 
-// observe takes a peak at once and forgets it with time.
+// observe returns the latency updated with one sample.
 func (l latency) observe(now time.Time, sample, timeConstant time.Duration) latency {
 	average := l.average + time.Duration(averageWeight*float64(sample-l.average))
 	if l.average == 0 {
@@ -31,26 +32,27 @@
 	return latency{peakAverage: sample, average: average, updatedAt: now}
 }
 
-// latencyExpiry is for how many times the time constant of fading a latency is known.
+// latencyExpiry is the age, in time constants, at which a latency is no longer used.
 const latencyExpiry = 5
 
-// isRecent reports whether such requests were answered lately.
+// isRecent reports whether the last sample is recent enough for the latency to be used.
 func (l latency) isRecent(now time.Time, timeConstant time.Duration) bool {
 	return l.peakAverage > 0 && now.Sub(l.updatedAt) < latencyExpiry*timeConstant
 }
 
-// maxKinds bounds the kinds of which an instance's latency is told apart; the others count with their ranks only.
+// maxKinds limits the request classes whose latency an instance keeps separately, and the kinds in the averages by
+// kind. Requests of further classes are recorded under their rank only.
 const maxKinds = 256
 
-// requestClass names the requests of one kind and rank.
+// requestClass identifies requests of the same rank and kind.
 type requestClass struct {
 	rank int
 	kind string
 }
 
-// latencies are told apart by rank and kind, because requests wait in an instance by rank, and within a rank by the
-// share of their kind. What those that wait longer take says nothing about the others, and an instance where none of
-// them is run would look quick to all.
+// latencies holds the latency of an instance by rank and by request class. Requests are queued in an instance by
+// rank, and within a rank by the share of their kind, so the latency of requests that are queued longer says nothing
+// about the others. With one common average, an instance that runs none of the slow requests would look fast for all.
 type latencies struct {
 	byRank  [admission.Ranks]latency
 	byClass map[requestClass]latency
@@ -71,7 +73,7 @@
 	l.byClass[class] = previous.observe(now, sample, timeConstant)
 }
 
-// dropExpired drops the kinds that were not answered lately.
+// dropExpired removes the request classes without a recent sample.
 func (l *latencies) dropExpired(now time.Time, timeConstant time.Duration) {
 	for class, observed := range l.byClass {
 		if !observed.isRecent(now, timeConstant) {
@@ -80,7 +82,7 @@
 	}
 }
 
-// latest returns the latency of the rank that was answered last.
+// latest returns the peak-weighted latency of the rank that was answered most recently.
 func (l *latencies) latest() time.Duration {
 	var latest latency
 	for _, r := range l.byRank {
@@ -91,8 +93,9 @@
 	return latest.peakAverage
 }
 
-// comparablePair returns the latencies by which two instances are compared for a request: those of its rank and kind, else of
-// its rank, else of the least urgent of the more urgent ranks, where both have answered such requests lately.
+// comparablePair returns the latencies by which two instances are compared for a request: those of the same class,
+// else of the same rank, else of the nearest more urgent rank for which both instances have a recent sample. It
+// reports false if there is no such pair.
 func (l *latencies) comparablePair(now time.Time, class requestClass, timeConstant time.Duration, other *latencies) (latency, latency, bool) {
 	own, others := l.byClass[class], other.byClass[class]
 	if own.isRecent(now, timeConstant) && others.isRecent(now, timeConstant) {
--- a/internal/decide/routing/overload_test.go
+++ b/internal/decide/routing/overload_test.go
@@ -17,16 +17,16 @@
 	modelStep        = time.Millisecond
 )
 
-// fleet is a model of instances behind gates, each of which sends requests too.
+// fleet models nodes that admit requests through a gate and send requests to each other.
 type fleet struct {
 	random  *rand.Rand
 	now     time.Time
 	sets    []*routing.Set
 	gates   []*admission.Gate
 	endings map[time.Time][]func()
-	// waiting tells whoever sent a ticket whether it runs.
+	// waiting tells the sender of each ticket whether the ticket runs.
 	waiting map[*admission.Ticket]func(ran bool)
-	// answered and refused count by kind.
+	// answered and refused count requests by kind.
 	answered, refused map[string]int
 }
 
@@ -57,7 +57,7 @@
 	return f
 }
 
-// send lets a random node send one request.
+// send sends one request from a random node.
 func (f *fleet) send(rank int, kind string) {
 	i, _ := f.sets[f.random.IntN(len(f.sets))].Choose(f.now, f.random, routing.Request{Rank: rank, Kind: kind})
 	gate, began := f.gateOf(i), f.now
@@ -74,11 +74,11 @@
 			reply(routing.Shed)
 			return
 		}
-		took := time.Duration(float64(modelServiceTime) * (0.7 + 0.6*f.random.Float64())).Truncate(modelStep)
-		end := f.now.Add(took)
+		serviceTime := time.Duration(float64(modelServiceTime) * (0.7 + 0.6*f.random.Float64())).Truncate(modelStep)
+		end := f.now.Add(serviceTime)
 		f.endings[end] = append(f.endings[end], func() {
 			f.answered[kind]++
-			f.settle(gate.Finish(f.now, admission.Sample{Kind: kind, ServiceTime: took, HoldTime: took}))
+			f.settle(gate.Finish(f.now, admission.Sample{Kind: kind, ServiceTime: serviceTime, HoldTime: serviceTime}))
 			reply(routing.Good)
 		})
 	}
@@ -106,14 +106,14 @@
 	}
 }
 
-// stream is a kind of which so many requests are sent in a second.
+// stream is a request kind with its rank and its rate in requests per second.
 type stream struct {
 	kind string
 	rank int
 	rate float64
 }
 
-// run sends the streams for the time.
+// run sends the streams for the duration d.
 func (f *fleet) run(d time.Duration, streams []stream) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(modelStep) {
 		for _, e := range f.endings[f.now] {
@@ -131,8 +131,9 @@
 	}
 }
 
-// During a flood, urgent requests don't gather on an instance that runs nothing else and so looks quick: what is within
-// its share of a less urgent rank goes on there too.
+// TestUrgentRequestsSpreadDuringAFlood guards against urgent requests gathering on one instance during a flood,
+// because an instance that runs only urgent requests looks fast. Less urgent requests within their share must still
+// be served there.
 func TestUrgentRequestsSpreadDuringAFlood(t *testing.T) {
 	ordinary := []stream{{"sheets", 0, 100}, {"orders", 5, 40}}
 	flood := append([]stream{{"lookups", 5, 375}, {"archive", 8, 375}}, ordinary...)
--- a/internal/decide/routing/routing.go
+++ b/internal/decide/routing/routing.go
@@ -1,13 +1,14 @@
-// Package routing chooses which instance of a service gets a request.
+// Package routing chooses the instance of a service that gets a request.
 //
-// A Set holds what one sender knows of the instances of one service. It takes two of them at random and sends to the
-// one that is expected to answer sooner, judged by the requests ahead, the capacity, the latency and the errors that
-// the sender saw. Instances of the sender's own availability zone go first; requests spill over to the others before
-// the zone is full. New instances get their part of the work bit by bit. Where a service has many instances, the
-// sender keeps to a subset, which differs from sender to sender.
+// A Set holds what one sender knows about the instances of one service. It picks two of them at random and sends the
+// request to the one with the lower expected time to answer, estimated from the requests ahead, the capacity, the
+// latency and the error rate that the sender observed. Instances in the sender's availability zone are preferred;
+// requests spill over to other zones before the sender's zone is full. New instances get their share of the requests
+// gradually. If a service has many instances, each sender uses a subset, which differs between senders.
 //
-// Latency counts by rank and kind, the requests ahead by rank: urgent requests pass the less urgent that wait, so what
-// these take must not drive the urgent ones together on a few instances.
+// Latency is tracked by rank and kind, and the requests ahead are counted by rank. Urgent requests overtake less
+// urgent ones in the queue; if the latency of the less urgent ones counted for all, urgent requests would gather on a
+// few instances.
 //
 // # Usage
 //
@@ -23,57 +24,62 @@
 
 import "time"
 
-// Source gives random numbers.
+// Source is a source of random numbers.
 type Source interface {
-	// IntN returns a number from 0 to n-1.
+	// IntN returns a number in [0, n).
 	IntN(n int) int
-	// Float64 returns a number from 0 up to, but not including, 1.
+	// Float64 returns a number in [0, 1).
 	Float64() float64
 }
 
-// Config sets a Set up.
+// Config configures a Set.
 type Config struct {
-	// Node is the sender, which decides its subset.
+	// Node is the name of the sender. It determines the sender's subset.
 	Node string
-	// Zone is preferred.
+	// Zone is the sender's availability zone, whose instances are preferred.
 	Zone string
-	// SubsetSize bounds the instances that the sender uses.
+	// SubsetSize limits the number of instances that the sender uses.
 	SubsetSize int
-	// SubsetOtherZones is how many of these are kept for other availability zones, where there are so many.
+	// SubsetOtherZones is the minimum number of instances of the subset in other availability zones, if there are
+	// that many.
 	SubsetOtherZones int
-	// SpillUtilization is the utilization of the own zone from which requests may go to the others too.
+	// SpillUtilization is the utilization of the sender's zone above which requests may also go to other zones.
 	SpillUtilization float64
-	// CrossZoneFactor is how many times the expected time at another zone's instance is taken before it counts as less than
-	// that at one of the own zone: bytes between zones cost more than bytes within.
+	// CrossZoneFactor multiplies the expected time at an instance of another zone before it is compared with that of
+	// an instance in the sender's zone, because bytes between zones cost more than bytes within one.
 	CrossZoneFactor float64
-	// CrossZoneKilobyte is what each kilobyte of a request and its answer adds to the time at another zone's instance.
+	// CrossZoneKilobyte is added to the expected time at an instance of another zone for each kilobyte of the request
+	// and its reply.
 	CrossZoneKilobyte time.Duration
-	// TargetFraction is the part of a request's target that the latency at an instance of the own zone may take, on average,
-	// before others are worth a look.
+	// TargetFraction is the fraction of a request's target latency that the average latency of an instance in the
+	// sender's zone may reach before other zones are considered.
 	TargetFraction float64
-	// CallCrossZoneFactor is the same for calls down a chain. A request that goes to another zone takes all of its calls there,
-	// at the price of one.
+	// CallCrossZoneFactor replaces CrossZoneFactor for calls within a call chain. It is higher because each call of a
+	// request would cross between zones, whereas a root request that moves to another zone takes all of its calls
+	// there and crosses once.
 	CallCrossZoneFactor float64
-	// SlowStart is the time in which a new instance comes up to its whole part.
+	// SlowStart is the time over which a new instance ramps up to its full capacity.
 	SlowStart time.Duration
-	// FailuresToEject in a row eject an instance for EjectionTime.
+	// FailuresToEject is the number of consecutive failures after which an instance is ejected for EjectionTime.
 	FailuresToEject int
 	EjectionTime    time.Duration
-	// UnconfirmedEjectionTime is the time for which one failure ejects an unconfirmed instance.
+	// UnconfirmedEjectionTime is how long one failure ejects an unconfirmed instance.
 	UnconfirmedEjectionTime time.Duration
-	// SheddingTime is how long a shed request keeps others of its rank away.
+	// SheddingTime is how long an instance that shed a request is avoided for its rank and less urgent ranks.
 	SheddingTime time.Duration
-	// KindLimitedTime is how long an instance that refused a kind of request because calls wait further down is asked after others.
+	// KindLimitedTime is how long an instance counts as limited for a kind after it refused a request because the
+	// kind had reached its in-flight limit. During this time other instances of the sender's zone are asked first.
 	KindLimitedTime time.Duration
-	// LeavingTime is how long an instance that takes nothing is kept away from. It may not be able to say so to all.
+	// LeavingTime is how long an instance that refuses all ranks is avoided. It may not be able to tell every sender
+	// that it leaves.
 	LeavingTime time.Duration
-	// TimeConstant is the time constant with which latency and errors are forgotten.
+	// TimeConstant is the time constant of the decay of latency and error rate.
 	TimeConstant time.Duration
-	// FailureCost is the latency that a certain failure counts as.
+	// FailureCost is the latency that an error rate of 1 counts as.
 	FailureCost time.Duration
 }
 
-// DefaultConfig returns the values that hold where nothing else is set.
+// DefaultConfig returns the default configuration for a sender in the given availability zone.
 func DefaultConfig(node, zone string) Config {
 	return Config{
 		Node:             node,
@@ -102,24 +108,24 @@
 	}
 }
 
-// Member is one instance as the membership knows it.
+// Member is an instance as reported by the membership.
 type Member struct {
 	Node  string
 	Zone  string
 	Slots int
-	// Unconfirmed makes one failure enough for an ejection of UnconfirmedEjection.
+	// Unconfirmed makes a single failure eject the instance, for UnconfirmedEjectionTime.
 	Unconfirmed bool
 }
 
-// Request is what the choice depends on.
+// Request holds the properties of a request that the choice of the instance depends on.
 type Request struct {
 	Rank int
 	Kind string
-	// IsCall says that the request is a call down a chain.
+	// IsCall says that the request is a call within a call chain, not a root request.
 	IsCall bool
-	// Target is the time within which an answer is worth most; 0 for none.
+	// Target is the latency within which an answer has its full value; 0 means none.
 	Target time.Duration
-	// Tried are nodes that already refused the request.
+	// Tried lists the nodes that already refused the request.
 	Tried []string
 }
 
--- a/internal/decide/routing/routing_test.go
+++ b/internal/decide/routing/routing_test.go
@@ -15,7 +15,7 @@
 
 const slots = 10
 
-// members returns instances in turn in the zones z0 to z2.
+// members returns instances spread evenly over the zones z0 to z2.
 func members(count int) []routing.Member {
 	var list []routing.Member
 	for i := range count {
@@ -30,15 +30,15 @@
 	return s
 }
 
-// behaviour is how a model instance answers.
+// behaviour is how a simulated instance answers.
 type behaviour struct {
 	latency time.Duration
 	result  routing.Result
-	// failEvery is the number of requests of which one fails; 0 for none.
+	// failEvery makes every failEvery-th request fail; 0 means none.
 	failEvery int
 }
 
-// answer returns how the instance answers the request with the number.
+// answer returns the outcome of the request with the given number.
 func (b behaviour) answer(number int) routing.Sample {
 	if b.failEvery > 0 && number%b.failEvery == 0 {
 		return routing.Sample{Result: routing.Failed, Latency: b.latency}
@@ -52,7 +52,7 @@
 	sample   routing.Sample
 }
 
-// sendRequests sends requests one after the other with the gap between them and returns how many each node got.
+// sendRequests sends count requests at intervals of gap and returns how many each node got.
 func sendRequests(s *routing.Set, from time.Time, count int, gap time.Duration, nodes map[string]behaviour) map[string]int {
 	random := rand.New(rand.NewPCG(1, 1))
 	got := map[string]int{}
@@ -92,23 +92,24 @@
 	return nodes
 }
 
-func TestShares(t *testing.T) {
+func TestRequestDistribution(t *testing.T) {
 	good := behaviour{latency: 20 * time.Millisecond, result: routing.Good}
 	slow := behaviour{latency: 200 * time.Millisecond, result: routing.Good}
 	failing := behaviour{latency: time.Millisecond, result: routing.Failed}
-	erring := behaviour{latency: time.Millisecond, result: routing.Good, failEvery: 3}
+	unreliable := behaviour{latency: time.Millisecond, result: routing.Good, failEvery: 3}
 	for name, test := range map[string]struct {
 		instances int
 		changed   behaviour
 		gap       time.Duration
-		// Bounds of the part of node_0, the only instance of the sender's zone where there are three.
+		// least and most limit the fraction of requests that node_0 gets. With three instances, it is the only one in
+		// the sender's zone.
 		least, most float64
 	}{
-		"own zone first":              {3, good, 5 * time.Millisecond, 0.95, 1},
+		"own zone preferred":          {3, good, 5 * time.Millisecond, 0.95, 1},
 		"spills over before it fills": {3, good, time.Millisecond, 0.3, 0.7},
-		"slow gets less":              {9, slow, 5 * time.Millisecond, 0.001, 0.15},
-		"fast with errors":            {9, erring, 5 * time.Millisecond, 0.001, 0.1},
-		"fast failing":                {9, failing, 5 * time.Millisecond, 0.001, 0.1},
+		"slow instance gets less":     {9, slow, 5 * time.Millisecond, 0.001, 0.15},
+		"fast instance with errors":   {9, unreliable, 5 * time.Millisecond, 0.001, 0.1},
+		"fast failing instance":       {9, failing, 5 * time.Millisecond, 0.001, 0.1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -116,9 +117,9 @@
 			nodes["node_0"] = test.changed
 			s := newSet(test.instances)
 			sendRequests(s, start, 1000, test.gap, nodes)
-			part := float64(sendRequests(s, start.Add(time.Minute), 4000, test.gap, nodes)["node_0"]) / 4000
-			if part < test.least || part > test.most {
-				t.Errorf("node_0 got %.3f of the requests, not %.3f to %.3f", part, test.least, test.most)
+			fraction := float64(sendRequests(s, start.Add(time.Minute), 4000, test.gap, nodes)["node_0"]) / 4000
+			if fraction < test.least || fraction > test.most {
+				t.Errorf("node_0 got %.3f of the requests, want %.3f to %.3f", fraction, test.least, test.most)
 			}
 			is.Equal(s.Len(), test.instances)
 		})
@@ -132,11 +133,11 @@
 	for _, count := range got {
 		total += count
 	}
-	is.Equal(total, 300)  // every request goes somewhere
-	is.Equal(len(got), 3) // and no instance is left out for good
+	is.Equal(total, 300)  // every request is sent
+	is.Equal(len(got), 3) // no instance is left out for good
 }
 
-func TestEjectedAreAvoided(t *testing.T) {
+func TestEjectedInstancesAreAvoided(t *testing.T) {
 	is := is.New(t)
 	s := newSet(3)
 	for _, node := range []string{"node_0", "node_1"} {
@@ -148,8 +149,9 @@
 	is.Equal(got["node_2"], 100)
 }
 
-// Pattern: a zone is cut off. Its instances get nothing until they answer a question, also where they answered well before.
-func TestLostAreAvoided(t *testing.T) {
+// TestUnreachableInstancesAreAvoided guards against requests to a zone that is cut off: its instances get none while
+// they are unreachable, even if they answered well before.
+func TestUnreachableInstancesAreAvoided(t *testing.T) {
 	is := is.New(t)
 	s := newSet(3)
 	nodes := uniform(3, behaviour{latency: time.Millisecond, result: routing.Good})
@@ -158,12 +160,12 @@
 	is.Equal(sendRequests(s, start.Add(time.Second), 100, 10*time.Millisecond, nodes)["node_0"], 0)
 	s.Find("node_1").Unreachable, s.Find("node_2").Unreachable = true, true
 	got := sendRequests(s, start.Add(2*time.Second), 100, 10*time.Millisecond, nodes)
-	is.Equal(got["node_0"]+got["node_1"]+got["node_2"], 100) // somebody is tried
+	is.Equal(got["node_0"]+got["node_1"]+got["node_2"], 100) // unreachable instances are used if there are no others
 	s.Find("node_0").Unreachable = false
 	is.Equal(sendRequests(s, start.Add(3*time.Second), 100, 10*time.Millisecond, nodes)["node_0"], 100)
 }
 
-func TestStatsShowTheEvidence(t *testing.T) {
+func TestStatsShowEvidence(t *testing.T) {
 	is := is.New(t)
 	s := newSet(1)
 	i := s.Find("node_0")
@@ -177,7 +179,7 @@
 	is.Equal(stats.LastShed, routing.ShedEvidence{Reason: routing.ShedReply, InstanceReason: "overload", At: start})
 }
 
-func TestFailingLosesThePreferenceOfItsZone(t *testing.T) {
+func TestFailingInstanceLosesZonePreference(t *testing.T) {
 	is := is.New(t)
 	s := newSet(3)
 	for _, result := range []routing.Result{routing.Failed, routing.Failed, routing.Good} {
@@ -197,7 +199,7 @@
 	nodes["node_0"] = nodes["node_3"]
 	later := start.Add(10 * time.Second)
 	sendRequests(s, later, 1000, 5*time.Millisecond, nodes)
-	is.True(sendRequests(s, later.Add(5*time.Second), 1000, 5*time.Millisecond, nodes)["node_0"] > 250) // of three in the zone
+	is.True(sendRequests(s, later.Add(5*time.Second), 1000, 5*time.Millisecond, nodes)["node_0"] > 250) // of three instances in the zone
 }
 
 func TestNewInstanceStartsSlowly(t *testing.T) {
@@ -212,7 +214,7 @@
 	is.True(last["node_6"] > last["node_0"]/2)
 }
 
-func TestShedAndTriedAreAvoided(t *testing.T) {
+func TestShedAndTriedInstancesAreAvoided(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	s := newSet(2)
@@ -223,12 +225,12 @@
 		return i.Member.Node
 	}
 	is.Equal(choose(routing.Request{Rank: 5}), "node_1")
-	is.Equal(choose(routing.Request{Rank: 4}), "node_0") // more urgent than what was shed, and near
+	is.Equal(choose(routing.Request{Rank: 4}), "node_0") // more urgent than the shed rank, and in the sender's zone
 	is.Equal(choose(routing.Request{Rank: 4, Tried: []string{"node_0"}}), "node_1")
 	_, ok := s.Choose(start, random, routing.Request{Tried: []string{"node_0", "node_1"}})
 	is.True(!ok)
 	s.Update(start, members(1))
-	is.Equal(choose(routing.Request{Rank: 5}), "node_0") // the other left
+	is.Equal(choose(routing.Request{Rank: 5}), "node_0") // the only instance left
 	is.True(s.Find("node_1") == nil)
 }
 
@@ -242,23 +244,23 @@
 		s.Update(start, members(instances))
 		again.Update(start, members(instances-1))
 		is.Equal(s.Len(), config.SubsetSize)
-		far, kept := 0, 0
+		otherZones, kept := 0, 0
 		for _, m := range members(instances) {
 			if s.Find(m.Node) == nil {
 				continue
 			}
 			users[m.Node]++
 			if m.Zone != config.Zone {
-				far++
+				otherZones++
 			}
 			if again.Find(m.Node) != nil {
 				kept++
 			}
 		}
-		is.Equal(far, config.SubsetOtherZones)
-		is.True(kept >= config.SubsetSize-1) // one that leaves changes no more than its own place
+		is.Equal(otherZones, config.SubsetOtherZones)
+		is.True(kept >= config.SubsetSize-1) // a member that leaves changes at most its own place in the subset
 	}
-	is.Equal(len(users), instances) // none is left without work
+	is.Equal(len(users), instances) // every instance is in some subset
 }
 
 func BenchmarkChoose(b *testing.B) {
--- a/internal/decide/routing/set.go
+++ b/internal/decide/routing/set.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Set is what one sender knows of the instances of one service.
+// Set is the state that one sender keeps about the instances of one service.
 type Set struct {
 	config    Config
 	instances []*Instance
 	byNode    map[string]*Instance
 	populated bool
-	// sizes are those of requests with their answers.
+	// sizes averages the bytes of requests with their replies, by kind.
 	sizes kindAverages
-	// tiers holds the tier of each instance while one choice is made.
+	// tiers holds the tier of each instance for the choice being made.
 	tiers []tier
 }
 
-// NewSet returns a set without instances.
+// NewSet returns an empty set.
 func NewSet(config Config) *Set {
 	return &Set{config: config, byNode: map[string]*Instance{}}
 }
 
-// Update takes in the members. What is known of those that left is dropped.
+// Update replaces the members. The state of members that are no longer in the list, or no longer in the subset, is
+// dropped.
 func (s *Set) Update(now time.Time, members []Member) {
 	chosen := subset(s.config, members)
 	byNode := make(map[string]*Instance, len(chosen))
@@ -41,7 +42,7 @@
 	s.populated = s.populated || len(instances) > 0
 }
 
-// newInstance returns a new instance, which starts slowly unless all others are new too.
+// newInstance returns a new instance. It starts slowly, except if the set had no instances before.
 func (s *Set) newInstance(now time.Time, m Member) *Instance {
 	i := &Instance{Member: m, config: &s.config, sizes: &s.sizes, crossZoneFraction: kindAverages{startAtZero: true}}
 	if s.populated {
@@ -50,35 +51,39 @@
 	return i
 }
 
-// Len returns the number of instances in use.
+// Len returns the number of instances in the subset.
 func (s *Set) Len() int {
 	return len(s.instances)
 }
 
-// Find returns the instance of the node, or nil.
+// Find returns the instance of the node, or nil if the subset has none.
 func (s *Set) Find(node string) *Instance {
 	return s.byNode[node]
 }
 
-// tier narrows a choice: the first tier that holds an instance is used.
+// tier ranks instances by how suitable they are for a request. Choose widens its choice tier by tier until it finds
+// an instance.
 type tier int
 
 const (
-	// local are the healthy instances of the own zone that seldom fail.
+	// local is for instances in the sender's zone that accept the request and have a low error rate.
 	local tier = iota
-	// localKindLimited are those of the own zone that lately had no room for the kind. They may have again: a place is free as soon as
-	// one request has ended.
+	// localKindLimited is for instances in the sender's zone that recently refused the request's kind because it had
+	// reached its in-flight limit. They come before other zones because they can accept a request again as soon as
+	// one of the kind has ended.
 	localKindLimited
-	// healthy are all that are neither ejected nor shedding.
+	// healthy is for all other instances that are neither ejected nor shedding.
 	healthy
-	// reachable may be shedding.
+	// reachable is for instances that answer but may be shedding the request's rank.
 	reachable
-	// untried are all: where every one is ejected, none is.
+	// untried is for unreachable and ejected instances. They are used if there are no others, so that at least one
+	// instance is tried.
 	untried
 	tierCount
 )
 
-// Choose picks an instance. It reports false only where there is none that was not tried.
+// Choose picks an instance for the request. It reports false if all instances were already tried, or may not be asked
+// again by a request that was refused (see kindLimitedTier).
 func (s *Set) Choose(now time.Time, random Source, r Request) (*Instance, bool) {
 	summary := s.classifyInstances(now, r)
 	for t := local; t < tierCount; t++ {
@@ -94,7 +99,8 @@
 	return nil, false
 }
 
-// considerOtherZones returns an instance of another availability zone where it is clearly better than the one of the own, and that one else.
+// considerOtherZones returns an instance of another availability zone if it is clearly better than own, and own
+// otherwise.
 func (s *Set) considerOtherZones(now time.Time, random Source, r Request, own *Instance, summary zoneSummary) *Instance {
 	if summary.healthyElsewhere == 0 {
 		return own
@@ -111,8 +117,8 @@
 	return own
 }
 
-// spill returns an instance of another availability zone where it is clearly cheaper than the one of the own, and that
-// one else.
+// spill returns an instance of another availability zone if it is cheaper than own including the cross-zone penalty,
+// and own otherwise.
 func (s *Set) spill(now time.Time, random Source, r Request, own *Instance) *Instance {
 	crossZone := s.crossZonePenalty(now, r)
 	other := s.pickOtherZone(now, random, r, func(i *Instance) bool { return i.isCheaper(now, r, own, crossZone) })
@@ -122,7 +128,7 @@
 	return other
 }
 
-// crossZonePenalty returns what makes the time at another zone's instance count for more.
+// crossZonePenalty returns the penalty on the expected time at an instance of another availability zone.
 func (s *Set) crossZonePenalty(now time.Time, r Request) penalty {
 	factor := s.config.CrossZoneFactor
 	if r.IsCall {
@@ -133,13 +139,13 @@
 	return penalty{factor: factor, extra: time.Duration(size * float64(s.config.CrossZoneKilobyte))}
 }
 
-// isSlow reports whether the instance takes so long on average that many answers miss the request's target.
+// isSlow reports whether the average latency of the instance is so high that many answers miss the request's target.
 func (s *Set) isSlow(r Request, i *Instance) bool {
 	return !r.IsCall && float64(i.averageLatency(r)) > s.config.TargetFraction*float64(r.Target) && r.Target > 0
 }
 
-// pickFaster returns an instance of another availability zone that takes clearly less on average, and the one of the own
-// zone else. Now and then one is tried of which nothing is known.
+// pickFaster returns an instance of another availability zone whose average latency is lower including the cross-zone
+// penalty, and own otherwise. Instances without a known latency are tried for a small fraction of the requests.
 func (s *Set) pickFaster(now time.Time, random Source, r Request, own *Instance) *Instance {
 	crossZone := s.crossZonePenalty(now, r)
 	other := s.pickOtherZone(now, random, r, func(i *Instance) bool {
@@ -155,12 +161,12 @@
 	return other
 }
 
-// exploreFraction is the part of such requests that goes to an instance of which nothing is known.
+// exploreFraction is the fraction of these requests for which an instance without a known latency may be picked.
 const exploreFraction = 0.05
 
-// zoneSummary sums up one look at the instances.
+// zoneSummary sums up the load of the sender's zone and the instances available elsewhere.
 type zoneSummary struct {
-	// healthyElsewhere counts the healthy instances of other availability zones.
+	// healthyElsewhere is the number of healthy instances in other availability zones.
 	healthyElsewhere int
 	localAhead       float64
 	localCapacity    float64
@@ -182,7 +188,7 @@
 	return summary
 }
 
-// tierOf returns the narrowest tier that holds the instance.
+// tierOf returns the best tier that the instance belongs to; tierCount means that the request is not sent to it.
 func (s *Set) tierOf(now time.Time, r Request, i *Instance) tier {
 	switch {
 	case r.hasTried(i.Member.Node):
@@ -199,8 +205,8 @@
 	return local
 }
 
-// kindLimitedTier returns the tier of an instance that lately had no room for the kind. One of another zone isn't asked again by a
-// request that was refused already.
+// kindLimitedTier returns the tier of an instance that recently refused the request's kind because it had reached its
+// in-flight limit. A request that was already refused somewhere is not sent to such an instance in another zone.
 func (s *Set) kindLimitedTier(r Request, i *Instance) tier {
 	switch {
 	case i.Member.Zone == s.config.Zone:
@@ -211,20 +217,20 @@
 	return reachable
 }
 
-// HasLocal reports whether an instance of the own zone takes work.
+// HasLocal reports whether an instance in the sender's zone accepts requests.
 func (s *Set) HasLocal(now time.Time) bool {
 	return slices.ContainsFunc(s.instances, func(i *Instance) bool {
 		return i.Member.Zone == s.config.Zone && i.acceptsRequests(now)
 	})
 }
 
-// isFull reports whether the own zone is used so far that others are worth a look.
-func (z *zoneSummary) isFull(spillFrom float64) bool {
-	return z.localAhead+1 > spillFrom*z.localCapacity
+// isFull reports whether the utilization of the sender's zone is so high that other zones are considered.
+func (z *zoneSummary) isFull(spillUtilization float64) bool {
+	return z.localAhead+1 > spillUtilization*z.localCapacity
 }
 
-// pick takes two different ones of the instances that fit at random and returns the cheaper for the request, or nil where none fits.
-func (s *Set) pick(now time.Time, random Source, r Request, fits func(i *Instance, own tier) bool) *Instance {
+// pick takes two random instances that fit and returns the cheaper one for the request, or nil if none fits.
+func (s *Set) pick(now time.Time, random Source, r Request, fits func(i *Instance, t tier) bool) *Instance {
 	var picked [2]*Instance
 	found := 0
 	for index, i := range s.instances {
@@ -247,7 +253,7 @@
 	return a
 }
 
-// pickOtherZone is pick among the healthy instances of other availability zones.
+// pickOtherZone picks among the fitting healthy instances of other availability zones.
 func (s *Set) pickOtherZone(now time.Time, random Source, r Request, fits func(*Instance) bool) *Instance {
 	return s.pick(now, random, r, func(i *Instance, instanceTier tier) bool {
 		return instanceTier <= healthy && i.Member.Zone != s.config.Zone && fits(i)
--- a/internal/decide/routing/target_test.go
+++ b/internal/decide/routing/target_test.go
@@ -10,9 +10,10 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/routing"
 )
 
-// Pattern: backend servers of one service differ in speed, and the one of the own zone is so slow that many answers miss
-// their target. Urgent requests go to a quicker one of another zone; what has time enough, and calls, stay.
-func TestSlowZoneAndTargets(t *testing.T) {
+// TestTargetMissedInSlowZone guards against missed targets when backend servers of one service differ in speed and
+// the one in the sender's zone is too slow for many answers. Urgent requests move to a faster one in another zone;
+// requests with enough time, and calls, stay.
+func TestTargetMissedInSlowZone(t *testing.T) {
 	for name, test := range map[string]struct {
 		request     routing.Request
 		least, most int
@@ -37,12 +38,12 @@
 				if i.Member.Node == "far" && n >= 500 {
 					far++
 				}
-				took := map[string]time.Duration{"near": 150 * time.Millisecond, "far": 80 * time.Millisecond}[i.Member.Node]
+				latency := map[string]time.Duration{"near": 150 * time.Millisecond, "far": 80 * time.Millisecond}[i.Member.Node]
 				if test.request.Kind == "slow" {
-					took = 150 * time.Millisecond
+					latency = 150 * time.Millisecond
 				}
 				i.Begin(0)
-				i.End(now, routing.Sample{Result: routing.Good, Latency: took, Kind: test.request.Kind})
+				i.End(now, routing.Sample{Result: routing.Good, Latency: latency, Kind: test.request.Kind})
 			}
 			is.True(far >= test.least)
 			is.True(far <= test.most)
