--- a/internal/decide/membership/detector.go
+++ b/internal/decide/membership/detector.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Detector judges by heartbeats which members are down.
+// Detector decides from heartbeats which members are suspected or down.
 type Detector struct {
 	downTimeout   time.Duration
 	lastHeartbeat map[string]time.Time
 }
 
-// NewDetector returns a detector that calls a member down after the silence.
+// NewDetector returns a detector that reports a member as down after it has been silent for downTimeout.
 func NewDetector(downTimeout time.Duration) *Detector {
 	return &Detector{downTimeout: downTimeout, lastHeartbeat: map[string]time.Time{}}
 }
 
-// RecordHeartbeat notes a heartbeat.
+// RecordHeartbeat records a heartbeat of the node.
 func (d *Detector) RecordHeartbeat(node string, now time.Time) {
 	d.lastHeartbeat[node] = now
 }
 
-// IsSuspected reports whether the node has been silent for at least half of the time after which it is down.
+// IsSuspected reports whether the node has been silent for more than half of the down timeout.
 func (d *Detector) IsSuspected(node string, now time.Time) bool {
 	last, ok := d.lastHeartbeat[node]
 	return ok && now.Sub(last) > d.downTimeout/2
 }
 
-// IsDown reports whether the node has been silent too long. One that was never heard gets its time from now on.
+// IsDown reports whether the node has been silent for longer than the down timeout. The timeout of a node without any
+// heartbeat starts with the first call.
 func (d *Detector) IsDown(node string, now time.Time) bool {
 	last, ok := d.lastHeartbeat[node]
 	if !ok {
@@ -34,7 +35,7 @@
 	return now.Sub(last) > d.downTimeout
 }
 
-// Silences returns how long each node that was ever heard has been silent.
+// Silences returns the time since the last heartbeat of each known node.
 func (d *Detector) Silences(now time.Time) map[string]time.Duration {
 	silences := make(map[string]time.Duration, len(d.lastHeartbeat))
 	for node, last := range d.lastHeartbeat {
@@ -43,17 +44,17 @@
 	return silences
 }
 
-// Reset gives every node its whole time again, as a new leader does that nobody has sent heartbeats to before.
+// Reset restarts the timeout of every node. A new leader needs this, because no node has sent it heartbeats yet.
 func (d *Detector) Reset() {
 	clear(d.lastHeartbeat)
 }
 
-// PresumeDown calls a node down that further evidence speaks against, until it is heard.
+// PresumeDown marks the node as down until its next heartbeat. It is for evidence other than missing heartbeats.
 func (d *Detector) PresumeDown(node string, now time.Time) {
 	d.lastHeartbeat[node] = now.Add(-d.downTimeout - 1)
 }
 
-// Forget drops what is known of the node.
+// Forget drops the state of the node.
 func (d *Detector) Forget(node string) {
 	delete(d.lastHeartbeat, node)
 }
--- a/internal/decide/membership/election.go
+++ b/internal/decide/membership/election.go
@@ -6,59 +6,61 @@
 	"time"
 )
 
-// Role is a node's part in its availability zone.
+// Role is the role of a node in its availability zone.
 type Role string
 
-// The roles.
 const (
-	// Following takes records from the leader, or from another node that has one.
+	// Following nodes get records from the leader, or from another node that follows the leader.
 	Following Role = "following"
-	// Spreading leads without a lease while the platform is away: it spreads records and writes none to the platform.
+	// Spreading nodes lead without a lease while the platform is unreachable: they distribute records in the zone,
+	// but write none to the platform.
 	Spreading Role = "spreading"
-	// Leading leads under a lease of the platform.
+	// Leading nodes hold the lease that the platform grants.
 	Leading Role = "leading"
 )
 
-// Target is a node that heartbeats go to.
+// Target is a node that heartbeats are sent to.
 type Target struct {
 	Node    string
 	Address string
 }
 
-// Lease is the right to lead, as its holder knows it.
+// Lease is the right to lead the zone, as its holder knows it.
 type Lease struct {
 	Term uint64
-	// Until is when the right ends by the holder's own clock, counted from before it asked for the lease.
+	// Until is when the lease expires by the holder's clock, counted from before the holder asked for it.
 	Until time.Time
 }
 
-// ElectionConfig sets an Election up.
+// ElectionConfig configures an Election.
 type ElectionConfig struct {
 	Node string
-	// FollowTimeout is the time without an answer after which a leader is no longer followed.
+	// FollowTimeout is the time without an answer after which a node no longer follows its leader.
 	FollowTimeout time.Duration
-	// RetryInterval is the time after which a node that gave no answer is asked again.
+	// RetryInterval is the time after which an unresponsive node is asked again. It is also the time between two
+	// searches for a better leader.
 	RetryInterval time.Duration
-	// Candidates is how many nodes of a zone without a leader read the platform.
+	// Candidates is how many nodes of a zone without a leader read the platform, and how many nodes are asked at once
+	// for the leader.
 	Candidates int
 }
 
-// Election decides whom a node follows and when it leads. The platform's lease decides as long as the platform
-// answers. While it does not, the live member with the lowest name spreads what the zone holds.
+// Election decides which node to follow and when to lead. As long as the platform answers, its lease decides who
+// leads. While it does not, the live member with the lowest name distributes the records that the zone holds.
 type Election struct {
 	config   ElectionConfig
 	lease    Lease
 	followed Target
-	// relayed says that the followed node does not lead but follows the leader.
+	// relayed says that the followed node is not the leader but follows it.
 	relayed             bool
 	leased              bool
 	lastAnswer          time.Time
 	hint                Target
 	unresponsive        map[string]time.Time
 	platformUnreachable bool
-	// spreading says that the node spread last, and goes on while nobody else leads.
+	// spreading says that the node was in the Spreading role last. It stays in it until another node leads.
 	spreading bool
-	// lastProbe is when others were last asked although there was a leader to follow.
+	// lastProbe is when the node last asked others for a better leader.
 	lastProbe time.Time
 }
 
@@ -67,16 +69,18 @@
 	return &Election{config: config, unresponsive: map[string]time.Time{}}
 }
 
-// Plan is what a node does until it asks for the next one.
+// Plan says what a node does until it asks for the next plan.
 type Plan struct {
 	Role Role
-	// HeartbeatTargets are the nodes to send heartbeats to.
+	// HeartbeatTargets lists the nodes to send heartbeats to.
 	HeartbeatTargets []Target
-	// ReadPlatform says that the platform's leader entry is to be read, and taken where there is none.
+	// ReadPlatform says that the node should read the platform's leader entry, and try to become the leader if there
+	// is none.
 	ReadPlatform bool
 }
 
-// Plan decides for the members of the zone that are not down. They need not include the node itself.
+// Plan returns the next plan. members lists the members of the zone that are not down; the node itself may be
+// missing.
 func (e *Election) Plan(now time.Time, members []Member) Plan {
 	if e.HoldsLease(now) {
 		return Plan{Role: Leading}
@@ -98,7 +102,8 @@
 	return plan
 }
 
-// planFollowing goes on with the followed node, and looks out for a better one unless it leads under a lease.
+// planFollowing continues to follow the current node. Unless that node leads under a lease, it also asks others for a
+// better leader.
 func (e *Election) planFollowing(now time.Time, lower []Target, plan Plan) Plan {
 	plan.HeartbeatTargets = []Target{e.followed}
 	plan.ReadPlatform = plan.ReadPlatform && !e.leased
@@ -115,7 +120,7 @@
 	return plan
 }
 
-// HoldsLease reports whether the node leads under its lease.
+// HoldsLease reports whether the node leads under a valid lease.
 func (e *Election) HoldsLease(now time.Time) bool {
 	return now.Before(e.lease.Until)
 }
@@ -125,12 +130,13 @@
 	return e.lease.Term
 }
 
-// LeaseRemaining returns how long the lease still holds without a renewal; it is negative where it does not.
+// LeaseRemaining returns the time until the lease expires; it is negative if the lease has expired.
 func (e *Election) LeaseRemaining(now time.Time) time.Duration {
 	return e.lease.Until.Sub(now)
 }
 
-// Followed returns the node that is followed, whether it leads itself, and whether it does so under a lease.
+// Followed returns the followed node, whether it leads itself, and whether the leader holds a lease. The node is
+// empty if none is followed.
 func (e *Election) Followed(now time.Time) (t Target, leads, leased bool) {
 	if !e.isFollowing(now) {
 		return Target{}, false, false
@@ -138,7 +144,7 @@
 	return e.followed, !e.relayed, e.leased
 }
 
-// lowerMembers returns the members before the node in the order of names.
+// lowerMembers returns the members whose names are lower than the node's, ordered by name.
 func (e *Election) lowerMembers(members []Member) []Target {
 	var lower []Target
 	for _, m := range members {
@@ -150,7 +156,7 @@
 	return lower
 }
 
-// position counts the lower members that may be alive.
+// position returns the number of lower members that are not known to be unresponsive.
 func (e *Election) position(lower []Target) int {
 	count := 0
 	for _, t := range lower {
@@ -161,7 +167,8 @@
 	return count
 }
 
-// probeTargets returns the nodes that may know the leader or be it: the one that was named, and the lowest.
+// probeTargets returns the nodes to ask for the leader: the node that was last named as leader, then the lowest
+// members, without those that were unresponsive recently.
 func (e *Election) probeTargets(now time.Time, lower []Target) []Target {
 	var targets []Target
 	if e.hint.Node != "" {
@@ -181,16 +188,16 @@
 	return e.followed.Node != "" && now.Sub(e.lastAnswer) <= e.config.FollowTimeout
 }
 
-// Answer is what a node said in the answer to a heartbeat.
+// Answer is the election state in a node's answer to a heartbeat.
 type Answer struct {
-	// Leads says that the node leads the zone, under a lease or not.
+	// Leads says that the node leads the zone, with or without a lease.
 	Leads  bool
 	Leased bool
-	// Leader is the node that it follows directly, where it does not lead.
+	// Leader is the leader that the node follows directly, if it does not lead itself.
 	Leader Target
 }
 
-// RecordAnswer takes in the answer of a node of the same zone.
+// RecordAnswer records the answer of a node of the same zone.
 func (e *Election) RecordAnswer(now time.Time, from Target, a Answer) {
 	delete(e.unresponsive, from.Node)
 	knowsLeader := a.Leader.Node != "" && a.Leader.Node != e.config.Node
@@ -204,7 +211,7 @@
 	}
 }
 
-// considerRelay follows a node that follows the leader, as long as the leader itself gives no answer.
+// considerRelay follows a node that follows the leader if the leader itself is unresponsive.
 func (e *Election) considerRelay(now time.Time, from Target, a Answer) {
 	e.hint = a.Leader
 	_, unreachable := e.unresponsive[a.Leader.Node]
@@ -226,18 +233,19 @@
 	e.followed, e.relayed, e.leased, e.lastAnswer = t, relayed, leased, now
 }
 
-// RecordFailure notes that a heartbeat to the node had no answer.
+// RecordFailure records that a heartbeat to the node was not answered.
 func (e *Election) RecordFailure(now time.Time, t Target) {
 	e.unresponsive[t.Node] = now
 }
 
-// IsUnresponsive reports whether the last heartbeat to the node had no answer.
+// IsUnresponsive reports whether the last heartbeat to the node was not answered.
 func (e *Election) IsUnresponsive(node string) bool {
 	_, unresponsive := e.unresponsive[node]
 	return unresponsive
 }
 
-// SuggestLeader names a node that says it leads. It is asked next where it has a lease, or where nobody else is followed.
+// SuggestLeader records that a node says it leads. If it holds a lease, or if no other node is followed, it is asked
+// next.
 func (e *Election) SuggestLeader(now time.Time, t Target, leased bool) {
 	if t.Node != e.config.Node && (leased || !e.isFollowing(now)) {
 		e.hint = t
@@ -245,7 +253,7 @@
 	}
 }
 
-// RecordPlatformLeader takes in the leader that the platform names.
+// RecordPlatformLeader records the leader that the platform names.
 func (e *Election) RecordPlatformLeader(t Target) {
 	e.platformUnreachable = false
 	if t.Node != e.config.Node {
@@ -253,12 +261,12 @@
 	}
 }
 
-// RecordPlatformUnreachable notes that the platform gave no answer.
+// RecordPlatformUnreachable records that the platform did not answer.
 func (e *Election) RecordPlatformUnreachable() {
 	e.platformUnreachable = true
 }
 
-// RecordLeaseGranted notes that the node holds the lease of the term.
+// RecordLeaseGranted records that the platform granted the lease to the node.
 func (e *Election) RecordLeaseGranted(lease Lease) {
 	e.platformUnreachable = false
 	e.lease = lease
@@ -266,7 +274,7 @@
 	e.hint = Target{}
 }
 
-// RecordLeaseRenewed notes that the lease holds until the time, unless it was lost meanwhile.
+// RecordLeaseRenewed records that the lease holds until the given time. It has no effect on a lease that was lost.
 func (e *Election) RecordLeaseRenewed(until time.Time) {
 	e.platformUnreachable = false
 	if !e.lease.Until.IsZero() {
@@ -274,7 +282,7 @@
 	}
 }
 
-// RecordLeaseLost notes that the lease is gone.
+// RecordLeaseLost records that the node no longer holds the lease.
 func (e *Election) RecordLeaseLost() {
 	e.lease.Until = time.Time{}
 }
--- a/internal/decide/membership/election_test.go
+++ b/internal/decide/membership/election_test.go
@@ -20,7 +20,7 @@
 	retryInterval   = 2 * time.Second
 )
 
-// zone drives the elections of one availability zone by explicit times, with a platform that grants one lease.
+// zone simulates the elections of one availability zone with explicit times, and a platform that grants one lease.
 type zone struct {
 	now         time.Time
 	names       []string
@@ -127,7 +127,7 @@
 	return members
 }
 
-// leaders returns the nodes of the role.
+// leaders returns the running nodes in the given role.
 func (z *zone) leaders(role membership.Role) []string {
 	var found []string
 	for _, n := range z.names {
@@ -138,7 +138,7 @@
 	return found
 }
 
-// isolate cuts two groups of nodes from each other.
+// isolate cuts the connections between two groups of nodes.
 func (z *zone) isolate(a, b []string) {
 	for _, x := range a {
 		for _, y := range b {
@@ -150,20 +150,20 @@
 
 func TestElection(t *testing.T) {
 	for name, c := range map[string]struct {
-		// disturb happens after the zone has settled under a lease.
+		// disturb runs after the zone has settled under a lease.
 		disturb   func(z *zone, leader string)
 		within    time.Duration
 		leading   int
 		spreading int
 	}{
-		"undisturbed":   {disturb: func(*zone, string) {}, within: time.Second, leading: 1},
-		"leader dies":   {disturb: func(z *zone, l string) { z.stopped[l] = true }, within: 2 * time.Second, leading: 1},
-		"platform away": {disturb: func(z *zone, _ string) { z.platformDown = true }, within: 2 * time.Second, spreading: 1},
-		"both":          {disturb: func(z *zone, l string) { z.platformDown, z.stopped[l] = true, true }, within: 2 * time.Second, spreading: 1},
-		"platform and three": {disturb: func(z *zone, _ string) {
+		"undisturbed":          {disturb: func(*zone, string) {}, within: time.Second, leading: 1},
+		"leader stops":         {disturb: func(z *zone, l string) { z.stopped[l] = true }, within: 2 * time.Second, leading: 1},
+		"platform unreachable": {disturb: func(z *zone, _ string) { z.platformDown = true }, within: 2 * time.Second, spreading: 1},
+		"both":                 {disturb: func(z *zone, l string) { z.platformDown, z.stopped[l] = true, true }, within: 2 * time.Second, spreading: 1},
+		"platform unreachable and three nodes stop": {disturb: func(z *zone, _ string) {
 			z.platformDown, z.stopped["a"], z.stopped["b"], z.stopped["c"] = true, true, true, true
 		}, within: 4 * time.Second, spreading: 1},
-		"split without platform": {disturb: func(z *zone, _ string) {
+		"platform unreachable and zone split": {disturb: func(z *zone, _ string) {
 			z.platformDown = true
 			z.isolate([]string{"a", "b"}, []string{"c", "d", "e", "f"})
 		}, within: 4 * time.Second, spreading: 2},
@@ -183,16 +183,16 @@
 			z.platformDown = false
 			clear(z.partitioned)
 			z.run(5 * time.Second)
-			is.Equal(len(z.leaders(membership.Leading)), 1) // one lease again after all is well
+			is.Equal(len(z.leaders(membership.Leading)), 1) // exactly one lease after the recovery
 			is.Equal(len(z.leaders(membership.Spreading)), 0)
 			z.reads = 0
 			z.run(time.Minute)
-			is.Equal(z.reads, 0) // a settled zone's followers leave the platform alone
+			is.Equal(z.reads, 0) // the followers of a settled zone do not read the platform
 		})
 	}
 }
 
-func TestFollowerCutFromItsLeaderFollowsThroughAnother(t *testing.T) {
+func TestFollowerFollowsThroughRelay(t *testing.T) {
 	is := is.New(t)
 	z := newZone("a", "b", "c", "d", "e", "f")
 	z.run(5 * time.Second)
@@ -241,10 +241,10 @@
 	s := membership.NewRecords()
 	s.Merge(record("a", 1), record("b", 1), record("a", 2), record("a", 1))
 	newer, next := s.Since(0, 100, nil)
-	is.Equal(recordsOf(newer), []membership.Record{record("b", 1), record("a", 2)}) // each record once, the newest
+	is.Equal(recordsOf(newer), []membership.Record{record("b", 1), record("a", 2)}) // each record once, in its newest version
 	is.Equal(next, s.LastChange())
 	newer, next = s.Since(0, 1, nil)
-	is.Equal(len(newer), 1) // as many as fit
+	is.Equal(len(newer), 1) // only what fits into maxBytes
 	newer, next = s.Since(next, 1, nil)
 	is.Equal(recordsOf(newer), []membership.Record{record("a", 2)})
 	is.Equal(next, s.LastChange())
@@ -252,7 +252,7 @@
 		s.Merge(record("a", i))
 	}
 	newer, _ = s.Since(0, 100, nil)
-	is.Equal(recordsOf(newer), []membership.Record{record("b", 1), record("a", 999)}) // also after the log was compacted
+	is.Equal(recordsOf(newer), []membership.Record{record("b", 1), record("a", 999)}) // also after compaction
 }
 
 func TestPatches(t *testing.T) {
@@ -269,22 +269,24 @@
 	changes, _ := s.Since(seen, 1<<20, nil)
 	is.True(changes[0].Patched)
 	is.True(len(changes[0].Patch.Middle) <= 3)
-	made, fits := changes[0].Patch.Apply(long(1, 100))
-	is.True(fits)
+	made, ok := changes[0].Patch.Apply(long(1, 100))
+	is.True(ok)
 	is.Equal(made, long(2, 207))
 	other := long(1, 100)
 	other.Value[0] = 'y'
-	_, fits = changes[0].Patch.Apply(other) // another value under the version
-	is.True(!fits)
-	_, fits = changes[0].Patch.Apply(long(3, 100)) // another version
-	is.True(!fits)
-	_, fits = changes[0].Patch.Apply(membership.Record{})
-	is.True(!fits)
+	_, ok = changes[0].Patch.Apply(other) // another value with the same version
+	is.True(!ok)
+	_, ok = changes[0].Patch.Apply(long(3, 100)) // another version
+	is.True(!ok)
+	_, ok = changes[0].Patch.Apply(membership.Record{})
+	is.True(!ok)
 	changes, _ = s.Since(0, 1<<20, nil)
-	is.True(!changes[0].Patched) // one who has not seen the earlier value gets the whole
+	is.True(!changes[0].Patched) // a receiver that has not seen the earlier value gets the whole record
 }
 
-// TestRenewalsStayInTheirZone renews a record of two zones at random, and has one reader follow all zones and one none.
+// TestRenewalsStayInTheirZone guards against renewals that reach other availability zones and against patches that do
+// not apply. Two zones renew a record at random; one reader gets all renewals and the other gets only the structural
+// changes.
 func TestRenewalsStayInTheirZone(t *testing.T) {
 	for seed := range uint64(20) {
 		is := is.New(t)
@@ -298,7 +300,7 @@
 		structural := 0
 		for i := range uint64(200) {
 			value = bytes.Clone(value)
-			value[100] = byte(i) // A renewal changes the end only.
+			value[100] = byte(i) // a renewal changes only the end
 			if random.IntN(10) == 0 || i == 0 {
 				structural++
 				value[0], value[1] = byte(structural), byte('a'+random.IntN(2))
@@ -315,26 +317,26 @@
 		is.Equal(all.held["homes/a"], held)
 		is.Equal(structure(none.held["homes/a"].Value), structure(held.Value))
 		is.Equal(none.held["b"], all.held["b"])
-		is.True(none.applied <= structural) // no renewal
+		is.True(none.applied <= structural) // no renewals
 	}
 }
 
-// reader reads a store's changes again and again, little by little, as another node does.
+// reader reads the changes of a store repeatedly and in small steps, as another node does.
 type reader struct {
 	from    *membership.Records
-	follows membership.ZoneFilter
+	filter  membership.ZoneFilter
 	seen    uint64
 	held    map[string]membership.Record
 	applied int
 }
 
-func newReader(from *membership.Records, follows membership.ZoneFilter) *reader {
-	return &reader{from: from, follows: follows, held: map[string]membership.Record{}}
+func newReader(from *membership.Records, filter membership.ZoneFilter) *reader {
+	return &reader{from: from, filter: filter, held: map[string]membership.Record{}}
 }
 
 func (r *reader) read(is *is.I) {
 	for r.seen < r.from.LastChange() {
-		changes, next := r.from.Since(r.seen, 1, r.follows)
+		changes, next := r.from.Since(r.seen, 1, r.filter)
 		for _, c := range changes {
 			r.apply(is, c)
 		}
@@ -350,9 +352,9 @@
 	}
 	made := c.Record
 	if c.Patched {
-		var fits bool
-		made, fits = c.Patch.Apply(held)
-		is.True(fits) // the patch is from what this reader holds
+		var ok bool
+		made, ok = c.Patch.Apply(held)
+		is.True(ok) // the patch applies to the record that the reader holds
 	}
 	r.held[c.Record.Key] = made
 	if c.Record.Key != "b" {
@@ -360,7 +362,7 @@
 	}
 }
 
-func TestBucketsShowWhereTwoDiffer(t *testing.T) {
+func TestBucketDigestsFindDifferences(t *testing.T) {
 	is := is.New(t)
 	a, b := membership.NewRecords(), membership.NewRecords()
 	for i := range uint64(1000) {
@@ -371,26 +373,26 @@
 	a.Merge(record("only a", 1))
 	b.Merge(record("a", 2))
 	theirs := b.Versions(a.Digests())
-	is.True(len(theirs) < 100) // two buckets of the 64
+	is.True(len(theirs) < 100) // the records of two of the 64 buckets
 	b.Merge(a.NewerThan(b.Digests(), theirs)...)
 	is.Equal(a.MissingKeys(theirs), []string{"a"})
 	a.Merge(record("a", 2))
 	is.Equal(a.Digest(), b.Digest())
 }
 
-func TestMarksAndOwnRecordsNeverMeet(t *testing.T) {
+func TestDownMarksAndOwnRecordsDiffer(t *testing.T) {
 	is := is.New(t)
 	m := membership.Member{Node: "a", State: membership.Up}
 	own := m.Record(membership.Version{Epoch: 1, Sequence: membership.NextOwnSequence(0)})
 	mark := m.DownRecord(own.Version, time.Unix(1, 0))
 	is.Equal(mark.Version.Compare(own.Version), 1)
 	again := membership.NextOwnSequence(mark.Version.Sequence)
-	is.True(again > mark.Version.Sequence) // the member refutes the mark
+	is.True(again > mark.Version.Sequence) // the member's next record overrides the mark
 	next := membership.NextOwnSequence(own.Version.Sequence)
-	is.True(next > mark.Version.Sequence) // and so does a change made at the same moment
+	is.True(next > mark.Version.Sequence) // also if the member made it before it saw the mark
 }
 
-func TestWhoAsksSeldomGetsPatches(t *testing.T) {
+func TestPatchesAfterManyRenewals(t *testing.T) {
 	value := func(until int) []byte { return fmt.Appendf(bytes.Repeat([]byte("x"), 500), "%d", 100+until) }
 	for name, c := range map[string]struct {
 		renewals int
@@ -398,7 +400,7 @@
 	}{
 		"after one renewal":   {renewals: 1, patched: true},
 		"after four renewals": {renewals: 4, patched: true},
-		"after very many":     {renewals: 100},
+		"after 100 renewals":  {renewals: 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -415,24 +417,24 @@
 			is.Equal(len(changes), 1)
 			is.Equal(changes[0].Patched, c.patched)
 			if c.patched {
-				made, fits := changes[0].Patch.Apply(first)
-				is.True(fits)
+				made, ok := changes[0].Patch.Apply(first)
+				is.True(ok)
 				is.Equal(made, last)
 			}
 		})
 	}
 }
 
-func TestPeriodsGrow(t *testing.T) {
+func TestHeartbeatPeriodsGrow(t *testing.T) {
 	for name, c := range map[string]struct {
 		got  time.Duration
 		want time.Duration
 	}{
-		"few members":  {membership.HeartbeatPeriod(time.Second, 36), time.Second},
-		"many members": {membership.HeartbeatPeriod(time.Second, 72), 2 * time.Second},
-		"no zone":      {membership.InterZoneHeartbeatPeriod(time.Second, 0), time.Second},
-		"few zones":    {membership.InterZoneHeartbeatPeriod(time.Second, 8), time.Second},
-		"many zones":   {membership.InterZoneHeartbeatPeriod(time.Second, 28), 3500 * time.Millisecond},
+		"few members":    {membership.HeartbeatPeriod(time.Second, 36), time.Second},
+		"many members":   {membership.HeartbeatPeriod(time.Second, 72), 2 * time.Second},
+		"no other zones": {membership.InterZoneHeartbeatPeriod(time.Second, 0), time.Second},
+		"few zones":      {membership.InterZoneHeartbeatPeriod(time.Second, 8), time.Second},
+		"many zones":     {membership.InterZoneHeartbeatPeriod(time.Second, 28), 3500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(c.got, c.want) })
 	}
--- a/internal/decide/membership/member.go
+++ b/internal/decide/membership/member.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// MemberPrefix begins the key of each member's record.
+// MemberPrefix is the prefix of the keys of member records.
 const MemberPrefix = "member/"
 
-// State is a member's own or its leader's view of it.
+// State is the state of a member, as set by itself or by a leader.
 type State string
 
-// The states.
 const (
 	Up      State = "up"
 	Leaving State = "leaving"
 	Down    State = "down"
 )
 
-// Member is one node with its backend server, as others know it.
+// Member describes a node and its backend server to the other nodes.
 type Member struct {
 	Node string `json:"node"`
-	// Incarnation is the start of the node's process, which tells it from earlier ones of the same name.
+	// Incarnation is the start time of the node's process. It distinguishes the process from earlier ones with the
+	// same name.
 	Incarnation   uint64 `json:"incarnation,omitempty"`
 	Zone          string `json:"zone"`
 	Region        string `json:"region,omitempty"`
 	PeerAddress   string `json:"peer_address"`
 	CallerAddress string `json:"caller_address"`
-	// Service is empty while no backend server has announced itself.
+	// Service is the service of the backend server; empty until a backend server has announced itself.
 	Service     string `json:"service,omitempty"`
 	Slots       int    `json:"slots,omitempty"`
 	Connections int    `json:"connections,omitempty"`
 	State       State  `json:"state"`
-	// BackendLost says that the backend server is not there, though the node is.
+	// BackendLost says that the node is up but its backend server is not.
 	BackendLost bool `json:"lost,omitempty"`
-	// Unconfirmed says that the member's entry in the platform's store went without a word of it.
+	// Unconfirmed says that the member's entry in the platform's store disappeared without the member having
+	// announced that it leaves.
 	Unconfirmed bool `json:"unconfirmed,omitempty"`
 	// DownSince is when a leader marked the member down, in seconds of Unix time.
 	DownSince int64 `json:"down_since,omitempty"`
-	// Successor answers for the keys of a member that leaves; empty for none.
+	// Successor is the node that takes over the keys of a leaving member; empty if there is none.
 	Successor string `json:"successor,omitempty"`
 	// AnswersFor lists the earlier nodes, with their incarnations, whose keys the member took over.
 	AnswersFor string `json:"answers_for,omitempty"`
@@ -58,52 +59,55 @@
 	return Record{Key: MemberPrefix + m.Node, Version: v, Value: value}
 }
 
-// ParseMember reads a member's record.
+// ParseMember decodes a member record.
 func ParseMember(r Record) (Member, error) {
 	var m Member
 	err := json.Unmarshal(r.Value, &m)
 	return m, err
 }
 
-// NextOwnSequence returns the sequence by which a member's own record follows the one held: an even number.
+// NextOwnSequence returns the sequence with which a member publishes its own record after one with the sequence held.
+// It is always even; see DownRecord.
 func NextOwnSequence(held uint64) uint64 {
 	return (held | 1) + 1
 }
 
-// DownRecord returns the record by which a leader marks the member down. Its sequence is odd, so that it never meets
-// the member's own record with the same version; the member's next record refutes it.
+// DownRecord returns the record with which a leader marks the member down. Its sequence is odd, so that it never has
+// the same version as a record of the member itself. The member's next own record has a higher version and overrides
+// it.
 func (m Member) DownRecord(held Version, now time.Time) Record {
 	m.State = Down
 	m.DownSince = now.Unix()
 	return m.Record(Version{Epoch: held.Epoch, Sequence: held.Sequence | 1})
 }
 
-// IsDownMark reports whether a member's record of the version was made by a leader that marked it down.
+// IsDownMark reports whether a member record with this version was made by a leader that marked the member down.
 func IsDownMark(v Version) bool {
 	return v.Sequence%2 == 1
 }
 
-// downRetention is how long the record of a member that is down is kept, so that no older record of it comes back.
+// downRetention is how long the record of a down member is kept, so that no older record of the member comes back.
 const downRetention = time.Hour
 
-// IsExpired reports whether the member has been down for so long that its record is dropped, by every node alike.
+// IsExpired reports whether the member has been down for so long that every node drops its record.
 func (m Member) IsExpired(now time.Time) bool {
 	return m.State == Down && now.Sub(time.Unix(m.DownSince, 0)) > downRetention
 }
 
-// heartbeatsPerPeriod bounds the heartbeats that a leader takes in one period of a small zone.
+// heartbeatsPerPeriod limits the heartbeats that a leader receives in the period of a small zone.
 const heartbeatsPerPeriod = 36
 
-// HeartbeatPeriod returns the time between heartbeats in a zone of so many members. It grows with the zone, so that the
-// leader's work does not.
+// HeartbeatPeriod returns the time between heartbeats in a zone with the given number of members. It grows with the
+// zone, so that the load on the leader does not.
 func HeartbeatPeriod(period time.Duration, members int) time.Duration {
 	return period * time.Duration(max(members, heartbeatsPerPeriod)) / heartbeatsPerPeriod
 }
 
-// zonesPerPeriod bounds the other availability zones whose leaders get a heartbeat in each period.
+// zonesPerPeriod limits the number of other availability zones whose leaders get a heartbeat per period.
 const zonesPerPeriod = 8
 
-// InterZoneHeartbeatPeriod returns the time between heartbeats to the leaders of so many other availability zones.
+// InterZoneHeartbeatPeriod returns the time between heartbeats to the leaders of the given number of other
+// availability zones.
 func InterZoneHeartbeatPeriod(period time.Duration, zones int) time.Duration {
 	return period * time.Duration(max(zones, zonesPerPeriod)) / zonesPerPeriod
 }
--- a/internal/decide/membership/patch.go
+++ b/internal/decide/membership/patch.go
@@ -6,25 +6,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Patch makes a record's value from an earlier one, of which a part in the middle was replaced. A value that is renewed
-// again and again, such as the end of a lease in a long list, so spreads at the cost of what changed in it.
+// Patch makes the new value of a record from an earlier one by replacing bytes in the middle. A value that is renewed
+// frequently, such as the end of a lease in a long list, can then be sent at the cost of the bytes that changed.
 type Patch struct {
 	Key string
-	// Base is the version of the earlier value, and Version that of the new one.
+	// Base is the version of the earlier value, and Version the version of the new one.
 	Base    Version
 	Version Version
-	// Prefix and Suffix are how many bytes of the earlier value stand before and after Middle.
+	// Prefix and Suffix are how many bytes of the earlier value are kept before and after Middle.
 	Prefix int
 	Suffix int
 	Middle []byte
-	// Checksum is the checksum of the new value.
+	// Checksum is the xxhash of the new value.
 	Checksum uint64
 }
 
-// minPatchSaving is how many bytes a patch must spare to be used.
+// minPatchSaving is the number of bytes that a patch must save to be used instead of the value.
 const minPatchSaving = 64
 
-// NewPatch returns the patch from one record to another, and whether it is worth while.
+// NewPatch returns the patch from one record to another, and whether it saves enough bytes to be used.
 func NewPatch(from, to Record) (Patch, bool) {
 	prefix := commonPrefix(from.Value, to.Value)
 	suffix := commonSuffix(from.Value[prefix:], to.Value[prefix:])
@@ -40,7 +40,7 @@
 	return patch, prefix+suffix > minPatchSaving
 }
 
-// Apply returns the new record. It reports false where the record held is not the one that the patch was made from.
+// Apply returns the new record. It reports false if the held record is not the one that the patch was made from.
 func (p Patch) Apply(held Record) (Record, bool) {
 	if held.Version != p.Base || p.Prefix < 0 || p.Suffix < 0 || p.Prefix+p.Suffix > len(held.Value) {
 		return Record{}, false
--- a/internal/decide/membership/records.go
+++ b/internal/decide/membership/records.go
@@ -1,5 +1,5 @@
-// Package membership decides what nodes know of each other: versioned records that spread by anti-entropy, who is
-// up, and who leads an availability zone.
+// Package membership decides what nodes know about each other: versioned records that spread by anti-entropy, which
+// members are up, and which node leads an availability zone.
 //
 // # Usage
 //
@@ -22,7 +22,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version orders the values of one record.
+// Version orders the values of a record, by epoch and then by sequence.
 type Version struct {
 	Epoch    uint64
 	Sequence uint64
@@ -36,7 +36,7 @@
 	return cmp.Compare(v.Sequence, w.Sequence)
 }
 
-// Record is one versioned fact. Of two records with one key the higher version stays, everywhere and for good.
+// Record is a versioned value. Of two records with the same key, every node keeps the one with the higher version.
 type Record struct {
 	Key     string
 	Version Version
@@ -53,21 +53,22 @@
 	return h.Sum64()
 }
 
-// Buckets is the number of parts whose digests two nodes compare to find out where they differ.
+// Buckets is the number of buckets that keys are hashed into. Two nodes compare the digests of their buckets to find
+// the records in which they differ.
 const Buckets = 64
 
 func bucketOf(key string) int {
 	return int(xxhash.Sum64String(key) % Buckets)
 }
 
-// Records holds the newest record under each key that a node has seen, and the order in which they came.
+// Records holds the newest record of each key that a node has seen, and the order in which the records arrived.
 type Records struct {
 	renewalRules []RenewalRule
-	// renewedKeys are the keys of the records of these kinds.
+	// renewedKeys holds the keys of the records that a renewal rule applies to.
 	renewedKeys map[string]bool
 	byKey       map[string]entry
 	digests     [Buckets]uint64
-	// changes are in order; one is stale where the key has changed again.
+	// changes is ordered by number. A change is stale if its key has changed again.
 	changes    []change
 	lastNumber uint64
 }
@@ -77,12 +78,12 @@
 	key    string
 }
 
-// NewRecords returns an empty store. The digests cover only the structure of records that are renewed all the time.
-func NewRecords(renewals ...RenewalRule) *Records {
-	return &Records{renewalRules: renewals, renewedKeys: map[string]bool{}, byKey: map[string]entry{}}
+// NewRecords returns an empty store. Of records that a renewal rule applies to, the digests cover only the structure.
+func NewRecords(rules ...RenewalRule) *Records {
+	return &Records{renewalRules: rules, renewedKeys: map[string]bool{}, byKey: map[string]entry{}}
 }
 
-// Merge takes the records that are newer than those held and returns them.
+// Merge stores the records that are newer than the held ones, and returns them.
 func (s *Records) Merge(received ...Record) []Record {
 	var changed []Record
 	for _, r := range received {
@@ -99,7 +100,7 @@
 	return changed
 }
 
-// replace puts the record in the place of the one held, which may be none.
+// replace stores the record in place of held, which is zero if there was none.
 func (s *Records) replace(held entry, r Record) {
 	structure, renewed := s.structureOf(r)
 	next := held.replacedBy(r, s.lastNumber, renewed, structure)
@@ -113,7 +114,7 @@
 	}
 }
 
-// Drop forgets the record under the key.
+// Drop removes the record of the key.
 func (s *Records) Drop(key string) {
 	held, exists := s.byKey[key]
 	if exists {
@@ -123,15 +124,15 @@
 	}
 }
 
-// toggleDigest puts the record into the digest of its bucket, or takes it out.
-func (s *Records) toggleDigest(n entry) {
-	s.digests[bucketOf(n.Key)] ^= hash(n.Key, n.digestVersion())
+// toggleDigest adds the record to the digest of its bucket, or removes it.
+func (s *Records) toggleDigest(e entry) {
+	s.digests[bucketOf(e.Key)] ^= hash(e.Key, e.digestVersion())
 }
 
-// minChangesToCompact are kept without a look for stale ones.
+// minChangesToCompact is the number of changes, beyond two per key, below which compact does nothing.
 const minChangesToCompact = 64
 
-// compact drops the stale changes once they outnumber the others.
+// compact removes the stale changes once they outnumber the others.
 func (s *Records) compact() {
 	if len(s.changes) < minChangesToCompact+2*len(s.byKey) {
 		return
@@ -139,7 +140,7 @@
 	s.changes = slices.DeleteFunc(s.changes, func(c change) bool { return s.byKey[c.key].number != c.number })
 }
 
-// Get returns the record under the key.
+// Get returns the record of the key.
 func (s *Records) Get(key string) (Record, bool) {
 	r, ok := s.byKey[key]
 	return r.Record, ok
@@ -150,7 +151,7 @@
 	return len(s.byKey)
 }
 
-// WithPrefix returns the records whose keys begin with the prefix, by key.
+// WithPrefix returns the records whose keys begin with the prefix, ordered by key.
 func (s *Records) WithPrefix(prefix string) []Record {
 	var found []Record
 	for key, r := range s.byKey {
@@ -167,30 +168,32 @@
 	return s.lastNumber
 }
 
-// Change is a record, or the patch by which one who has seen all earlier changes gets it.
+// Change is a record, or the patch that makes it from an earlier record which the receiver holds.
 type Change struct {
 	Record  Record
 	Patch   Patch
 	Patched bool
 }
 
-// Since returns what came after the change of the given number, in order, up to so many bytes of values but at least
-// one, and the number to go on from. One who follows only some zones, where follows is not nil, gets changes of
-// structure in the place of the others' renewals; they come first and whatever their size.
-func (s *Records) Since(after uint64, maxBytes int, follows ZoneFilter) (changes []Change, next uint64) {
+// Since returns the changes after the one with the given number, in order, and the number to continue from. It
+// returns at least one change and stops before the values exceed maxBytes.
+//
+// A non-nil filter selects the availability zones whose renewals are returned. For records of the other zones, only
+// structural changes are returned; these come first and do not count towards maxBytes.
+func (s *Records) Since(after uint64, maxBytes int, filter ZoneFilter) (changes []Change, next uint64) {
 	start, _ := slices.BinarySearchFunc(s.changes, after+1, func(c change, n uint64) int { return cmp.Compare(c.number, n) })
 	if start == len(s.changes) {
 		return nil, s.lastNumber
 	}
 	seen := after
-	changes = s.structuralChanges(seen, follows)
+	changes = s.structuralChanges(seen, filter)
 	unordered := len(changes)
 	for _, c := range s.changes[start:] {
-		n := s.byKey[c.key]
-		if n.number != c.number || n.isStructureOnly(follows) {
+		e := s.byKey[c.key]
+		if e.number != c.number || e.isStructureOnly(filter) {
 			continue
 		}
-		found := n.changeSince(seen)
+		found := e.changeSince(seen)
 		maxBytes -= found.size()
 		if len(changes) > unordered && maxBytes < 0 {
 			return changes, after
@@ -208,7 +211,7 @@
 	return len(c.Record.Value)
 }
 
-// Digest sums up all keys and versions: two stores with one digest hold the same.
+// Digest returns one digest over all keys and versions. Stores with equal digests hold the same records.
 func (s *Records) Digest() uint64 {
 	var sum uint64
 	for _, d := range s.digests {
@@ -222,7 +225,7 @@
 	return slices.Clone(s.digests[:])
 }
 
-// Versions returns the version of each record in the buckets whose digests are not the given ones.
+// Versions returns the version of each record in the buckets whose digests differ from the given ones.
 func (s *Records) Versions(digests []uint64) map[string]Version {
 	versions := map[string]Version{}
 	for key, r := range s.byKey {
@@ -234,7 +237,8 @@
 	return versions
 }
 
-// NewerThan returns the records, in the buckets whose digests are not the given ones, that a peer with the versions lacks.
+// NewerThan returns the records that a peer with the given versions lacks or holds in an older version. It considers
+// only the buckets whose digests differ from the given ones.
 func (s *Records) NewerThan(digests []uint64, versions map[string]Version) []Record {
 	var newer []Record
 	for key := range s.Versions(digests) {
@@ -247,7 +251,8 @@
 	return newer
 }
 
-// MissingKeys returns the keys of which a peer with the versions has newer records.
+// MissingKeys returns the keys of the records that a peer with the given versions holds in a newer version, or that
+// this store lacks.
 func (s *Records) MissingKeys(versions map[string]Version) []string {
 	var missing []string
 	for key, v := range versions {
--- a/internal/decide/membership/renewal.go
+++ b/internal/decide/membership/renewal.go
@@ -5,141 +5,145 @@
 	"strings"
 )
 
-// RenewalRule is a kind of records that are renewed all the time, such as a lease with its end.
+// RenewalRule selects records that are renewed all the time, such as a lease with its end.
 type RenewalRule struct {
-	// Prefix begins the keys of the records.
+	// Prefix is the prefix of the keys of these records.
 	Prefix string
-	// Structure reads what a mere renewal leaves as it is; nil for nothing.
+	// Structure returns the part of a value that a renewal does not change; nil if there is no such part.
 	Structure func(value []byte) Structure
 }
 
-// Structure is what a renewal leaves as it is.
+// Structure is the part of a record's value that a renewal does not change. A change of it is a structural change.
 type Structure struct {
-	// Term grows with each change that is more than a renewal.
+	// Term grows with each structural change.
 	Term uint64
 	// Zone is the availability zone that renews the record.
 	Zone string
 }
 
-// ZoneFilter says of which availability zones a node gets the renewals; of the others it gets changes of the structure only.
+// ZoneFilter reports whether a node gets the renewals of the availability zone. Of the other zones it gets structural
+// changes only.
 type ZoneFilter func(zone string) bool
 
-// entry is a record with the number of the change that brought it.
+// entry is a record with the number of the change that stored it.
 type entry struct {
 	Record
 
 	number uint64
-	// previous are the records that this one replaced, the newest last.
+	// previous holds the records that this one replaced, the newest last.
 	previous []previousRecord
 
 	renewed   bool
 	structure Structure
-	// lastStructural is the record as it was when its structure last changed, and priorAnchor the one before. Who follows no
-	// renewals holds just these.
+	// lastStructural is the record as of its last structural change, and priorStructural as of the one before. A node
+	// that gets no renewals of the record holds one of these.
 	lastStructural  previousRecord
 	priorStructural previousRecord
-	// zoneChanged says that the last change of the structure brought another zone.
+	// zoneChanged says that the last structural change gave the record another zone.
 	zoneChanged bool
 }
 
-// previousRecord is a record that was replaced, with the number of the change that had brought it; 0 for none.
+// previousRecord is a replaced record with the number of the change that had stored it; number 0 means none.
 type previousRecord struct {
 	record Record
 	number uint64
 }
 
-// maxPrevious is how many replaced records are kept of one that is renewed all the time, for those who ask seldom.
+// maxPrevious is how many replaced records are kept for a renewed record, so that nodes that ask seldom can get a
+// patch too.
 const maxPrevious = 8
 
-// replacedBy returns the record with its successor in its place.
-func (n entry) replacedBy(r Record, number uint64, renewed bool, structure Structure) entry {
-	next := n
+// replacedBy returns the entry with the record replaced by r.
+func (e entry) replacedBy(r Record, number uint64, renewed bool, structure Structure) entry {
+	next := e
 	next.Record, next.number = r, number
-	next.previous = append(slices.Clone(n.previous), previousRecord{n.Record, n.number})
+	next.previous = append(slices.Clone(e.previous), previousRecord{e.Record, e.number})
 	limit := 1
 	if renewed {
 		limit = maxPrevious
 	}
 	next.previous = next.previous[max(0, len(next.previous)-limit):]
 	next.renewed, next.structure = renewed, structure
-	if renewed && (structure != n.structure || n.number == 0) {
-		next.lastStructural, next.priorStructural = previousRecord{r, number}, n.lastStructural
-		next.zoneChanged = structure.Zone != n.structure.Zone
+	if renewed && (structure != e.structure || e.number == 0) {
+		next.lastStructural, next.priorStructural = previousRecord{r, number}, e.lastStructural
+		next.zoneChanged = structure.Zone != e.structure.Zone
 	}
 	return next
 }
 
-// digestVersion is the version that counts in the digests: renewals don't, because no two nodes would ever agree.
-func (n entry) digestVersion() Version {
-	if n.renewed {
-		return Version{Epoch: n.structure.Term}
+// digestVersion returns the version that the digests cover. It leaves renewals out, because otherwise two nodes would
+// never have equal digests.
+func (e entry) digestVersion() Version {
+	if e.renewed {
+		return Version{Epoch: e.structure.Term}
 	}
-	return n.Version
+	return e.Version
 }
 
-// changeSince returns the record as a patch for one who has seen the changes up to the number, where that spares bytes.
-func (n entry) changeSince(seen uint64) Change {
-	if n.zoneChanged && n.lastStructural.number > seen {
-		return Change{Record: n.Record}
+// changeSince returns the record for a receiver that has seen all changes up to the given number, as a patch if that
+// saves bytes.
+func (e entry) changeSince(seen uint64) Change {
+	if e.zoneChanged && e.lastStructural.number > seen {
+		return Change{Record: e.Record}
 	}
-	for _, e := range slices.Backward(n.previous) {
-		if e.number <= seen {
-			return e.changeTo(n.Record)
+	for _, p := range slices.Backward(e.previous) {
+		if p.number <= seen {
+			return p.changeTo(e.Record)
 		}
 	}
-	return Change{Record: n.Record}
+	return Change{Record: e.Record}
 }
 
-// structuralChangeSince returns the last change of the structure for one who follows no renewals. It reports false where that was
-// seen.
-func (n entry) structuralChangeSince(seen uint64) (Change, bool) {
-	if n.lastStructural.number <= seen {
+// structuralChangeSince returns the last structural change for a receiver that gets no renewals of the record. It
+// reports false if the receiver has seen that change.
+func (e entry) structuralChangeSince(seen uint64) (Change, bool) {
+	if e.lastStructural.number <= seen {
 		return Change{}, false
 	}
-	if n.zoneChanged || n.priorStructural.number > seen {
-		return Change{Record: n.lastStructural.record}, true
+	if e.zoneChanged || e.priorStructural.number > seen {
+		return Change{Record: e.lastStructural.record}, true
 	}
-	return n.priorStructural.changeTo(n.lastStructural.record), true
+	return e.priorStructural.changeTo(e.lastStructural.record), true
 }
 
-func (e previousRecord) changeTo(r Record) Change {
-	if e.number == 0 {
+func (p previousRecord) changeTo(r Record) Change {
+	if p.number == 0 {
 		return Change{Record: r}
 	}
-	patch, patched := NewPatch(e.record, r)
+	patch, patched := NewPatch(p.record, r)
 	return Change{Record: r, Patch: patch, Patched: patched}
 }
 
-// isStructureOnly reports whether one who follows the zones gets only the changes of the record's structure.
-func (n entry) isStructureOnly(follows ZoneFilter) bool {
-	return n.renewed && follows != nil && !follows(n.structure.Zone)
+// isStructureOnly reports whether a receiver with the filter gets only the structural changes of the record.
+func (e entry) isStructureOnly(filter ZoneFilter) bool {
+	return e.renewed && filter != nil && !filter(e.structure.Zone)
 }
 
-// structuralChanges returns the changes of structure, after the change of the given number, of the records whose renewals are
-// not followed.
-func (s *Records) structuralChanges(after uint64, follows ZoneFilter) []Change {
+// structuralChanges returns the structural changes after the given number of the records that a receiver with the
+// filter gets no renewals of.
+func (s *Records) structuralChanges(after uint64, filter ZoneFilter) []Change {
 	var changes []Change
 	for key := range s.renewedKeys {
-		n := s.byKey[key]
-		if !n.isStructureOnly(follows) {
+		e := s.byKey[key]
+		if !e.isStructureOnly(filter) {
 			continue
 		}
-		if found, unseen := n.structuralChangeSince(after); unseen {
+		if found, unseen := e.structuralChangeSince(after); unseen {
 			changes = append(changes, found)
 		}
 	}
 	return changes
 }
 
-// RenewedRecords returns the records that are renewed all the time, as one who follows the zones gets them.
-func (s *Records) RenewedRecords(follows ZoneFilter) []Record {
+// RenewedRecords returns the records that a renewal rule applies to, as a receiver with the filter holds them.
+func (s *Records) RenewedRecords(filter ZoneFilter) []Record {
 	var records []Record
 	for key := range s.renewedKeys {
-		n := s.byKey[key]
-		if n.isStructureOnly(follows) {
-			records = append(records, n.lastStructural.record)
+		e := s.byKey[key]
+		if e.isStructureOnly(filter) {
+			records = append(records, e.lastStructural.record)
 		} else {
-			records = append(records, n.Record)
+			records = append(records, e.Record)
 		}
 	}
 	return records
@@ -154,7 +158,7 @@
 	return RenewalRule{}, false
 }
 
-// structureOf returns the structure of the record, and whether it is one that is renewed all the time.
+// structureOf returns the structure of the record, and whether a renewal rule applies to it.
 func (s *Records) structureOf(r Record) (Structure, bool) {
 	rule, found := s.renewalRule(r.Key)
 	if !found || rule.Structure == nil {
