--- a/internal/traffic/backend/listener.go
+++ b/internal/traffic/backend/listener.go
@@ -36,11 +36,11 @@
 		var a Announcement
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement))
 		if err := decoder.Decode(&a); err != nil {
-			http.Error(w, "announcement is not valid JSON: "+err.Error(), http.StatusBadRequest)
+			http.Error(w, "announcement is not JSON: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 		if a.Service == "" || a.Address == "" || a.Slots <= 0 || a.Connections <= 0 {
-			http.Error(w, "announcement lacks a service, an address, or a positive number of slots or connections", http.StatusBadRequest)
+			http.Error(w, "service, address, slots or connections is missing", http.StatusBadRequest)
 			return
 		}
 		announce(a)
--- a/internal/traffic/flow/handover.go
+++ b/internal/traffic/flow/handover.go
@@ -76,7 +76,7 @@
 }
 
 // errOtherIncarnation reports that the keys were sent to an earlier incarnation of this node.
-var errOtherIncarnation = errors.New("the keys were sent to an earlier incarnation of this node")
+var errOtherIncarnation = errors.New("the keys are for a former process of this node")
 
 // formerOwnerNames returns the names of the earlier owners that this node answers for, as written in its record.
 func (o *KeyOwner) formerOwnerNames() string {
--- a/internal/traffic/peer/headers.go
+++ b/internal/traffic/peer/headers.go
@@ -7,7 +7,7 @@
 )
 
 // errMalformedHeaders is returned for a header block that can't be parsed.
-var errMalformedHeaders = errors.New("malformed headers: a line lacks its name, colon or line feed")
+var errMalformedHeaders = errors.New("headers are malformed")
 
 const (
 	nameTerminator  = ':'
--- a/internal/traffic/peer/messages.go
+++ b/internal/traffic/peer/messages.go
@@ -56,13 +56,13 @@
 // parseRequest validates a message from another node and returns its request.
 func parseRequest(m *peerpb.CallRequest, now time.Time) (*call.Request, error) {
 	if m.GetAttemptId() == "" || m.GetService() == "" || m.GetKind() == "" || m.GetMethod() == "" {
-		return nil, fmt.Errorf("attempt ID, service, kind or method is empty")
+		return nil, fmt.Errorf("attempt, service, kind or method is missing")
 	}
 	if m.GetRank() < 0 || m.GetRank() >= admission.Ranks {
 		return nil, fmt.Errorf("rank %d is out of range", m.GetRank())
 	}
 	if m.GetAttemptsLeft() < 0 || m.GetDepth() < 0 || m.GetCrashes() < 0 {
-		return nil, fmt.Errorf("number of attempts left, depth or number of crashes is negative")
+		return nil, fmt.Errorf("attempts, depth or crashes is negative")
 	}
 	header, err := parseHeaders(m.GetHeaders())
 	if err != nil {
--- a/internal/traffic/peer/seal.go
+++ b/internal/traffic/peer/seal.go
@@ -69,7 +69,7 @@
 
 // errUnknownForm is returned for a message that is empty, whose first byte is not a known form, or that is compressed when the node
 // has no Compressor.
-var errUnknownForm = errors.New("message is empty or in an unknown form")
+var errUnknownForm = errors.New("message is in an unknown form")
 
 // compress appends the message in the compressed form to the buffer.
 func (c *Compressor) compress(buffer, message []byte) []byte {
