--- a/cmd/comfreyhoist/document.go
+++ b/cmd/comfreyhoist/document.go
@@ -18,8 +18,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/terminal"
 )
 
-// target holds the flags of the commands that call a node's administration API.
-type target struct {
+// apiFlags holds the flags of the commands that call a node's administration API.
+type apiFlags struct {
 	address string
 	token   string
 	timeout time.Duration
@@ -29,19 +29,19 @@
 // operatorTimeout bounds one call of the administration API.
 const operatorTimeout = 10 * time.Second
 
-func (t *target) register(flags *flag.FlagSet) {
+func (t *apiFlags) register(flags *flag.FlagSet) {
 	flags.StringVar(&t.address, "address", "127.0.0.1:7003", "IP and port of a node's administration API")
 	flags.StringVar(&t.token, "token", "", "bearer token; better set as COMFREYHOIST_TOKEN, which other users can't see")
 	flags.DurationVar(&t.timeout, "timeout", operatorTimeout, "time for one call")
 	flags.BoolVar(&t.json, "json", false, "print JSON instead of a table")
 }
 
-func (t *target) client() *operator.Client {
+func (t *apiFlags) client() *operator.Client {
 	return operator.NewClient(operator.ClientConfig{Address: t.address, Token: t.token, Timeout: t.timeout})
 }
 
 // clientCommand returns a command that calls a node's administration API.
-func clientCommand(name, usage, help string, flags *flag.FlagSet, t *target, run func(context.Context, []string) error) *ffcli.Command {
+func clientCommand(name, usage, help string, flags *flag.FlagSet, t *apiFlags, run func(context.Context, []string) error) *ffcli.Command {
 	t.register(flags)
 	return &ffcli.Command{
 		Name:       name,
@@ -67,7 +67,7 @@
 }
 
 func getCommand() *ffcli.Command {
-	var t target
+	var t apiFlags
 	flags := flag.NewFlagSet("comfreyhoist document get", flag.ContinueOnError)
 	usage := "comfreyhoist document get -address 10.0.1.21:7003 bookings"
 	return clientCommand("get", usage, "print a document; its tag goes to standard error", flags, &t, func(ctx context.Context, arguments []string) error {
@@ -88,7 +88,7 @@
 }
 
 func putCommand() *ffcli.Command {
-	var t target
+	var t apiFlags
 	flags := flag.NewFlagSet("comfreyhoist document put", flag.ContinueOnError)
 	expected := flags.String("expected", "", "tag of the document to be replaced; empty for a new one")
 	operation := flags.String("operation", "", "id of the edit; the same id may be sent again and is carried out once")
@@ -103,7 +103,7 @@
 		}
 		stored, err := t.client().Put(ctx, arguments[0], source, *expected, *operation)
 		if err != nil {
-			return putFailure(err)
+			return explainPutError(err)
 		}
 		if t.json {
 			return printJSON(stored)
@@ -113,8 +113,8 @@
 	})
 }
 
-// putFailure adds how an edit with an open end is sent again.
-func putFailure(err error) error {
+// explainPutError adds how an edit with an open end is sent again.
+func explainPutError(err error) error {
 	var refusal *operator.Error
 	if errors.As(err, &refusal) && refusal.Code == operator.CodeUnsettled {
 		return fmt.Errorf("%w\nsend it again with -operation %s", refusal, refusal.Operation)
@@ -123,7 +123,7 @@
 }
 
 func listCommand() *ffcli.Command {
-	var t target
+	var t apiFlags
 	flags := flag.NewFlagSet("comfreyhoist document list", flag.ContinueOnError)
 	usage := "comfreyhoist document list -address 10.0.1.21:7003"
 	return clientCommand("list", usage, "list the documents in force on a node", flags, &t, func(ctx context.Context, _ []string) error {
@@ -143,7 +143,7 @@
 }
 
 func historyCommand() *ffcli.Command {
-	var t target
+	var t apiFlags
 	flags := flag.NewFlagSet("comfreyhoist document history", flag.ContinueOnError)
 	usage := "comfreyhoist document history bookings"
 	return clientCommand("history", usage, "list the edits of a document, the newest first", flags, &t, func(ctx context.Context, arguments []string) error {
--- a/cmd/comfreyhoist/drain.go
+++ b/cmd/comfreyhoist/drain.go
@@ -10,7 +10,7 @@
 )
 
 func drainCommand() *ffcli.Command {
-	var t target
+	var t apiFlags
 	flags := flag.NewFlagSet("comfreyhoist drain", flag.ContinueOnError)
 	usage := "comfreyhoist drain -address 10.0.1.21:7003"
 	help := "begin the planned stop of a node: it takes no new work, finishes what it has and ends"
--- a/cmd/comfreyhoist/dump.go
+++ b/cmd/comfreyhoist/dump.go
@@ -14,7 +14,7 @@
 )
 
 func dumpCommand() *ffcli.Command {
-	var t target
+	var t apiFlags
 	flags := flag.NewFlagSet("comfreyhoist dump", flag.ContinueOnError)
 	usage := "comfreyhoist dump -address 10.0.1.21:7003"
 	return clientCommand("dump", usage, "print the state of a node", flags, &t, func(ctx context.Context, _ []string) error {
--- a/cmd/comfreyhoist/main.go
+++ b/cmd/comfreyhoist/main.go
@@ -21,7 +21,7 @@
 	defer stop()
 	if err := rootCommand().ParseAndRun(ctx, os.Args[1:]); err != nil {
 		stop()
-		os.Exit(report(err, os.Args[1:]))
+		os.Exit(reportError(err, os.Args[1:]))
 	}
 }
 
@@ -55,9 +55,9 @@
 	exitUsage   = 2
 )
 
-// report prints the error and returns the exit code. Help that was asked for is no failure; ffcli has printed it, as
+// reportError prints the error and returns the exit code. Help that was asked for is no failure; ffcli has printed it, as
 // it has where arguments were missing.
-func report(err error, arguments []string) int {
+func reportError(err error, arguments []string) int {
 	switch {
 	case !errors.Is(err, flag.ErrHelp):
 		fmt.Fprintln(os.Stderr, "comfreyhoist:", trace.UserMessage(err))
--- a/cmd/comfreyhoist/main_test.go
+++ b/cmd/comfreyhoist/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-func TestSamplesAreSound(t *testing.T) {
+func TestSamplesAreValid(t *testing.T) {
 	is := is.New(t)
 	documents, err := filepath.Glob("../../samples/documents/*.ini")
 	is.NoErr(err)
@@ -83,7 +83,7 @@
 			is := is.New(t)
 			fields := strings.Fields(arguments)
 			err := rootCommand().ParseAndRun(context.Background(), fields)
-			is.Equal(report(err, fields), want)
+			is.Equal(reportError(err, fields), want)
 		})
 	}
 }
--- a/cmd/comfreyhoist/node.go
+++ b/cmd/comfreyhoist/node.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// waitingLines is how many log lines may wait to be written. A reader that doesn't keep up loses lines, and holds up no
+// maxBufferedLogLines is how many log lines may wait to be written. A reader that doesn't keep up loses lines, and holds up no
 // request.
-const waitingLines = 1000
+const maxBufferedLogLines = 1000
 
 func runNode(ctx context.Context, s *settings.Settings, config string) error {
 	if err := s.Check(); err != nil {
@@ -56,18 +56,18 @@
 	if err != nil {
 		return trace.BadParameter("log.level: %v", err)
 	}
-	lines := diode.NewWriter(os.Stdout, waitingLines, 0, func(missed int) {
-		fmt.Fprintln(os.Stderr, "comfreyhoist: log lines lost:", missed)
+	lines := diode.NewWriter(os.Stdout, maxBufferedLogLines, 0, func(dropped int) {
+		fmt.Fprintln(os.Stderr, "comfreyhoist: log lines lost:", dropped)
 	})
 	defer func() { _ = lines.Close() }()
 	log := events.NewLog(lines, level, s.Node.Name)
 	var group conc.WaitGroup
 	defer group.Wait()
 	// A process that doesn't take SIGHUP is ended by it, also while it drains.
-	reloading, stop := context.WithCancel(context.WithoutCancel(ctx))
+	reloadCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	reload.New(reload.Config{Arguments: []string{"-config", config}, Log: log}).Run(reloading, &group)
-	if s.Platform.Source == settings.FromRoutes {
+	reload.New(reload.Config{Arguments: []string{"-config", config}, Log: log}).Run(reloadCtx, &group)
+	if s.Platform.Source == settings.SourceRoutes {
 		return trace.Wrap(routed.Run(ctx, routed.Config{Settings: s, Log: log, Adapter: platform.NewAdapter(s)}))
 	}
 	return trace.Wrap(node.Run(ctx, node.Config{Settings: s, Log: log}))
--- a/cmd/comfreyhoist/signals_test.go
+++ b/cmd/comfreyhoist/signals_test.go
@@ -33,7 +33,7 @@
 		ip := fmt.Sprintf("127.0.77.%d", address)
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.NoErr(os.WriteFile(settings, []byte(routedSettings(ip)), 0o600))
+			is.NoErr(os.WriteFile(settings, []byte(routesSettings(ip)), 0o600))
 			node := exec.Command(binary, "node", "-config", settings)
 			out, err := node.StdoutPipe()
 			is.NoErr(err)
@@ -57,8 +57,8 @@
 	}
 }
 
-// routedSettings are those of a node that goes by routes, and whose store is away.
-func routedSettings(ip string) string {
+// routesSettings are those of a node that goes by routes, and whose store is away.
+func routesSettings(ip string) string {
 	return strings.ReplaceAll(`[node]
 name = node_1
 zone = zone_1
--- a/cmd/hoistlab/fleet.go
+++ b/cmd/hoistlab/fleet.go
@@ -17,7 +17,7 @@
 // withFleet builds the program, starts a fleet and runs f on it. The nodes' logs go to standard error where they are
 // wanted.
 func withFleet(ctx context.Context, config fleet.Config, verbose bool, f func(*fleet.Fleet) error) error {
-	return withProgram(ctx, func(_, binary string) error {
+	return withBinary(ctx, func(_, binary string) error {
 		config.Binary, config.Output = binary, io.Discard
 		if verbose {
 			config.Output = os.Stderr
@@ -31,8 +31,8 @@
 	})
 }
 
-// withProgram builds the program in a directory that is there while f runs.
-func withProgram(ctx context.Context, f func(directory, binary string) error) error {
+// withBinary builds the program in a directory that is there while f runs.
+func withBinary(ctx context.Context, f func(directory, binary string) error) error {
 	directory, err := os.MkdirTemp("", "hoistlab")
 	if err != nil {
 		return trace.ConvertSystemError(err)
--- a/cmd/hoistlab/latency.go
+++ b/cmd/hoistlab/latency.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	f, err := startFleet(ctx, fleet.Config{Binary: binary, Deployment: evenChain(), Seed: l.seed})
+	f, err := startFleet(ctx, fleet.Config{Binary: binary, Deployment: constantTimeChain(), Seed: l.seed})
 	defer f.Stop()
 	if err != nil {
 		return trace.Wrap(err)
@@ -61,8 +61,8 @@
 	return trace.Wrap(fleet.WriteTable(os.Stdout, rows))
 }
 
-// evenChain returns the chain with backend servers that take the same time for every request.
-func evenChain() fleet.Deployment {
+// constantTimeChain returns the chain with backend servers that take the same time for every request.
+func constantTimeChain() fleet.Deployment {
 	d := fleet.Chain()
 	for i := range d.Services {
 		d.Services[i].Behaviour.Spread = 0
--- a/cmd/hoistlab/once.go
+++ b/cmd/hoistlab/once.go
@@ -17,8 +17,8 @@
 // onceInstances gives two instances to each availability zone.
 const onceInstances = 6
 
-// onceSettle is the time in which the homes are agreed.
-const onceSettle = 3 * time.Second
+// ownersSettleTime is the time in which the homes are agreed.
+const ownersSettleTime = 3 * time.Second
 
 func onceCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("hoistlab once", flag.ContinueOnError)
@@ -35,8 +35,8 @@
 		ShortHelp:  "resend bookings under faults and compare the outcomes with the ledgers",
 		FlagSet:    flags,
 		Exec: func(ctx context.Context, _ []string) error {
-			config := once.Config{Duration: *duration, Seed: *seed, Callers: *callers, Calm: *calm, Outage: once.Outage(*outage)}
-			config.Polite = *polite || config.Outage != once.NoOutage
+			config := once.Config{Duration: *duration, Seed: *seed, Callers: *callers, NoFaults: *calm, Outage: once.Outage(*outage)}
+			config.SingleSend = *polite || config.Outage != once.NoOutage
 			return runOnce(ctx, config, *verbose)
 		},
 	}
@@ -45,13 +45,13 @@
 func runOnce(ctx context.Context, config once.Config, verbose bool) error {
 	deployment := fleet.Config{Deployment: once.Deployment(onceInstances), Seed: config.Seed}
 	return withFleet(ctx, deployment, verbose, func(f *fleet.Fleet) error {
-		time.Sleep(onceSettle)
+		time.Sleep(ownersSettleTime)
 		config.Fleet, config.Service, config.Output = f, "bookings", os.Stderr
-		return writeOnce(once.Run(ctx, config), config.Seed)
+		return writeOnceReport(once.Run(ctx, config), config.Seed)
 	})
 }
 
-func writeOnce(r once.Report, seed uint64) error {
+func writeOnceReport(r once.Report, seed uint64) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(r); err != nil {
--- a/cmd/hoistlab/overload.go
+++ b/cmd/hoistlab/overload.go
@@ -60,12 +60,12 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	own, err := os.Executable()
+	labBinary, err := os.Executable()
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
 	var results []scenario.Result
-	for _, config := range o.configs(binary, own) {
+	for _, config := range o.runConfigs(binary, labBinary) {
 		result, err := scenario.Run(ctx, config)
 		if err != nil {
 			return trace.Wrap(err)
@@ -85,22 +85,22 @@
 
 const directoryMode = 0o755
 
-// configs returns every run: each scenario of each deployment with each variant. The baseline is a command of this
+// runConfigs returns every run: each scenario of each deployment with each variant. The baseline is a command of this
 // program itself.
-func (o *overloadFlags) configs(binary, own string) []scenario.Config {
+func (o *overloadFlags) runConfigs(binary, labBinary string) []scenario.Config {
 	variants := []scenario.Variant{{Name: "product", Binary: binary}}
 	if o.previous != "" {
 		variants = append(variants, scenario.Variant{Name: "previous", Binary: o.previous})
 	}
 	if o.baseline {
-		variants = append(variants, scenario.Variant{Name: "baseline", Binary: own, Baseline: true})
+		variants = append(variants, scenario.Variant{Name: "baseline", Binary: labBinary, Baseline: true})
 	}
 	var configs []scenario.Config
 	for _, deployment := range strings.Split(o.deployments, ",") {
 		for _, name := range strings.Split(o.scenarios, ",") {
 			s, known := scenario.Find(name)
-			d, stands := scenario.Deployments()[deployment]
-			if !known || !stands {
+			d, found := scenario.Deployments()[deployment]
+			if !known || !found {
 				continue
 			}
 			for _, v := range variants {
--- a/cmd/hoistlab/soak.go
+++ b/cmd/hoistlab/soak.go
@@ -21,7 +21,7 @@
 	duration := flags.Duration("duration", 30*time.Second, "for how long faults are injected, for each seed")
 	instances := flags.Int("instances", 1, "backend servers of each service in each availability zone")
 	rate := flags.Float64("rate", 0, "requests of callers in a second; 0 for the default")
-	keep := flags.String("logs", "", "directory for the nodes' settings and logs; empty for one that is removed")
+	logDirectory := flags.String("logs", "", "directory for the nodes' settings and logs; empty for one that is removed")
 	return &ffcli.Command{
 		Name:       "soak",
 		ShortUsage: "hoistlab soak [-seed N] [-seeds N] [-duration D] [-logs DIR]",
@@ -29,24 +29,24 @@
 		FlagSet:    flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			config := soak.Config{Duration: *duration, Instances: *instances, Rate: *rate, Output: os.Stderr}
-			return runSoak(ctx, config, *seed, *seeds, *keep)
+			return runSoak(ctx, config, *seed, *seeds, *logDirectory)
 		},
 	}
 }
 
-func runSoak(ctx context.Context, config soak.Config, seed, seeds uint64, keep string) error {
-	return withProgram(ctx, func(directory, binary string) error {
+func runSoak(ctx context.Context, config soak.Config, seed, seeds uint64, logDirectory string) error {
+	return withBinary(ctx, func(directory, binary string) error {
 		config.Binary = binary
-		if keep == "" {
-			keep = directory
+		if logDirectory == "" {
+			logDirectory = directory
 		}
-		return playSeeds(ctx, config, seed, seeds, keep)
+		return runSeeds(ctx, config, seed, seeds, logDirectory)
 	})
 }
 
-// playSeeds plays one seed after the other; each has a directory of its own below the parent.
-func playSeeds(ctx context.Context, config soak.Config, seed, seeds uint64, parent string) error {
-	broken := 0
+// runSeeds plays one seed after the other; each has a directory of its own below the parent.
+func runSeeds(ctx context.Context, config soak.Config, seed, seeds uint64, parent string) error {
+	failedSeeds := 0
 	for config.Seed = seed; config.Seed < seed+seeds; config.Seed++ {
 		config.Directory = fmt.Sprintf("%s/seed_%d", parent, config.Seed)
 		if err := os.MkdirAll(config.Directory, 0o700); err != nil {
@@ -60,11 +60,11 @@
 			return trace.Wrap(err)
 		}
 		if len(report.Violations) > 0 {
-			broken++
+			failedSeeds++
 		}
 	}
-	if broken > 0 {
-		return trace.BadParameter("%d of %d seeds broke a promise", broken, seeds)
+	if failedSeeds > 0 {
+		return trace.BadParameter("%d of %d seeds broke a promise", failedSeeds, seeds)
 	}
 	return nil
 }
--- a/cmd/hoistlab/standins.go
+++ b/cmd/hoistlab/standins.go
@@ -78,12 +78,12 @@
 }
 
 // parseCalls reads service/path pairs.
-func parseCalls(list string) []server.Downstream {
-	var calls []server.Downstream
+func parseCalls(list string) []server.DownstreamCall {
+	var calls []server.DownstreamCall
 	for _, item := range strings.Split(list, ",") {
 		service, path, found := strings.Cut(item, "/")
 		if found {
-			calls = append(calls, server.Downstream{Service: service, Method: http.MethodGet, Path: "/" + path})
+			calls = append(calls, server.DownstreamCall{Service: service, Method: http.MethodGet, Path: "/" + path})
 		}
 	}
 	return calls
--- a/internal/control/board/board.go
+++ b/internal/control/board/board.go
@@ -26,14 +26,14 @@
 
 // Board is the whole blackboard.
 type Board struct {
-	Self      Self      `json:"self"`
-	Backend   Backend   `json:"backend"`
-	Members   Members   `json:"members"`
-	Documents Documents `json:"documents"`
-	Leader    Leader    `json:"leader"`
-	Platform  Platform  `json:"platform"`
-	Homes     Homes     `json:"homes"`
-	Reach     Reach     `json:"reach"`
+	Self             Self             `json:"self"`
+	Backend          Backend          `json:"backend"`
+	Members          Members          `json:"members"`
+	Documents        Documents        `json:"documents"`
+	Leader           Leader           `json:"leader"`
+	Platform         Platform         `json:"platform"`
+	KeyOwners        KeyOwners        `json:"homes"`
+	ZoneReachability ZoneReachability `json:"reach"`
 	// Routes are those in force, where the node goes by routes; nil while none are known.
 	Routes *routes.Table `json:"routes,omitempty"`
 }
@@ -59,10 +59,10 @@
 
 // Backend is the local backend server, as it announced itself. Written by the backend listener.
 type Backend struct {
-	Service     string `json:"service"`
-	Address     string `json:"address"`
-	Slots       int    `json:"slots"`
-	Connections int    `json:"connections"`
+	Service        string `json:"service"`
+	Address        string `json:"address"`
+	Slots          int    `json:"slots"`
+	MaxConnections int    `json:"connections"`
 	// Instance names the start of the backend server that announced itself; empty where it gave no name.
 	Instance    string    `json:"instance,omitempty"`
 	Leaving     bool      `json:"leaving"`
@@ -84,8 +84,8 @@
 	ByService map[string][]membership.Member `json:"by_service"`
 }
 
-// TakingWork counts the members with a backend server that takes work.
-func (m Members) TakingWork() int {
+// CountAcceptingRequests counts the members with a backend server that takes work.
+func (m Members) CountAcceptingRequests() int {
 	count := 0
 	for _, members := range m.ByService {
 		count += len(members)
@@ -93,13 +93,13 @@
 	return count
 }
 
-// TakesWork reports whether requests for the service may be sent to the node.
-func (m Members) TakesWork(service, node string) bool {
+// AcceptsRequests reports whether requests for the service may be sent to the node.
+func (m Members) AcceptsRequests(service, node string) bool {
 	return slices.ContainsFunc(m.ByService[service], func(member membership.Member) bool { return member.Node == node })
 }
 
-// InZone counts the members of the zone.
-func (m Members) InZone(zone string) int {
+// CountInZone counts the members of the zone.
+func (m Members) CountInZone(zone string) int {
 	count := 0
 	for _, member := range m.ByNode {
 		if member.Zone == zone {
@@ -126,11 +126,11 @@
 	ByService map[string]DocumentInForce `json:"by_service"`
 }
 
-// Newest returns the service whose document was accepted last, or false where there is no document.
-func (d Documents) Newest() (string, bool) {
+// LastAccepted returns the service whose document was accepted last, or false where there is no document.
+func (d Documents) LastAccepted() (string, bool) {
 	newest, found := "", false
-	for service, in := range d.ByService {
-		if !found || in.Accepted.After(d.ByService[newest].Accepted) {
+	for service, inForce := range d.ByService {
+		if !found || inForce.AcceptedAt.After(d.ByService[newest].AcceptedAt) {
 			newest, found = service, true
 		}
 	}
@@ -141,12 +141,12 @@
 type DocumentInForce struct {
 	Revision uint64 `json:"revision"`
 	// Operation and Editor name the edit and who made it; Accepted is when it was written to the platform.
-	Operation string             `json:"operation"`
-	Editor    string             `json:"editor"`
-	Accepted  time.Time          `json:"accepted"`
-	Document  *document.Document `json:"document"`
-	// InForce is since when this node goes by the revision.
-	InForce time.Time `json:"in_force"`
+	Operation  string             `json:"operation"`
+	Editor     string             `json:"editor"`
+	AcceptedAt time.Time          `json:"accepted"`
+	Document   *document.Document `json:"document"`
+	// InForceSince is since when this node goes by the revision.
+	InForceSince time.Time `json:"in_force"`
 }
 
 // Leader is the leader of the node's availability zone. Written by the zone controller.
@@ -170,14 +170,14 @@
 	Since     time.Time `json:"since"`
 }
 
-// Reach tells which availability zones the leader of the node's own can't reach. Written by the zone controller.
-type Reach struct {
-	// Unreached holds since when each of these zones gave no answer.
-	Unreached map[string]time.Time `json:"unreached"`
+// ZoneReachability tells which availability zones the leader of the node's own can't reach. Written by the zone controller.
+type ZoneReachability struct {
+	// UnreachableSince holds since when each of these zones gave no answer.
+	UnreachableSince map[string]time.Time `json:"unreached"`
 }
 
-// Homes say which nodes remember keys. Written by the homes controller.
-type Homes struct {
+// KeyOwners say which nodes remember keys. Written by the homes controller.
+type KeyOwners struct {
 	// Shards are the agreed epochs of each availability zone's shard.
 	Shards map[string]outcome.Shard `json:"shards"`
 }
@@ -242,11 +242,11 @@
 }
 
 func (l *Loop) publish() {
-	copied := l.board
-	l.snapshot.Store(&copied)
+	snapshot := l.board
+	l.snapshot.Store(&snapshot)
 	next := make(chan struct{})
-	if before := l.changed.Swap(&next); before != nil {
-		close(*before)
+	if previous := l.changed.Swap(&next); previous != nil {
+		close(*previous)
 	}
 }
 
--- a/internal/control/catalogue/catalogue.go
+++ b/internal/control/catalogue/catalogue.go
@@ -41,12 +41,12 @@
 func WriteEvents(w io.Writer) error {
 	table := terminal.NewTable(w)
 	for _, row := range eventRows() {
-		table.Row(cellsOf(row)...)
+		table.Row(toCells(row)...)
 	}
 	return trace.Wrap(table.Flush())
 }
 
-func cellsOf(row []string) []any {
+func toCells(row []string) []any {
 	cells := make([]any, 0, len(row))
 	for _, cell := range row {
 		cells = append(cells, cell)
@@ -84,7 +84,7 @@
 
 func reasonRows() [][]string {
 	rows := [][]string{{"Reason", "Status", "Final", "Text"}}
-	for _, reason := range reasons() {
+	for _, reason := range sortedReasons() {
 		e := reason.Entry()
 		rows = append(rows, []string{"`" + string(reason) + "`", strconv.Itoa(e.Status), yesNo(e.Final), e.Text})
 	}
@@ -94,16 +94,16 @@
 // decisionRows returns the reasons that the decision packages give for what they decide.
 func decisionRows() [][]string {
 	rows := [][]string{{"Decision", "Reason", "Text"}}
-	rows = append(rows, decisionsOf("limit of requests in flight", admission.LimitReasons)...)
-	rows = append(rows, decisionsOf("refusal at the gate", admission.ShedReasons)...)
-	rows = append(rows, decisionsOf("throttle at the entry", throttle.Reasons)...)
-	rows = append(rows, decisionsOf("instance passed over", routing.Reasons)...)
-	rows = append(rows, decisionsOf("request held", quarantine.Reasons)...)
-	return append(rows, decisionsOf("evidence against a request", quarantine.Sources)...)
+	rows = append(rows, decisionRowsOf("limit of requests in flight", admission.LimitReasons)...)
+	rows = append(rows, decisionRowsOf("refusal at the gate", admission.ShedReasons)...)
+	rows = append(rows, decisionRowsOf("throttle at the entry", throttle.Reasons)...)
+	rows = append(rows, decisionRowsOf("instance passed over", routing.Reasons)...)
+	rows = append(rows, decisionRowsOf("request held", quarantine.Reasons)...)
+	return append(rows, decisionRowsOf("evidence against a request", quarantine.Sources)...)
 }
 
-// decisionsOf returns the rows of one catalogue, by reason.
-func decisionsOf[R ~string](decision string, texts map[R]string) [][]string {
+// decisionRowsOf returns the rows of one catalogue, by reason.
+func decisionRowsOf[R ~string](decision string, texts map[R]string) [][]string {
 	var rows [][]string
 	for _, reason := range slices.Sorted(maps.Keys(texts)) {
 		rows = append(rows, []string{decision, "`" + string(reason) + "`", texts[reason]})
@@ -111,8 +111,8 @@
 	return rows
 }
 
-// reasons returns the reasons that a caller can be told, by status and name.
-func reasons() []call.Reason {
+// sortedReasons returns the reasons that a caller can be told, by status and name.
+func sortedReasons() []call.Reason {
 	var found []call.Reason
 	for reason := range call.Reasons {
 		if reason != call.ReasonNone {
--- a/internal/control/catalogue/catalogue_test.go
+++ b/internal/control/catalogue/catalogue_test.go
@@ -30,9 +30,9 @@
 	for name, page := range catalogue.Pages() {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			stands, err := os.ReadFile(filepath.Join(root, "docs", name))
+			written, err := os.ReadFile(filepath.Join(root, "docs", name))
 			is.NoErr(err)
-			is.Equal(string(stands), page)
+			is.Equal(string(written), page)
 		})
 	}
 }
@@ -69,7 +69,7 @@
 
 // TestEveryEventIsEmitted finds entries of the catalogue that nothing in the program uses.
 func TestEveryEventIsEmitted(t *testing.T) {
-	source := sources(t)
+	source := programSource(t)
 	for name := range declaredNumbers(t) {
 		if !strings.Contains(source, "events."+name) {
 			t.Errorf("%s is in the catalogue and emitted nowhere", name)
@@ -79,7 +79,7 @@
 
 // TestEveryReasonIsTold finds reasons of the catalogue that nothing in the program uses.
 func TestEveryReasonIsTold(t *testing.T) {
-	source := sources(t)
+	source := programSource(t)
 	constants := regexp.MustCompile(`(?m)^\t(Reason\w+) +Reason = `)
 	text, err := os.ReadFile(root + "/internal/traffic/call/reason.go")
 	is.New(t).NoErr(err)
@@ -93,7 +93,7 @@
 // TestDecisionReasonsAreWhole reads the constants of the decision packages: each is on the page, and used.
 func TestDecisionReasonsAreWhole(t *testing.T) {
 	page := catalogue.Pages()[catalogue.ReasonsPage]
-	source := sources(t)
+	source := programSource(t)
 	constants := regexp.MustCompile(`(?m)^\t(\w+) +(?:Limit|Shed)?(?:Reason|Source) += "(\w+)"$`)
 	files, err := filepath.Glob(root + "/internal/decide/*/*.go")
 	is.New(t).NoErr(err)
@@ -116,8 +116,8 @@
 		len(routing.Reasons)+len(quarantine.Reasons)+len(quarantine.Sources))
 }
 
-// sources returns the text of the program without its tests.
-func sources(t *testing.T) string {
+// programSource returns the text of the program without its tests.
+func programSource(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
 	err := filepath.WalkDir(root+"/internal", func(path string, _ fs.DirEntry, err error) error {
--- a/internal/control/document/check.go
+++ b/internal/control/document/check.go
@@ -11,14 +11,14 @@
 // CheckAll returns the faults of all documents, and those between them: a service is described by one document.
 func CheckAll(sources []Source) inifile.Faults {
 	var all inifile.Faults
-	owners := map[string]string{}
+	fileOfService := map[string]string{}
 	for _, s := range sources {
 		d, faults := ParseFile(s.Name, s.Text)
 		all = append(all, faults...)
 		if d == nil {
 			continue
 		}
-		if other, stands := owners[d.Service]; stands {
+		if other, exists := fileOfService[d.Service]; exists {
 			all = append(all, inifile.Fault{
 				File:    s.Name,
 				Line:    inifile.Load(s.Name, s.Text).Line(serviceSection, "name"),
@@ -28,7 +28,7 @@
 			})
 			continue
 		}
-		owners[d.Service] = s.Name
+		fileOfService[d.Service] = s.Name
 	}
 	return all
 }
--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -26,10 +26,10 @@
 	MaxShare = 100
 	// DefaultDeadline holds where a kind names none.
 	DefaultDeadline = 2 * time.Second
-	// DefaultAttempts is how many further attempts a root request may spend in its whole chain.
-	DefaultAttempts = 2
-	// MaxAttempts bounds the attempts of a document.
-	MaxAttempts = 5
+	// DefaultAttemptAllowance is how many further attempts a root request may spend in its whole chain.
+	DefaultAttemptAllowance = 2
+	// MaxAttemptAllowance bounds the attempts of a document.
+	MaxAttemptAllowance = 5
 	// AnyMethod stands for every HTTP method.
 	AnyMethod = "*"
 )
@@ -38,8 +38,8 @@
 type Document struct {
 	Service string `json:"service"`
 	Team    string `json:"team"`
-	// Attempts is how many further attempts a root request of this service may spend in its whole chain.
-	Attempts int `json:"attempts"`
+	// AttemptAllowance is how many further attempts a root request of this service may spend in its whole chain.
+	AttemptAllowance int `json:"attempts"`
 	// Kinds are in the order of the file; the first that matches a request is taken.
 	Kinds []Kind `json:"kinds"`
 }
@@ -72,8 +72,8 @@
 	if k.Method != AnyMethod && k.Method != method {
 		return false
 	}
-	prefix, open := strings.CutSuffix(k.Path, "*")
-	if open {
+	prefix, hasWildcard := strings.CutSuffix(k.Path, "*")
+	if hasWildcard {
 		return strings.HasPrefix(path, prefix)
 	}
 	return path == k.Path
@@ -84,8 +84,8 @@
 	if k.Method != AnyMethod && k.Method != other.Method {
 		return false
 	}
-	prefix, open := strings.CutSuffix(k.Path, "*")
-	if open {
+	prefix, hasWildcard := strings.CutSuffix(k.Path, "*")
+	if hasWildcard {
 		return strings.HasPrefix(strings.TrimSuffix(other.Path, "*"), prefix)
 	}
 	return k.Path == other.Path
--- a/internal/control/document/document_test.go
+++ b/internal/control/document/document_test.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/document"
 )
 
-const sound = `[service]
+const validDocument = `[service]
 name = access
 team = access-team
 [kind windows]
@@ -27,18 +27,18 @@
 		text string
 		want string
 	}{
-		"sound":           {sound, ""},
-		"unknown key":     {sound + "colour = red", "d.ini:9: [kind windows] colour: unknown key"},
-		"unknown section": {sound + "[paint]", "d.ini:9: [paint] unknown section"},
-		"kind twice":      {sound + "[kind windows]", "d.ini:9: [kind windows] stands twice"},
-		"key above all":   {"colour = red\n" + sound, "d.ini:1: colour: unknown key"},
-		"bad rank":        {strings.Replace(sound, "rank = 1", "rank = 10", 1), "d.ini:7: [kind windows] rank: \"10\" is not a whole number from 0 to 9"},
-		"no rank":         {strings.Replace(sound, "rank = 1\n", "", 1), "d.ini:4: [kind windows] rank: \"\" is not a whole number from 0 to 9"},
-		"bad unit":        {sound + "deadline = 2", "d.ini:9: [kind windows] deadline: \"2\" is not a duration from 1ms to 2m0s, such as 800ms"},
-		"bad method":      {strings.Replace(sound, "GET", "get", 1), "d.ini:5: [kind windows] method: \"get\" is not an HTTP method in upper case or *"},
-		"bad path":        {strings.Replace(sound, "/windows/*", "/*/windows", 1), "d.ini:6: [kind windows] path: \"/*/windows\" does not begin with / or has * before its end"},
+		"sound":           {validDocument, ""},
+		"unknown key":     {validDocument + "colour = red", "d.ini:9: [kind windows] colour: unknown key"},
+		"unknown section": {validDocument + "[paint]", "d.ini:9: [paint] unknown section"},
+		"kind twice":      {validDocument + "[kind windows]", "d.ini:9: [kind windows] stands twice"},
+		"key above all":   {"colour = red\n" + validDocument, "d.ini:1: colour: unknown key"},
+		"bad rank":        {strings.Replace(validDocument, "rank = 1", "rank = 10", 1), "d.ini:7: [kind windows] rank: \"10\" is not a whole number from 0 to 9"},
+		"no rank":         {strings.Replace(validDocument, "rank = 1\n", "", 1), "d.ini:4: [kind windows] rank: \"\" is not a whole number from 0 to 9"},
+		"bad unit":        {validDocument + "deadline = 2", "d.ini:9: [kind windows] deadline: \"2\" is not a duration from 1ms to 2m0s, such as 800ms"},
+		"bad method":      {strings.Replace(validDocument, "GET", "get", 1), "d.ini:5: [kind windows] method: \"get\" is not an HTTP method in upper case or *"},
+		"bad path":        {strings.Replace(validDocument, "/windows/*", "/*/windows", 1), "d.ini:6: [kind windows] path: \"/*/windows\" does not begin with / or has * before its end"},
 		"hidden kind": {
-			sound + "[kind late]\npath = /windows/late\nmethod = GET\nrank = 2\nidempotent = true",
+			validDocument + "[kind late]\npath = /windows/late\nmethod = GET\nrank = 2\nidempotent = true",
 			"d.ini:10: [kind late] path: never matches: kind windows above takes all of its requests",
 		},
 		"all at once": {
@@ -59,7 +59,7 @@
 
 func TestMatchTakesTheFirstKind(t *testing.T) {
 	is := is.New(t)
-	d, err := document.Parse([]byte(sound + "deadline = 300ms\n[kind rest]\npath = /*\nrank = 7\nidempotent = false\n"))
+	d, err := document.Parse([]byte(validDocument + "deadline = 300ms\n[kind rest]\npath = /*\nrank = 7\nidempotent = false\n"))
 	is.NoErr(err)
 	for request, want := range map[string]string{
 		"GET /windows/1":  "windows",
@@ -72,7 +72,7 @@
 		is.Equal(kind.Name, want)
 	}
 	is.Equal(d.Kinds[0].Deadline, 300*time.Millisecond)
-	is.Equal(d.Attempts, document.DefaultAttempts)
+	is.Equal(d.AttemptAllowance, document.DefaultAttemptAllowance)
 }
 
 // The brief names the work that may run only once and the work that is shed last.
@@ -105,7 +105,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(sound)
+	f.Add(validDocument)
 	f.Add("[kind ]\n[kind a.b]\npath=/%(name)s\nrank=-0\n- = 1\n[service]\nname: x")
 	f.Fuzz(func(t *testing.T, text string) {
 		d, faults := document.ParseFile("d.ini", []byte(text))
--- a/internal/control/document/parse.go
+++ b/internal/control/document/parse.go
@@ -13,8 +13,8 @@
 
 // The sections of a document.
 const (
-	serviceSection = "service"
-	kindPrefix     = "kind "
+	serviceSection    = "service"
+	kindSectionPrefix = "kind "
 )
 
 // Parse reads a document. The error, where there is one, is a trace.BadParameter that names all faults.
@@ -50,35 +50,35 @@
 }
 
 func (r *reader) document() *Document {
-	d := &Document{Attempts: DefaultAttempts}
+	d := &Document{AttemptAllowance: DefaultAttemptAllowance}
 	for _, s := range r.file.Sections() {
 		switch {
 		case s.Name() == ini.DefaultSection:
-			r.file.KnownKeys(s)
+			r.file.CheckKeys(s)
 		case s.Name() == serviceSection:
 			r.service(s, d)
-		case strings.HasPrefix(s.Name(), kindPrefix):
+		case strings.HasPrefix(s.Name(), kindSectionPrefix):
 			d.Kinds = append(d.Kinds, r.kind(s))
 		default:
-			r.file.Fault(s.Name(), "", "unknown section")
+			r.file.AddFault(s.Name(), "", "unknown section")
 		}
 	}
 	if d.Service == "" {
-		r.file.Fault(serviceSection, "name", "missing")
+		r.file.AddFault(serviceSection, "name", "missing")
 	}
 	if len(d.Kinds) == 0 {
-		r.file.Fault(serviceSection, "", "the document has no kinds")
+		r.file.AddFault(serviceSection, "", "the document has no kinds")
 	}
-	r.hidden(d.Kinds)
+	r.reportHiddenKinds(d.Kinds)
 	return d
 }
 
-// hidden notes the kinds that no request reaches, because one above takes all of theirs.
-func (r *reader) hidden(kinds []Kind) {
+// reportHiddenKinds notes the kinds that no request reaches, because one above takes all of theirs.
+func (r *reader) reportHiddenKinds(kinds []Kind) {
 	for i, k := range kinds {
 		for _, above := range kinds[:i] {
 			if above.covers(k) {
-				r.file.Fault(kindPrefix+k.Name, "path", "never matches: kind %s above takes all of its requests", above.Name)
+				r.file.AddFault(kindSectionPrefix+k.Name, "path", "never matches: kind %s above takes all of its requests", above.Name)
 				break
 			}
 		}
@@ -86,28 +86,28 @@
 }
 
 func (r *reader) service(s *ini.Section, d *Document) {
-	r.file.KnownKeys(s, "name", "team", "attempts")
-	d.Service = value(s, "name")
-	if d.Service != "" && !validName(d.Service) {
-		r.file.Fault(s.Name(), "name", "%q is not lower-case letters, digits, - and _", d.Service)
+	r.file.CheckKeys(s, "name", "team", "attempts")
+	d.Service = keyValue(s, "name")
+	if d.Service != "" && !isValidName(d.Service) {
+		r.file.AddFault(s.Name(), "name", "%q is not lower-case letters, digits, - and _", d.Service)
 	}
-	d.Team = value(s, "team")
+	d.Team = keyValue(s, "team")
 	if d.Team == "" {
-		r.file.Fault(s.Name(), "team", "missing")
+		r.file.AddFault(s.Name(), "team", "missing")
 	}
-	d.Attempts = r.integer(s, "attempts", DefaultAttempts, 0, MaxAttempts)
+	d.AttemptAllowance = r.integer(s, "attempts", DefaultAttemptAllowance, 0, MaxAttemptAllowance)
 }
 
 func (r *reader) kind(s *ini.Section) Kind {
-	r.file.KnownKeys(s, "method", "path", "rank", "idempotent", "deadline", "share")
-	k := Kind{Name: strings.TrimSpace(strings.TrimPrefix(s.Name(), kindPrefix))}
-	if !validName(k.Name) {
-		r.file.Fault(s.Name(), "", "%q is not lower-case letters, digits, - and _", k.Name)
+	r.file.CheckKeys(s, "method", "path", "rank", "idempotent", "deadline", "share")
+	k := Kind{Name: strings.TrimSpace(strings.TrimPrefix(s.Name(), kindSectionPrefix))}
+	if !isValidName(k.Name) {
+		r.file.AddFault(s.Name(), "", "%q is not lower-case letters, digits, - and _", k.Name)
 	}
 	k.Method = r.method(s)
-	k.Path = value(s, "path")
+	k.Path = keyValue(s, "path")
 	if !strings.HasPrefix(k.Path, "/") || strings.Contains(strings.TrimSuffix(k.Path, "*"), "*") {
-		r.file.Fault(s.Name(), "path", "%q does not begin with / or has * before its end", k.Path)
+		r.file.AddFault(s.Name(), "path", "%q does not begin with / or has * before its end", k.Path)
 	}
 	k.Rank = r.integer(s, "rank", -1, MostUrgentRank, LeastUrgentRank)
 	k.Share = r.integer(s, "share", 1, 1, MaxShare)
@@ -117,60 +117,60 @@
 }
 
 func (r *reader) method(s *ini.Section) string {
-	method := value(s, "method")
+	method := keyValue(s, "method")
 	if method == "" {
 		return AnyMethod
 	}
 	for _, c := range strings.TrimPrefix(method, AnyMethod) {
 		if c < 'A' || c > 'Z' {
-			r.file.Fault(s.Name(), "method", "%q is not an HTTP method in upper case or *", method)
+			r.file.AddFault(s.Name(), "method", "%q is not an HTTP method in upper case or *", method)
 			break
 		}
 	}
 	return method
 }
 
-func (r *reader) integer(s *ini.Section, key string, absent, low, high int) int {
-	text := value(s, key)
-	if text == "" && absent >= low {
-		return absent
+func (r *reader) integer(s *ini.Section, key string, defaultValue, low, high int) int {
+	text := keyValue(s, key)
+	if text == "" && defaultValue >= low {
+		return defaultValue
 	}
 	number, err := strconv.Atoi(text)
 	if err != nil || number < low || number > high {
-		r.file.Fault(s.Name(), key, "%q is not a whole number from %d to %d", text, low, high)
+		r.file.AddFault(s.Name(), key, "%q is not a whole number from %d to %d", text, low, high)
 	}
 	return number
 }
 
 func (r *reader) boolean(s *ini.Section, key string) bool {
-	text := value(s, key)
+	text := keyValue(s, key)
 	if text != "true" && text != "false" {
-		r.file.Fault(s.Name(), key, "%q is not true or false", text)
+		r.file.AddFault(s.Name(), key, "%q is not true or false", text)
 	}
 	return text == "true"
 }
 
-func (r *reader) duration(s *ini.Section, key string, absent, low, high time.Duration) time.Duration {
-	text := value(s, key)
+func (r *reader) duration(s *ini.Section, key string, defaultValue, low, high time.Duration) time.Duration {
+	text := keyValue(s, key)
 	if text == "" {
-		return absent
+		return defaultValue
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < low || d > high {
-		r.file.Fault(s.Name(), key, "%q is not a duration from %s to %s, such as 800ms", text, low, high)
+		r.file.AddFault(s.Name(), key, "%q is not a duration from %s to %s, such as 800ms", text, low, high)
 	}
 	return d
 }
 
-// value returns the key's own text, or "" where the key is absent.
-func value(s *ini.Section, key string) string {
+// keyValue returns the key's own text, or "" where the key is absent.
+func keyValue(s *ini.Section, key string) string {
 	if !s.HasKey(key) {
 		return ""
 	}
 	return s.Key(key).Value()
 }
 
-func validName(name string) bool {
+func isValidName(name string) bool {
 	for _, c := range name {
 		if (c < 'a' || c > 'z') && (c < '0' || c > '9') && c != '-' && c != '_' {
 			return false
--- a/internal/control/events/catalogue.go
+++ b/internal/control/events/catalogue.go
@@ -49,7 +49,7 @@
 	DocumentInForce    Number = 1403
 	DocumentReinstated Number = 1404
 	KeysHandedOver     Number = 1501
-	HomesChanged       Number = 1502
+	KeyOwnersChanged   Number = 1502
 	KeysLost           Number = 1503
 	EntryUnread        Number = 1601
 	EntryUnwritten     Number = 1602
@@ -60,7 +60,7 @@
 	RequestFailed      Number = 1702
 	RequestRetried     Number = 1703
 	RequestNotAdmitted Number = 1704
-	RequestWaitsAgain  Number = 1705
+	RequestRequeued    Number = 1705
 )
 
 // Entry is the catalogue entry of one event.
@@ -118,8 +118,8 @@
 	RequestFailed:      {Name: "request_failed", Level: zerolog.InfoLevel, Since: "0.3", Text: "A request that may have run got no whole answer."},
 	RequestRetried:     {Name: "request_retried", Level: zerolog.InfoLevel, Since: "0.3", Text: "A request is sent to another instance."},
 	RequestNotAdmitted: {Name: "request_not_admitted", Level: zerolog.InfoLevel, Since: "0.3", Text: "The node beside a backend server refused a request; the fields hold what decided it."},
-	RequestWaitsAgain:  {Name: "request_waits_again", Level: zerolog.InfoLevel, Since: "0.3", Text: "The backend server shed a request, which gets another turn at this node's gate."},
-	HomesChanged:       {Name: "homes_changed", Level: zerolog.InfoLevel, Since: "0.1", Text: "Another set of nodes remembers the keys from a given time on."},
+	RequestRequeued:    {Name: "request_waits_again", Level: zerolog.InfoLevel, Since: "0.3", Text: "The backend server shed a request, which gets another turn at this node's gate."},
+	KeyOwnersChanged:   {Name: "homes_changed", Level: zerolog.InfoLevel, Since: "0.1", Text: "Another set of nodes remembers the keys from a given time on."},
 }
 
 // Numbers returns the events in order.
--- a/internal/control/events/log.go
+++ b/internal/control/events/log.go
@@ -41,61 +41,61 @@
 
 // Limiter writes a bounded number of events of each number, for events that strangers or load can cause at any rate.
 type Limiter struct {
-	log   *Log
-	every time.Duration
-	burst float64
+	log      *Log
+	interval time.Duration
+	burst    float64
 
-	mu   sync.Mutex
-	last map[Number]*limited
+	mu         sync.Mutex
+	allowances map[Number]*allowance
 }
 
-// limited is what is left of one number's allowance.
-type limited struct {
-	at      time.Time
-	tokens  float64
-	leftOut int
+// allowance is what is left of one number's allowance.
+type allowance struct {
+	refilledAt time.Time
+	tokens     float64
+	suppressed int
 }
 
 // NewLimiter returns a limiter that writes one event of each number in the given time.
-func NewLimiter(log *Log, every time.Duration) *Limiter {
-	return NewBurstLimiter(log, every, 1)
+func NewLimiter(log *Log, interval time.Duration) *Limiter {
+	return NewBurstLimiter(log, interval, 1)
 }
 
 // NewBurstLimiter returns a limiter that writes one event of each number in the given time, and so many at once after a
 // time without any.
-func NewBurstLimiter(log *Log, every time.Duration, burst int) *Limiter {
-	return &Limiter{log: log, every: every, burst: float64(burst), last: map[Number]*limited{}}
+func NewBurstLimiter(log *Log, interval time.Duration, burst int) *Limiter {
+	return &Limiter{log: log, interval: interval, burst: float64(burst), allowances: map[Number]*allowance{}}
 }
 
 // Emit writes the event, or leaves it out and counts it. The next one that is written carries the count.
 func (l *Limiter) Emit(now time.Time, n Number, fields Fields) {
-	leftOut, ok := l.take(now, n)
+	suppressed, ok := l.allow(now, n)
 	if !ok {
 		return
 	}
-	marked := Fields{"left_out": leftOut}
+	withCount := Fields{"left_out": suppressed}
 	for name, value := range fields {
-		marked[name] = value
+		withCount[name] = value
 	}
-	l.log.Emit(n, marked)
+	l.log.Emit(n, withCount)
 }
 
-func (l *Limiter) take(now time.Time, n Number) (leftOut int, ok bool) {
+func (l *Limiter) allow(now time.Time, n Number) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s, seen := l.last[n]
+	a, seen := l.allowances[n]
 	if !seen {
-		s = &limited{at: now, tokens: l.burst}
-		l.last[n] = s
+		a = &allowance{refilledAt: now, tokens: l.burst}
+		l.allowances[n] = a
 	}
-	s.tokens = min(s.tokens+float64(now.Sub(s.at))/float64(l.every), l.burst)
-	s.at = now
-	if s.tokens < 1 {
-		s.leftOut++
+	a.tokens = min(a.tokens+float64(now.Sub(a.refilledAt))/float64(l.interval), l.burst)
+	a.refilledAt = now
+	if a.tokens < 1 {
+		a.suppressed++
 		return 0, false
 	}
-	s.tokens--
-	leftOut = s.leftOut
-	s.leftOut = 0
-	return leftOut, true
+	a.tokens--
+	suppressed = a.suppressed
+	a.suppressed = 0
+	return suppressed, true
 }
--- a/internal/control/homes/controller_test.go
+++ b/internal/control/homes/controller_test.go
@@ -34,10 +34,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := &board.Board{
-				Self:  board.Self{Zone: "lisbon_1"},
-				Homes: board.Homes{Shards: map[string]outcome.Shard{tc.shard: tc.held}},
+				Self:      board.Self{Zone: "lisbon_1"},
+				KeyOwners: board.KeyOwners{Shards: map[string]outcome.Shard{tc.shard: tc.held}},
 			}
-			is.New(t).Equal(c.isKept(tc.now, b, tc.shard), tc.want)
+			is.New(t).Equal(c.maintainsShard(tc.now, b, tc.shard), tc.want)
 		})
 	}
 }
--- a/internal/control/inifile/inifile.go
+++ b/internal/control/inifile/inifile.go
@@ -78,13 +78,13 @@
 func Load(name string, source []byte) *File {
 	lines, readable := indexLines(source)
 	f := &File{name: name, lines: lines}
-	for _, p := range lines.refused {
-		f.add(p)
+	for _, p := range lines.rejected {
+		f.addFault(p)
 	}
 	options := ini.LoadOptions{IgnoreInlineComment: true, IgnoreContinuation: true, KeyValueDelimiters: delimiter}
 	parsed, err := ini.LoadSources(options, readable)
 	if err != nil {
-		f.add(place{reason: err.Error()})
+		f.addFault(lineInfo{reason: err.Error()})
 		parsed = ini.Empty()
 	}
 	f.ini = parsed
@@ -101,20 +101,20 @@
 	return f.ini.Sections()
 }
 
-// Fault notes a fault of a key; of a whole section where the key is empty.
-func (f *File) Fault(section, key, format string, arguments ...any) {
+// AddFault notes a fault of a key; of a whole section where the key is empty.
+func (f *File) AddFault(section, key, format string, arguments ...any) {
 	if section == ini.DefaultSection {
 		section = ""
 	}
 	reason := fmt.Sprintf(format, arguments...)
-	f.add(place{section: section, key: key, line: f.lines.find(section, key), reason: reason})
+	f.addFault(lineInfo{section: section, key: key, line: f.lines.find(section, key), reason: reason})
 }
 
-// KnownKeys notes a fault for each key of the section that is not in the list.
-func (f *File) KnownKeys(s *ini.Section, known ...string) {
+// CheckKeys notes a fault for each key of the section that is not in the list.
+func (f *File) CheckKeys(s *ini.Section, known ...string) {
 	for _, k := range s.Keys() {
 		if !slices.Contains(known, k.Name()) {
-			f.Fault(s.Name(), k.Name(), "unknown key")
+			f.AddFault(s.Name(), k.Name(), "unknown key")
 		}
 	}
 }
@@ -130,6 +130,6 @@
 	return f.faults
 }
 
-func (f *File) add(p place) {
+func (f *File) addFault(p lineInfo) {
 	f.faults = append(f.faults, Fault{File: f.name, Line: p.line, Section: p.section, Key: p.key, Reason: p.reason})
 }
--- a/internal/control/inifile/lines.go
+++ b/internal/control/inifile/lines.go
@@ -12,8 +12,8 @@
 	byteOrderMark = "\ufeff"
 )
 
-// place is where a section or key stands, and what is wrong there.
-type place struct {
+// lineInfo is where a section or key stands, and what is wrong there.
+type lineInfo struct {
 	section string
 	key     string
 	line    int
@@ -22,13 +22,13 @@
 
 // lineIndex finds the line of a section or key, which the INI library does not keep.
 type lineIndex struct {
-	places  map[[2]string]int
-	refused []place
+	lineOf   map[[2]string]int
+	rejected []lineInfo
 }
 
 // indexLines returns the index and the text without the lines that are refused.
 func indexLines(source []byte) (lineIndex, []byte) {
-	x := lineIndex{places: map[[2]string]int{}}
+	x := lineIndex{lineOf: map[[2]string]int{}}
 	section := ""
 	var readable bytes.Buffer
 	for i, line := range strings.Split(strings.TrimPrefix(string(source), byteOrderMark), "\n") {
@@ -47,20 +47,20 @@
 }
 
 // parseLine returns the section that the line begins, or the key that it sets in the section it stands in.
-func parseLine(line, section string) place {
+func parseLine(line, section string) lineInfo {
 	switch {
 	case line == "" || line[0] == '#' || line[0] == ';':
-		return place{}
+		return lineInfo{}
 	case line[0] == '[':
-		return parseHeading(line)
+		return parseSection(line)
 	}
 	name, value, found := strings.Cut(line, delimiter)
 	name, value = strings.TrimSpace(name), strings.TrimSpace(value)
-	p := place{section: section, key: name}
+	p := lineInfo{section: section, key: name}
 	switch {
 	case !found || name == "":
 		p.reason = "not a [section], a key = value or a comment"
-	case !plainName(name):
+	case !isPlainName(name):
 		p.reason = "a key is made of letters, digits, -, _ and ."
 	case value != "" && strings.ContainsRune("\"'`", rune(value[0])):
 		p.reason = "values are not quoted"
@@ -68,11 +68,11 @@
 	return p
 }
 
-func parseHeading(line string) place {
+func parseSection(line string) lineInfo {
 	name := strings.TrimSpace(strings.Trim(line, "[]"))
-	p := place{section: name}
+	p := lineInfo{section: name}
 	switch {
-	case line != "["+name+"]" || name == "" || !plainName(strings.ReplaceAll(name, " ", "")):
+	case line != "["+name+"]" || name == "" || !isPlainName(strings.ReplaceAll(name, " ", "")):
 		p.reason = "a section is [name] on a line of its own"
 	case name == ini.DefaultSection:
 		p.reason = "unknown section"
@@ -80,8 +80,8 @@
 	return p
 }
 
-// plainName keeps out what the INI library reads as quotes, counters or nesting.
-func plainName(name string) bool {
+// isPlainName keeps out what the INI library reads as quotes, counters or nesting.
+func isPlainName(name string) bool {
 	for _, c := range name {
 		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 		digit := c >= '0' && c <= '9'
@@ -93,25 +93,25 @@
 }
 
 // add notes a place and reports whether its line may be read.
-func (x *lineIndex) add(p place) bool {
+func (x *lineIndex) add(p lineInfo) bool {
 	if p.reason == "" && (p.section != "" || p.key != "") {
 		id := [2]string{p.section, p.key}
-		if _, stands := x.places[id]; stands {
+		if _, exists := x.lineOf[id]; exists {
 			p.reason = "stands twice"
 		} else {
-			x.places[id] = p.line
+			x.lineOf[id] = p.line
 		}
 	}
 	if p.reason != "" {
-		x.refused = append(x.refused, p)
+		x.rejected = append(x.rejected, p)
 	}
 	// A repeated heading is kept, or its keys would be read into the section before it.
 	return p.reason == "" || p.key == "" && p.reason == "stands twice"
 }
 
 func (x *lineIndex) find(section, key string) int {
-	if line, ok := x.places[[2]string{section, key}]; ok {
+	if line, ok := x.lineOf[[2]string{section, key}]; ok {
 		return line
 	}
-	return x.places[[2]string{section, ""}]
+	return x.lineOf[[2]string{section, ""}]
 }
--- a/internal/control/members/members.go
+++ b/internal/control/members/members.go
@@ -31,22 +31,22 @@
 const Prefix = "members/"
 
 const (
-	// leaseTime is how long an entry outlives its node.
-	leaseTime = 4 * time.Second
-	// renewEvery is the time between renewals.
-	renewEvery = 1300 * time.Millisecond
-	// lookEvery is the longest time between looks at whether the own entry still says what is so.
-	lookEvery = 300 * time.Millisecond
+	// leaseDuration is how long an entry outlives its node.
+	leaseDuration = 4 * time.Second
+	// renewInterval is the time between renewals.
+	renewInterval = 1300 * time.Millisecond
+	// checkInterval is the longest time between looks at whether the own entry still says what is so.
+	checkInterval = 300 * time.Millisecond
 	// writeTimeout bounds one call for the own entry.
 	writeTimeout = 700 * time.Millisecond
-	// writeRetry is the pause after a call that failed; each further one in a row doubles it, up to maxWriteRetry. An entry
+	// minWriteBackoff is the pause after a call that failed; each further one in a row doubles it, up to maxWriteRetry. An entry
 	// that lapsed in an outage of the store is back within two seconds of its end.
-	writeRetry    = 150 * time.Millisecond
-	maxWriteRetry = 600 * time.Millisecond
-	// watchWait is how long one watch waits.
-	watchWait = 30 * time.Second
-	// refreshEvery is the time between looks for members that were kept long enough.
-	refreshEvery = time.Second
+	minWriteBackoff = 150 * time.Millisecond
+	maxWriteBackoff = 600 * time.Millisecond
+	// watchTimeout is how long one watch waits.
+	watchTimeout = 30 * time.Second
+	// refreshInterval is the time between looks for members that were kept long enough.
+	refreshInterval = time.Second
 )
 
 // Config sets a Controller up.
@@ -61,8 +61,8 @@
 	config Config
 	roster *roster.Roster
 	entry  ownEntry
-	// goneAt is the revision at which the store was last seen without the own entry.
-	goneAt atomic.Uint64
+	// missingAtRevision is the revision at which the store was last seen without the own entry.
+	missingAtRevision atomic.Uint64
 }
 
 // NewController returns a controller that knows nobody.
@@ -74,109 +74,111 @@
 func (c *Controller) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	defer group.Wait()
-	group.Go(func() { c.announce(ctx) })
+	group.Go(func() { c.maintainEntry(ctx) })
 	c.follow(ctx)
 }
 
-// change is what the follower saw, in the order it came.
-type change struct {
-	whole    bool
-	revision uint64
-	listed   []roster.Entry
-	changes  []roster.Change
+// rosterUpdate is what the follower saw, in the order it came.
+type rosterUpdate struct {
+	isSnapshot bool
+	revision   uint64
+	entries    []roster.Entry
+	changes    []roster.Change
 }
 
 // follow keeps the board's members up to date. The roster belongs to this goroutine.
 func (c *Controller) follow(ctx context.Context) {
-	seen := make(chan change)
-	send := func(ctx context.Context, ch change) {
+	updates := make(chan rosterUpdate)
+	send := func(ctx context.Context, update rosterUpdate) {
 		select {
-		case seen <- ch:
+		case updates <- update:
 		case <-ctx.Done():
 		}
 	}
 	follower := store.NewFollower(store.FollowerConfig{
-		Store:  c.config.Store,
-		Prefix: Prefix,
-		Wait:   watchWait,
-		Settle: func() time.Duration { return roster.CoalesceDelay(len(c.config.Board.Snapshot().Members.ByNode)) },
-		Listed: func(ctx context.Context, s store.Snapshot) {
-			send(ctx, change{whole: true, listed: c.entries(s.Items)})
+		Store:         c.config.Store,
+		Prefix:        Prefix,
+		WatchTimeout:  watchTimeout,
+		CoalesceDelay: func() time.Duration { return roster.CoalesceDelay(len(c.config.Board.Snapshot().Members.ByNode)) },
+		OnList: func(ctx context.Context, s store.Snapshot) {
+			send(ctx, rosterUpdate{isSnapshot: true, entries: c.parseEntries(s.Items)})
 		},
-		Changed: func(ctx context.Context, ch store.Changes) { send(ctx, change{changes: c.changes(ch.Events)}) },
-		Lost:    func(err error) { c.platform(ctx, false, err) },
-		Back:    func() { c.platform(ctx, true, nil) },
+		OnChange: func(ctx context.Context, update store.Changes) {
+			send(ctx, rosterUpdate{changes: c.parseChanges(update.Events)})
+		},
+		OnLost:      func(err error) { c.setPlatformReachable(ctx, false, err) },
+		OnRecovered: func() { c.setPlatformReachable(ctx, true, nil) },
 	})
 	var group conc.WaitGroup
 	defer group.Wait()
 	group.Go(func() { follower.Run(ctx) })
-	ticker := time.NewTicker(refreshEvery)
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case ch := <-seen:
-			c.take(ch)
+		case update := <-updates:
+			c.applyUpdate(update)
 		}
 		c.publish(ctx)
 	}
 }
 
-func (c *Controller) take(ch change) {
+func (c *Controller) applyUpdate(update rosterUpdate) {
 	now := time.Now()
 	own := Prefix + c.config.Board.Snapshot().Self.Node
-	if ch.whole {
-		c.roster.Replace(now, ch.listed)
-		if !slices.ContainsFunc(ch.listed, func(e roster.Entry) bool { return e.Key == own }) {
-			c.goneAt.Store(ch.revision)
+	if update.isSnapshot {
+		c.roster.Replace(now, update.entries)
+		if !slices.ContainsFunc(update.entries, func(e roster.Entry) bool { return e.Key == own }) {
+			c.missingAtRevision.Store(update.revision)
 		}
 	}
-	for _, one := range ch.changes {
-		c.roster.Apply(now, one)
-		if one.Deleted && one.Key == own {
-			c.goneAt.Store(one.Revision)
+	for _, change := range update.changes {
+		c.roster.Apply(now, change)
+		if change.Deleted && change.Key == own {
+			c.missingAtRevision.Store(change.Revision)
 		}
 	}
 }
 
-// entries reads items. One that can't be read names nobody.
-func (c *Controller) entries(items []store.Item) []roster.Entry {
+// parseEntries reads items. One that can't be read names nobody.
+func (c *Controller) parseEntries(items []store.Item) []roster.Entry {
 	var entries []roster.Entry
 	for _, item := range items {
-		if e, ok := c.entryOf(item); ok {
+		if e, ok := c.parseEntry(item); ok {
 			entries = append(entries, e)
 		}
 	}
 	return entries
 }
 
-func (c *Controller) entryOf(item store.Item) (roster.Entry, bool) {
+func (c *Controller) parseEntry(item store.Item) (roster.Entry, bool) {
 	e := roster.Entry{Key: item.Key, Revision: item.Revision}
 	err := json.Unmarshal(item.Value, &e.Member)
 	if err != nil || e.Member.Node == "" || e.Member.PeerAddress == "" {
-		c.config.Log.Emit(time.Now(), events.EntryUnread, events.Fields{"key": item.Key, "revision": item.Revision, "error": errorText(err)})
+		c.config.Log.Emit(time.Now(), events.EntryUnread, events.Fields{"key": item.Key, "revision": item.Revision, "error": entryErrorText(err)})
 		return e, false
 	}
 	return e, true
 }
 
-func errorText(err error) string {
+func entryErrorText(err error) string {
 	if err == nil {
 		return "node or peer_address is missing"
 	}
 	return err.Error()
 }
 
-func (c *Controller) changes(changed []store.Event) []roster.Change {
+func (c *Controller) parseChanges(changed []store.Event) []roster.Change {
 	var changes []roster.Change
 	for _, event := range changed {
 		if event.Deleted {
 			changes = append(changes, roster.Change{Entry: roster.Entry{Key: event.Key, Revision: event.Revision}, Deleted: true})
 			continue
 		}
-		if e, ok := c.entryOf(event.Item); ok {
+		if e, ok := c.parseEntry(event.Item); ok {
 			changes = append(changes, roster.Change{Entry: e})
 		}
 	}
@@ -185,16 +187,16 @@
 
 // publish writes the members to the board where they have changed.
 func (c *Controller) publish(ctx context.Context) {
-	next := membersOf(c.roster.Members(time.Now()))
+	next := groupMembers(c.roster.Members(time.Now()))
 	before := c.config.Board.Snapshot().Members
-	if sameMembers(before, next) {
+	if equalMembers(before, next) {
 		return
 	}
-	c.note(before, next)
+	c.logChanges(before, next)
 	c.config.Board.Do(ctx, func(b *board.Board) { b.Members = next })
 }
 
-func (c *Controller) note(before, next board.Members) {
+func (c *Controller) logChanges(before, next board.Members) {
 	for name, m := range next.ByNode {
 		if before.ByNode[name] != m {
 			c.config.Log.Emit(time.Now(), events.MemberUp, events.Fields{
@@ -209,7 +211,7 @@
 	}
 }
 
-func membersOf(list []membership.Member) board.Members {
+func groupMembers(list []membership.Member) board.Members {
 	members := board.Members{ByNode: map[string]membership.Member{}, ByService: map[string][]membership.Member{}}
 	for _, m := range list {
 		members.ByNode[m.Node] = m
@@ -220,7 +222,7 @@
 	return members
 }
 
-func sameMembers(a, b board.Members) bool {
+func equalMembers(a, b board.Members) bool {
 	if len(a.ByNode) != len(b.ByNode) {
 		return false
 	}
@@ -232,7 +234,7 @@
 	return true
 }
 
-func (c *Controller) platform(ctx context.Context, reachable bool, err error) {
+func (c *Controller) setPlatformReachable(ctx context.Context, reachable bool, err error) {
 	c.config.Board.Do(ctx, func(b *board.Board) { b.Platform = board.Platform{Reachable: reachable, Since: time.Now()} })
 	if reachable {
 		c.config.Log.Emit(time.Now(), events.PlatformBack, nil)
@@ -246,33 +248,33 @@
 	lease     uint64
 	renewedAt time.Time
 	revision  uint64
-	// held says that the store is known to hold written under the revision.
-	held    bool
-	written membership.Member
+	// isStored says that the store is known to hold written under the revision.
+	isStored     bool
+	storedMember membership.Member
 }
 
-// announce keeps the own entry in the store.
-func (c *Controller) announce(ctx context.Context) {
-	backoff := pause.Backoff{First: writeRetry, Longest: maxWriteRetry}
+// maintainEntry keeps the own entry in the store.
+func (c *Controller) maintainEntry(ctx context.Context) {
+	backoff := pause.Backoff{Initial: minWriteBackoff, Max: maxWriteBackoff}
 	for ctx.Err() == nil {
 		changed := c.config.Board.Changed()
-		done, err := c.tend(ctx)
+		done, err := c.updateEntry(ctx)
 		switch {
 		case err != nil && ctx.Err() == nil:
 			c.config.Log.Emit(time.Now(), events.EntryUnwritten, events.Fields{"error": err.Error()})
 			backoff.Wait(ctx)
 		case done:
 			backoff.Reset()
-			waitFor(ctx, changed, lookEvery)
+			waitForChange(ctx, changed, checkInterval)
 		default:
 			backoff.Reset()
 		}
 	}
 }
 
-// waitFor returns when the channel is closed, at the latest after the time.
-func waitFor(ctx context.Context, changed <-chan struct{}, most time.Duration) {
-	timer := time.NewTimer(most)
+// waitForChange returns when the channel is closed, at the latest after the time.
+func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -281,52 +283,52 @@
 	}
 }
 
-// tend makes one call that is due, and reports true where none is.
-func (c *Controller) tend(ctx context.Context) (done bool, err error) {
-	own, known := Own(c.config.Board.Snapshot())
+// updateEntry makes one call that is due, and reports true where none is.
+func (c *Controller) updateEntry(ctx context.Context) (done bool, err error) {
+	own, known := OwnMember(c.config.Board.Snapshot())
 	if !known {
 		return true, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	e := &c.entry
-	if e.lease != 0 && time.Since(e.renewedAt) >= renewEvery {
-		return false, c.renew(ctx)
+	if e.lease != 0 && time.Since(e.renewedAt) >= renewInterval {
+		return false, c.renewLease(ctx)
 	}
-	if e.held && e.written == own && e.revision >= c.goneAt.Load() {
+	if e.isStored && e.storedMember == own && e.revision >= c.missingAtRevision.Load() {
 		return true, nil
 	}
 	if e.lease == 0 {
-		return false, c.grant(ctx)
+		return false, c.grantLease(ctx)
 	}
-	return false, c.write(ctx, own)
+	return false, c.writeEntry(ctx, own)
 }
 
-func (c *Controller) grant(ctx context.Context) error {
-	asked := time.Now()
-	lease, err := c.config.Store.Grant(ctx, leaseTime)
+func (c *Controller) grantLease(ctx context.Context) error {
+	start := time.Now()
+	lease, err := c.config.Store.Grant(ctx, leaseDuration)
 	if err != nil {
 		return err
 	}
-	c.entry.lease, c.entry.renewedAt, c.entry.held = lease, asked, false
+	c.entry.lease, c.entry.renewedAt, c.entry.isStored = lease, start, false
 	return nil
 }
 
-// renew keeps the lease. A lease that ended took the entry along.
-func (c *Controller) renew(ctx context.Context) error {
-	asked := time.Now()
+// renewLease keeps the lease. A lease that ended took the entry along.
+func (c *Controller) renewLease(ctx context.Context) error {
+	start := time.Now()
 	err := c.config.Store.Renew(ctx, c.entry.lease)
 	if errors.Is(err, store.ErrNoLease) {
 		c.entry = ownEntry{}
 		return nil
 	}
 	if err == nil {
-		c.entry.renewedAt = asked
+		c.entry.renewedAt = start
 	}
 	return err
 }
 
-func (c *Controller) write(ctx context.Context, own membership.Member) error {
+func (c *Controller) writeEntry(ctx context.Context, own membership.Member) error {
 	value, err := json.Marshal(own)
 	if err != nil {
 		return err
@@ -336,20 +338,20 @@
 	})
 	switch {
 	case errors.Is(err, store.ErrConflict):
-		return c.reread(ctx, own.Node)
+		return c.readRevision(ctx, own.Node)
 	case errors.Is(err, store.ErrNoLease):
 		c.entry = ownEntry{}
 		return nil
 	case err != nil:
 		return err
 	}
-	c.entry.revision, c.entry.held, c.entry.written = revision, true, own
+	c.entry.revision, c.entry.isStored, c.entry.storedMember = revision, true, own
 	return nil
 }
 
-// reread learns the revision of the entry that stands, such as that of an earlier process or of a write whose answer
+// readRevision learns the revision of the entry that stands, such as that of an earlier process or of a write whose answer
 // was lost.
-func (c *Controller) reread(ctx context.Context, node string) error {
+func (c *Controller) readRevision(ctx context.Context, node string) error {
 	item, err := c.config.Store.Get(ctx, Prefix+node)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return err
@@ -358,8 +360,8 @@
 	return nil
 }
 
-// Own returns the entry of this node, or false while no backend server has announced itself.
-func Own(b *board.Board) (membership.Member, bool) {
+// OwnMember returns the entry of this node, or false while no backend server has announced itself.
+func OwnMember(b *board.Board) (membership.Member, bool) {
 	state := membership.Up
 	if b.Self.Leaving || b.Backend.Leaving {
 		state = membership.Leaving
--- a/internal/control/members/members_test.go
+++ b/internal/control/members/members_test.go
@@ -18,19 +18,19 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/kv"
 )
 
-// start runs a node's controller until the context ends and returns its board.
-func start(ctx context.Context, group *conc.WaitGroup, s *kv.Store, node string, incarnation uint64) *board.Loop {
+// startController runs a node's controller until the context ends and returns its board.
+func startController(ctx context.Context, group *conc.WaitGroup, s *kv.Store, node string, incarnation uint64) *board.Loop {
 	loop := board.NewLoop(board.Board{
 		Self:    board.Self{Node: node, Zone: "zone_1", PeerAddress: node + ":1", Incarnation: incarnation},
 		Backend: board.Backend{Service: "keys", Slots: 12, Address: "10.0.0.1:1"},
 	})
 	log := events.NewLimiter(events.NewLog(io.Discard, zerolog.InfoLevel, node), time.Second)
 	group.Go(func() { loop.Run(ctx) })
-	group.Go(func() { members.NewController(members.Config{Board: loop, Store: s.As(node), Log: log}).Run(ctx) })
+	group.Go(func() { members.NewController(members.Config{Board: loop, Store: s.ForNode(node), Log: log}).Run(ctx) })
 	return loop
 }
 
-func knows(loop *board.Loop, node string) (membership.Member, bool) {
+func findMember(loop *board.Loop, node string) (membership.Member, bool) {
 	m, ok := loop.Snapshot().Members.ByNode[node]
 	return m, ok
 }
@@ -43,7 +43,7 @@
 	}{
 		"calm": {func(*kv.Store) {}, false},
 		"an outage in which leases lapse": {func(s *kv.Store) {
-			s.SetFaults(kv.Faults{Down: true, LapseLeases: true})
+			s.SetFaults(kv.Faults{Down: true, ExpireLeases: true})
 			time.Sleep(10 * time.Second)
 			s.SetFaults(kv.Faults{})
 			time.Sleep(2 * time.Second)
@@ -76,7 +76,7 @@
 			time.Sleep(2 * time.Second)
 			s.SetFaults(kv.Faults{})
 			time.Sleep(time.Second)
-			s.Settle()
+			s.CompleteLateWrites()
 			time.Sleep(time.Second)
 		}, false},
 	} {
@@ -87,11 +87,11 @@
 				ctx := t.Context()
 				var group conc.WaitGroup
 				t.Cleanup(group.Wait)
-				first := start(ctx, &group, s, "node_1", 1)
-				start(ctx, &group, s, "node_2", 2)
+				first := startController(ctx, &group, s, "node_1", 1)
+				startController(ctx, &group, s, "node_2", 2)
 				time.Sleep(2 * time.Second)
 				test.disturb(s)
-				m, ok := knows(first, "node_2")
+				m, ok := findMember(first, "node_2")
 				is.True(ok)
 				is.Equal(m.Unconfirmed, test.unconfirmed)
 				is.Equal(len(first.Snapshot().Members.ByService["keys"]), 2) // it gets requests all the while
@@ -108,14 +108,14 @@
 		ctx := t.Context()
 		var group conc.WaitGroup
 		t.Cleanup(group.Wait)
-		first := start(ctx, &group, s, "node_1", 1)
+		first := startController(ctx, &group, s, "node_1", 1)
 		earlier, kill := context.WithCancel(ctx)
-		start(earlier, &group, s, "node_2", 2)
+		startController(earlier, &group, s, "node_2", 2)
 		time.Sleep(time.Second)
 		kill()
-		second := start(ctx, &group, s, "node_2", 3)
+		second := startController(ctx, &group, s, "node_2", 3)
 		time.Sleep(time.Second)
-		m, _ := knows(first, "node_2")
+		m, _ := findMember(first, "node_2")
 		is.Equal(m.Incarnation, uint64(3))
 		second.Do(ctx, func(b *board.Board) { b.Backend.Leaving = true })
 		time.Sleep(500 * time.Millisecond)
--- a/internal/control/metrics/metrics.go
+++ b/internal/control/metrics/metrics.go
@@ -27,8 +27,8 @@
 	LeaderKnown        Name = "leader_known"
 	PlatformReachable  Name = "platform_reachable"
 	PlatformCalls      Name = "platform_calls"
-	BeatsSent          Name = "beats_sent"
-	BeatsReceived      Name = "beats_received"
+	HeartbeatsSent     Name = "beats_sent"
+	HeartbeatsReceived Name = "beats_received"
 	Repairs            Name = "repairs"
 	Documents          Name = "documents"
 	Draining           Name = "draining"
@@ -79,8 +79,8 @@
 	{Name: LeaderKnown, Kind: Gauge, Unit: "0 or 1", Text: "1 where the node leads or follows a leader.", Alarm: "0 for more than a few seconds."},
 	{Name: PlatformReachable, Kind: Gauge, Unit: "0 or 1", Text: "1 where the platform answered this node's last call. Only leaders and nodes without a leader call it.", Alarm: "0 on a leader."},
 	{Name: PlatformCalls, Kind: Counter, Unit: "calls", Text: "Calls of the platform for leases, leaders, members and watches."},
-	{Name: BeatsSent, Kind: Counter, Unit: "heartbeats", Text: "Heartbeats sent to other nodes."},
-	{Name: BeatsReceived, Kind: Counter, Unit: "heartbeats", Text: "Heartbeats taken from other nodes."},
+	{Name: HeartbeatsSent, Kind: Counter, Unit: "heartbeats", Text: "Heartbeats sent to other nodes."},
+	{Name: HeartbeatsReceived, Kind: Counter, Unit: "heartbeats", Text: "Heartbeats taken from other nodes."},
 	{Name: Repairs, Kind: Counter, Unit: "comparisons", Text: "Comparisons of digests after heartbeats that left a difference.", Alarm: "Grows steadily on a fleet in which nothing changes."},
 	{Name: Documents, Kind: Gauge, Unit: "documents", Text: "Documents in force on this node.", Alarm: "Differs between nodes for more than 4 seconds."},
 	{Name: Draining, Kind: Gauge, Unit: "0 or 1", Text: "1 from the begin of a planned stop."},
@@ -116,7 +116,7 @@
 // Page is the name of the page.
 const Page = "METRICS.md"
 
-const introduction = "# Metrics\n\n" +
+const pageHeader = "# Metrics\n\n" +
 	"Every node serves its metrics as JSON by expvar, at `/debug/vars` of its `backend.address`, under `comfreyhoist`.\n" +
 	"This page is written by `comfreyhoist events -markdown docs`.\n\n" +
 	"| Name | Kind | Unit | Text | Look when |\n| --- | --- | --- | --- | --- |\n"
@@ -124,7 +124,7 @@
 // Markdown returns the page.
 func Markdown() string {
 	var b strings.Builder
-	b.WriteString(introduction)
+	b.WriteString(pageHeader)
 	for _, e := range Catalogue {
 		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", e.Name, e.Kind, e.Unit, e.Text, e.Alarm)
 	}
--- a/internal/control/operator/client.go
+++ b/internal/control/operator/client.go
@@ -95,17 +95,17 @@
 		return trace.ConnectionProblem(err, "node %s: %v", c.config.Address, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
+	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return trace.ConnectionProblem(err, "node %s: %v", c.config.Address, err)
 	}
-	return readAnswer(response.StatusCode, answer, out)
+	return readResponse(response.StatusCode, content, out)
 }
 
-func readAnswer(status int, answer []byte, out any) error {
+func readResponse(status int, body []byte, out any) error {
 	if status >= http.StatusBadRequest {
 		refusal := &Error{}
-		if json.Unmarshal(answer, refusal) != nil || refusal.Code == "" {
+		if json.Unmarshal(body, refusal) != nil || refusal.Code == "" {
 			return trace.ConnectionProblem(nil, "status %d", status)
 		}
 		return refusal
@@ -113,5 +113,5 @@
 	if out == nil {
 		return nil
 	}
-	return trace.Wrap(json.Unmarshal(answer, out))
+	return trace.Wrap(json.Unmarshal(body, out))
 }
--- a/internal/control/operator/editor.go
+++ b/internal/control/operator/editor.go
@@ -51,104 +51,104 @@
 // Get returns the document of the service. Where the platform does not answer it is the one that the node holds,
 // without its history, and reachable is false.
 func (e *Editor) Get(ctx context.Context, service string) (stored zone.StoredDocument, reachable bool, err error) {
-	now, err := e.read(ctx, service)
+	current, err := e.readCurrent(ctx, service)
 	if err != nil {
-		stored, found := e.held(ctx, service)
+		stored, found := e.heldDocument(ctx, service)
 		if !found {
 			return stored, false, err
 		}
 		return stored, false, nil
 	}
-	if now.Stored.Revision == 0 {
-		return now.Stored, true, refuse(CodeNotFound, "service %q has no document", service)
+	if current.Stored.Revision == 0 {
+		return current.Stored, true, newError(CodeNotFound, "service %q has no document", service)
 	}
-	return now.Stored, true, nil
+	return current.Stored, true, nil
 }
 
 // Put writes the document and returns it as it stands. An error is an *Error.
 func (e *Editor) Put(ctx context.Context, edit Edit) (zone.StoredDocument, error) {
-	next, err := check(edit)
+	next, err := validate(edit)
 	if err != nil {
 		return next, err
 	}
-	now, err := e.read(ctx, edit.Service)
+	current, err := e.readCurrent(ctx, edit.Service)
 	if err != nil {
 		return next, err
 	}
-	if done, found := now.Stored.Find(edit.Operation); found {
-		return settled(done, edit)
+	if done, found := current.Stored.Find(edit.Operation); found {
+		return repeatedEdit(done, edit)
 	}
-	if err := permit(now.Stored, edit); err != nil {
+	if err := checkReplace(current.Stored, edit); err != nil {
 		return next, err
 	}
-	next.Revision = now.Stored.Revision + 1
-	return e.write(ctx, now, next, edit)
+	next.Revision = current.Stored.Revision + 1
+	return e.write(ctx, current, next, edit)
 }
 
-// check validates the whole document.
-func check(edit Edit) (zone.StoredDocument, error) {
+// validate validates the whole document.
+func validate(edit Edit) (zone.StoredDocument, error) {
 	next := zone.StoredDocument{Source: string(edit.Source), Operation: edit.Operation, Editor: edit.By.String(), Time: edit.Time}
 	if len(edit.Source) > zone.MaxSourceBytes {
-		return next, refuse(CodeTooLarge, "the document is larger than %d bytes", zone.MaxSourceBytes)
+		return next, newError(CodeTooLarge, "the document is larger than %d bytes", zone.MaxSourceBytes)
 	}
 	parsed, faults := document.Check(edit.Source)
 	if len(faults) > 0 {
-		return next, &Error{Code: CodeInvalidDocument, Message: "the document has faults", Faults: faultsOf(faults)}
+		return next, &Error{Code: CodeInvalidDocument, Message: "the document has faults", Faults: toFaults(faults)}
 	}
 	if parsed.Service != edit.Service {
-		return next, refuse(CodeInvalidDocument, "the document names service %q, the address %q", parsed.Service, edit.Service)
+		return next, newError(CodeInvalidDocument, "the document names service %q, the address %q", parsed.Service, edit.Service)
 	}
 	if edit.By.Team != EveryTeam && edit.By.Team != parsed.Team {
-		return next, refuse(CodeForbidden, "the document's team is %q, the token's %q", parsed.Team, edit.By.Team)
+		return next, newError(CodeForbidden, "the document's team is %q, the token's %q", parsed.Team, edit.By.Team)
 	}
 	return next, nil
 }
 
-// permit judges whether the edit may replace the document that stands.
-func permit(stands zone.StoredDocument, edit Edit) error {
-	if stands.Revision == 0 {
+// checkReplace judges whether the edit may replace the document that stands.
+func checkReplace(current zone.StoredDocument, edit Edit) error {
+	if current.Revision == 0 {
 		if edit.Expected != "" {
-			return conflict(edit, stands)
+			return conflict(edit, current)
 		}
 		return nil
 	}
-	parsed, err := document.Parse([]byte(stands.Source))
-	owned := err == nil && parsed.Team == edit.By.Team
-	if !owned && edit.By.Team != EveryTeam {
-		return refuse(CodeForbidden, "the document belongs to another team")
+	parsed, err := document.Parse([]byte(current.Source))
+	isOwnTeam := err == nil && parsed.Team == edit.By.Team
+	if !isOwnTeam && edit.By.Team != EveryTeam {
+		return newError(CodeForbidden, "the document belongs to another team")
 	}
 	if edit.Expected == "" {
-		refusal := refuse(CodePreconditionRequired, "the service has a document; name its revision in If-Match")
-		refusal.Current = stands.Tag()
+		refusal := newError(CodePreconditionRequired, "the service has a document; name its revision in If-Match")
+		refusal.Current = current.Tag()
 		return refusal
 	}
-	if edit.Expected != stands.Tag() {
-		return conflict(edit, stands)
+	if edit.Expected != current.Tag() {
+		return conflict(edit, current)
 	}
 	return nil
 }
 
-func conflict(edit Edit, stands zone.StoredDocument) *Error {
-	refusal := refuse(CodeRevisionConflict, "the document is not the one that the edit replaces")
+func conflict(edit Edit, current zone.StoredDocument) *Error {
+	refusal := newError(CodeRevisionConflict, "the document is not the one that the edit replaces")
 	refusal.Expected = edit.Expected
-	if stands.Revision > 0 {
-		refusal.Current = stands.Tag()
+	if current.Revision > 0 {
+		refusal.Current = current.Tag()
 	}
 	return refusal
 }
 
-// settled answers an edit that was carried out before.
-func settled(done zone.StoredDocument, edit Edit) (zone.StoredDocument, error) {
+// repeatedEdit answers an edit that was carried out before.
+func repeatedEdit(done zone.StoredDocument, edit Edit) (zone.StoredDocument, error) {
 	if done.Source != string(edit.Source) {
-		return done, refuse(CodeOperationReused, "the operation id belongs to another edit")
+		return done, newError(CodeOperationReused, "the operation id belongs to another edit")
 	}
 	return done, nil
 }
 
-func (e *Editor) write(ctx context.Context, now zone.Standing, next zone.StoredDocument, edit Edit) (zone.StoredDocument, error) {
-	_, err := now.Replace(ctx, e.config.Platform, next)
+func (e *Editor) write(ctx context.Context, current zone.PlatformDocument, next zone.StoredDocument, edit Edit) (zone.StoredDocument, error) {
+	_, err := current.Replace(ctx, e.config.Platform, next)
 	if err != nil {
-		next, err = e.settle(ctx, now, edit)
+		next, err = e.resolveWrite(ctx, current, edit)
 	}
 	if err != nil {
 		e.config.Log.Emit(events.DocumentRefused, events.Fields{
@@ -156,28 +156,28 @@
 		})
 		return next, err
 	}
-	e.accept(ctx, zone.DocumentPrefix+edit.Service, next)
+	e.publishAccepted(ctx, zone.DocumentPrefix+edit.Service, next)
 	return next, nil
 }
 
-// settle finds out by reading back whether a write took effect that was refused or whose answer was lost.
-func (e *Editor) settle(ctx context.Context, before zone.Standing, edit Edit) (zone.StoredDocument, error) {
-	now, err := e.load(ctx, edit.Service)
+// resolveWrite finds out by reading back whether a write took effect that was refused or whose answer was lost.
+func (e *Editor) resolveWrite(ctx context.Context, before zone.PlatformDocument, edit Edit) (zone.StoredDocument, error) {
+	current, err := e.readPlatform(ctx, edit.Service)
 	if err == nil {
-		if done, found := now.Stored.Find(edit.Operation); found {
-			return settled(done, edit)
+		if done, found := current.Stored.Find(edit.Operation); found {
+			return repeatedEdit(done, edit)
 		}
 		// A lagging read shows a lower revision and proves nothing; after a higher one the swap can't succeed.
-		if now.Entry.Revision > before.Entry.Revision {
-			return now.Stored, conflict(edit, now.Stored)
+		if current.Entry.Revision > before.Entry.Revision {
+			return current.Stored, conflict(edit, current.Stored)
 		}
 	}
-	refusal := refuse(CodeUnsettled, "the platform did not say whether the write took effect; send it again under the same operation id")
+	refusal := newError(CodeUnsettled, "the platform did not say whether the write took effect; send it again under the same operation id")
 	refusal.Operation = edit.Operation
 	return before.Stored, refusal
 }
 
-func (e *Editor) accept(ctx context.Context, key string, stored zone.StoredDocument) {
+func (e *Editor) publishAccepted(ctx context.Context, key string, stored zone.StoredDocument) {
 	e.config.Log.Emit(events.DocumentAccepted, events.Fields{
 		"key": key, "revision": stored.Revision, "operation": stored.Operation, "editor": stored.Editor,
 	})
@@ -187,32 +187,32 @@
 	}
 }
 
-// read returns the document at the platform, after a newer one that the node holds has been written back.
-func (e *Editor) read(ctx context.Context, service string) (zone.Standing, error) {
-	now, err := e.load(ctx, service)
+// readCurrent returns the document at the platform, after a newer one that the node holds has been written back.
+func (e *Editor) readCurrent(ctx context.Context, service string) (zone.PlatformDocument, error) {
+	current, err := e.readPlatform(ctx, service)
 	if err != nil {
-		return now, err
+		return current, err
 	}
-	held, found := e.held(ctx, service)
-	if !found || held.Version().Compare(now.Stored.Version()) <= 0 {
-		return now, nil
+	held, found := e.heldDocument(ctx, service)
+	if !found || held.Version().Compare(current.Stored.Version()) <= 0 {
+		return current, nil
 	}
-	_, _, err = zone.Reinstate(ctx, e.config.Platform, zone.DocumentPrefix+service, now.Entry, held)
+	_, _, err = zone.Reinstate(ctx, e.config.Platform, zone.DocumentPrefix+service, current.Entry, held)
 	if err != nil && !errors.Is(err, platform.ErrCompareFailed) {
-		return now, unreachable(err)
+		return current, unreachable(err)
 	}
-	return e.load(ctx, service)
+	return e.readPlatform(ctx, service)
 }
 
-func (e *Editor) load(ctx context.Context, service string) (zone.Standing, error) {
-	now, err := zone.ReadStanding(ctx, e.config.Platform, service)
+func (e *Editor) readPlatform(ctx context.Context, service string) (zone.PlatformDocument, error) {
+	current, err := zone.ReadPlatformDocument(ctx, e.config.Platform, service)
 	if err != nil {
-		return now, unreachable(err)
+		return current, unreachable(err)
 	}
-	return now, nil
+	return current, nil
 }
 
-func (e *Editor) held(ctx context.Context, service string) (zone.StoredDocument, bool) {
+func (e *Editor) heldDocument(ctx context.Context, service string) (zone.StoredDocument, bool) {
 	record, found := e.config.Records.Held(ctx, zone.DocumentPrefix+service)
 	if !found {
 		return zone.StoredDocument{}, false
@@ -222,5 +222,5 @@
 }
 
 func unreachable(err error) *Error {
-	return refuse(CodePlatformUnreachable, "the platform does not answer: %v", err)
+	return newError(CodePlatformUnreachable, "the platform does not answer: %v", err)
 }
--- a/internal/control/operator/errors.go
+++ b/internal/control/operator/errors.go
@@ -69,7 +69,7 @@
 	return text
 }
 
-func refuse(code Code, format string, arguments ...any) *Error {
+func newError(code Code, format string, arguments ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
@@ -81,7 +81,7 @@
 	Reason  string `json:"reason"`
 }
 
-func faultsOf(found []document.Fault) []Fault {
+func toFaults(found []document.Fault) []Fault {
 	var faults []Fault
 	for _, f := range found {
 		faults = append(faults, Fault{Line: f.Line, Section: f.Section, Key: f.Key, Reason: f.Reason})
--- a/internal/control/operator/history_test.go
+++ b/internal/control/operator/history_test.go
@@ -21,7 +21,7 @@
 func TestHistoryIsKeptApart(t *testing.T) {
 	is := is.New(t)
 	_, url := newStore(t)
-	s := newSide(t, url, io.Discard)
+	s := startAPINode(t, url, io.Discard)
 	tag := ""
 	const edits = 70
 	for i := range edits {
@@ -41,7 +41,7 @@
 		is.Equal(edit.Revision, uint64(edits-i))
 	}
 	// An edit that was replaced since is carried out once, whoever is asked.
-	again, err := newSide(t, url, io.Discard).client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "60s"), "", "edit-59")
+	again, err := startAPINode(t, url, io.Discard).client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "60s"), "", "edit-59")
 	is.NoErr(err)
 	is.Equal(again.Revision, uint64(60))
 }
@@ -74,7 +74,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s, url := newStore(t)
-			side := newSide(t, url, io.Discard)
+			side := startAPINode(t, url, io.Discard)
 			value, err := json.Marshal(c.document)
 			is.NoErr(err)
 			client := platform.NewClient(platform.Config{URL: url, Timeout: time.Second})
--- a/internal/control/operator/operator_test.go
+++ b/internal/control/operator/operator_test.go
@@ -27,38 +27,38 @@
 )
 
 const (
-	bookingsToken = "token-of-the-bookings-team"
-	accessToken   = "token-of-the-access-team"
-	everyToken    = "token-of-the-operators"
-	anaToken      = "token-of-ana-of-the-bookings-team"
-	ruiToken      = "token-of-rui-of-the-operators"
+	bookingsToken  = "token-of-the-bookings-team"
+	accessToken    = "token-of-the-access-team"
+	operatorsToken = "token-of-the-operators"
+	anaToken       = "token-of-ana-of-the-bookings-team"
+	ruiToken       = "token-of-rui-of-the-operators"
 )
 
-// heldRecords stands for the records of one node.
-type heldRecords struct {
+// fakeRecords stands for the records of one node.
+type fakeRecords struct {
 	mu      sync.Mutex
 	records *membership.Records
 }
 
-func (h *heldRecords) Held(_ context.Context, key string) (membership.Record, bool) {
+func (h *fakeRecords) Held(_ context.Context, key string) (membership.Record, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.records.Get(key)
 }
 
-func (h *heldRecords) Offer(_ context.Context, records ...membership.Record) {
+func (h *fakeRecords) Offer(_ context.Context, records ...membership.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.records.Merge(records...)
 }
 
-// side is one node's administration API on a store.
-type side struct {
+// apiNode is one node's administration API on a store.
+type apiNode struct {
 	address string
-	records *heldRecords
+	records *fakeRecords
 }
 
-func (s side) client(token string) *operator.Client {
+func (s apiNode) client(token string) *operator.Client {
 	return operator.NewClient(operator.ClientConfig{Address: s.address, Token: token, Timeout: 10 * time.Second})
 }
 
@@ -69,8 +69,8 @@
 	return s, server.URL
 }
 
-func newSide(t *testing.T, storeURL string, log io.Writer) side {
-	records := &heldRecords{records: membership.NewRecords()}
+func startAPINode(t *testing.T, storeURL string, log io.Writer) apiNode {
+	records := &fakeRecords{records: membership.NewRecords()}
 	client := platform.NewClient(platform.Config{URL: storeURL, Timeout: time.Second})
 	router := httprouter.New()
 	operator.Register(router, operator.Config{
@@ -84,13 +84,13 @@
 			{Team: "bookings-team"}:                bookingsToken,
 			{Team: "bookings-team", Editor: "ana"}: anaToken,
 			{Team: "access-team"}:                  accessToken,
-			{Team: "*"}:                            everyToken,
+			{Team: "*"}:                            operatorsToken,
 			{Team: "*", Editor: "rui"}:             ruiToken,
 		}),
 	})
 	server := httptest.NewServer(router)
 	t.Cleanup(server.Close)
-	return side{address: strings.TrimPrefix(server.URL, "http://"), records: records}
+	return apiNode{address: strings.TrimPrefix(server.URL, "http://"), records: records}
 }
 
 func source(team, deadline string) []byte {
@@ -107,8 +107,8 @@
 
 func TestRefusals(t *testing.T) {
 	_, url := newStore(t)
-	s := newSide(t, url, io.Discard)
-	stands, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "first")
+	s := startAPINode(t, url, io.Discard)
+	stored, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "first")
 	is.New(t).NoErr(err)
 	for name, c := range map[string]struct {
 		token    string
@@ -118,21 +118,21 @@
 		code     operator.Code
 	}{
 		"no token":              {service: "bookings", code: operator.CodeUnauthorized},
-		"unknown token":         {token: everyToken + "x", service: "bookings", code: operator.CodeUnauthorized},
-		"another team's":        {token: accessToken, service: "bookings", source: source("access-team", "1s"), expected: stands.Tag(), code: operator.CodeForbidden},
-		"given to another team": {token: accessToken, service: "bookings", source: source("bookings-team", "1s"), expected: stands.Tag(), code: operator.CodeForbidden},
+		"unknown token":         {token: operatorsToken + "x", service: "bookings", code: operator.CodeUnauthorized},
+		"another team's":        {token: accessToken, service: "bookings", source: source("access-team", "1s"), expected: stored.Tag(), code: operator.CodeForbidden},
+		"given to another team": {token: accessToken, service: "bookings", source: source("bookings-team", "1s"), expected: stored.Tag(), code: operator.CodeForbidden},
 		"other service":         {token: bookingsToken, service: "access", source: source("bookings-team", "1s"), code: operator.CodeInvalidDocument},
 		"no precondition":       {token: bookingsToken, service: "bookings", source: source("bookings-team", "1s"), code: operator.CodePreconditionRequired},
 		"old tag":               {token: bookingsToken, service: "bookings", source: source("bookings-team", "1s"), expected: "0-00000000", code: operator.CodeRevisionConflict},
-		"too large":             {token: everyToken, service: "bookings", source: make([]byte, zone.MaxSourceBytes+1), expected: stands.Tag(), code: operator.CodeTooLarge},
+		"too large":             {token: operatorsToken, service: "bookings", source: make([]byte, zone.MaxSourceBytes+1), expected: stored.Tag(), code: operator.CodeTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := s.client(c.token).Put(t.Context(), c.service, c.source, c.expected, "")
 			is.Equal(codeOf(err), c.code)
-			now, err := s.client(everyToken).Get(t.Context(), "bookings")
+			now, err := s.client(operatorsToken).Get(t.Context(), "bookings")
 			is.NoErr(err)
-			is.Equal(now.Tag(), stands.Tag()) // nothing was changed
+			is.Equal(now.Tag(), stored.Tag()) // nothing was changed
 		})
 	}
 }
@@ -141,7 +141,7 @@
 	is := is.New(t)
 	_, url := newStore(t)
 	faulty := "[service]\nname = bookings\nteam = bookings-team\nattempts = many\n\n[kind book]\npath = bookings\nrank = 11\nidempotent = maybe\n"
-	_, err := newSide(t, url, io.Discard).client(bookingsToken).Put(t.Context(), "bookings", []byte(faulty), "", "")
+	_, err := startAPINode(t, url, io.Discard).client(bookingsToken).Put(t.Context(), "bookings", []byte(faulty), "", "")
 	var refusal *operator.Error
 	is.True(errors.As(err, &refusal))
 	found := map[string]int{}
@@ -154,15 +154,15 @@
 func TestOperatorsRace(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
-	first := newSide(t, url, io.Discard)
-	stands, err := first.client(everyToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
+	first := startAPINode(t, url, io.Discard)
+	stands, err := first.client(operatorsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
 	is.NoErr(err)
 	platformStore.SetFaults(store.Faults{Delay: 20 * time.Millisecond}) // all have read before one writes
 	const racers = 8
 	var won, lost [racers]bool
 	var group conc.WaitGroup
 	for i := range racers {
-		s := newSide(t, url, io.Discard)
+		s := startAPINode(t, url, io.Discard)
 		group.Go(func() {
 			_, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), stands.Tag(), "")
 			var refusal *operator.Error
@@ -179,7 +179,7 @@
 		}
 	}
 	is.Equal(winners, 1)
-	edits, err := first.client(everyToken).History(t.Context(), "bookings")
+	edits, err := first.client(operatorsToken).History(t.Context(), "bookings")
 	is.NoErr(err)
 	is.Equal(len(edits), 2)
 }
@@ -187,7 +187,7 @@
 func TestAnswerLostAfterWrite(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
-	s := newSide(t, url, io.Discard)
+	s := startAPINode(t, url, io.Discard)
 	platformStore.SetFaults(store.Faults{LoseAnswers: true})
 	stored, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
 	is.NoErr(err) // reading back found the operation
@@ -203,7 +203,7 @@
 func TestLostWriteIsNotCalledAccepted(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
-	s := newSide(t, url, io.Discard)
+	s := startAPINode(t, url, io.Discard)
 	platformStore.SetFaults(store.Faults{LoseWrites: true})
 	_, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
 	is.Equal(codeOf(err), operator.CodeUnsettled)
@@ -216,7 +216,7 @@
 func TestPlatformDown(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
-	s := newSide(t, url, io.Discard)
+	s := startAPINode(t, url, io.Discard)
 	stored, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
 	is.NoErr(err)
 	platformStore.SetFaults(store.Faults{Down: true})
@@ -236,10 +236,10 @@
 func TestRestoredPlatformGetsTheNewerDocumentBack(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
-	s := newSide(t, url, io.Discard)
+	s := startAPINode(t, url, io.Discard)
 	first, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
 	is.NoErr(err)
-	older := platformStore.Save()
+	older := platformStore.Snapshot()
 	second, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), first.Tag(), "")
 	is.NoErr(err)
 	platformStore.Restore(older)
@@ -251,7 +251,7 @@
 
 	// Another node, which has not seen the second edit, takes an edit of the restored content under its revision.
 	platformStore.Restore(older)
-	blank := newSide(t, url, io.Discard)
+	blank := startAPINode(t, url, io.Discard)
 	other, err := blank.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "4s"), first.Tag(), "")
 	is.NoErr(err)
 	is.Equal(other.Revision, second.Revision)
@@ -264,7 +264,7 @@
 	is := is.New(t)
 	_, url := newStore(t)
 	var log strings.Builder
-	s := newSide(t, url, &log)
+	s := startAPINode(t, url, &log)
 	_, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
 	is.NoErr(err)
 	is.True(strings.Contains(log.String(), "document_accepted"))
@@ -275,7 +275,7 @@
 	is := is.New(t)
 	_, url := newStore(t)
 	var log strings.Builder
-	s := newSide(t, url, &log)
+	s := startAPINode(t, url, &log)
 	tag := ""
 	want := []string{"bookings-team", "bookings-team/ana", "*/rui"}
 	for i, token := range []string{bookingsToken, anaToken, ruiToken} {
@@ -304,7 +304,7 @@
 	var stored zone.StoredDocument
 	for i := range 1000 {
 		next := zone.StoredDocument{Revision: uint64(i + 1), Source: strings.Repeat("x", zone.MaxSourceBytes/8)}
-		stored = next.After(stored)
+		stored = next.WithPrevious(stored)
 	}
 	size := 0
 	for _, edit := range stored.History {
--- a/internal/control/operator/server.go
+++ b/internal/control/operator/server.go
@@ -78,19 +78,19 @@
 type request struct {
 	*http.Request
 
-	by      Identity
-	service string
+	identity Identity
+	service  string
 }
 
 // authorized lets requests with a known token through and writes the errors of f.
 func (s *server) authorized(f func(http.ResponseWriter, request) error) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-		holder, known := s.config.Tokens.Holder(bearer(r))
+		identity, known := s.config.Tokens.Identify(bearerToken(r))
 		if !known {
-			writeError(w, refuse(CodeUnauthorized, "the bearer token is missing or unknown"))
+			writeError(w, newError(CodeUnauthorized, "the bearer token is missing or unknown"))
 			return
 		}
-		if err := f(w, request{Request: r, by: holder, service: p.ByName("service")}); err != nil {
+		if err := f(w, request{Request: r, identity: identity, service: p.ByName("service")}); err != nil {
 			writeError(w, err)
 		}
 	}
@@ -114,7 +114,7 @@
 			Team:     d.Document.Team,
 			Revision: d.Revision,
 			Editor:   d.Editor,
-			Accepted: d.Accepted,
+			Accepted: d.AcceptedAt,
 		})
 	}
 	slices.SortFunc(summaries, func(a, b Summary) int { return strings.Compare(a.Service, b.Service) })
@@ -137,11 +137,11 @@
 func (s *server) put(w http.ResponseWriter, r request) error {
 	source, err := io.ReadAll(http.MaxBytesReader(w, r.Body, zone.MaxSourceBytes))
 	if err != nil {
-		return refuse(CodeTooLarge, "the document can't be read or is larger than %d bytes", zone.MaxSourceBytes)
+		return newError(CodeTooLarge, "the document can't be read or is larger than %d bytes", zone.MaxSourceBytes)
 	}
 	operation := r.Header.Get(OperationHeader)
 	if len(operation) > maxOperationBytes {
-		return refuse(CodeInvalidDocument, "%s is longer than %d bytes", OperationHeader, maxOperationBytes)
+		return newError(CodeInvalidDocument, "%s is longer than %d bytes", OperationHeader, maxOperationBytes)
 	}
 	if operation == "" {
 		operation = uuid.NewString()
@@ -150,7 +150,7 @@
 	stored, err := s.config.Editor.Put(r.Context(), Edit{
 		Service:   r.service,
 		Source:    source,
-		By:        r.by,
+		By:        r.identity,
 		Expected:  strings.Trim(r.Header.Get("If-Match"), `"`),
 		Operation: operation,
 		Time:      time.Now().UTC(),
@@ -168,7 +168,7 @@
 		return err
 	}
 	if !reachable {
-		return refuse(CodePlatformUnreachable, "the history is kept by the platform, which does not answer")
+		return newError(CodePlatformUnreachable, "the history is kept by the platform, which does not answer")
 	}
 	newest := stored
 	newest.History = nil
@@ -176,8 +176,8 @@
 }
 
 func (s *server) drain(w http.ResponseWriter, r request) error {
-	if r.by.Team != EveryTeam {
-		return refuse(CodeForbidden, "only the token of team %q may stop a node", EveryTeam)
+	if r.identity.Team != EveryTeam {
+		return newError(CodeForbidden, "only the token of team %q may stop a node", EveryTeam)
 	}
 	w.WriteHeader(http.StatusAccepted)
 	s.config.Drain()
@@ -185,8 +185,8 @@
 }
 
 func (s *server) dump(w http.ResponseWriter, r request) error {
-	if r.by.Team != EveryTeam {
-		return refuse(CodeForbidden, "only the token of team %q may read the state of a node", EveryTeam)
+	if r.identity.Team != EveryTeam {
+		return newError(CodeForbidden, "only the token of team %q may read the state of a node", EveryTeam)
 	}
 	s.config.Dump(w, r.Request)
 	return nil
@@ -201,7 +201,7 @@
 func writeJSON(w http.ResponseWriter, value any) error {
 	encoded, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		return refuse(CodeInternal, "%v", err)
+		return newError(CodeInternal, "%v", err)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(append(encoded, '\n'))
@@ -211,7 +211,7 @@
 func writeError(w http.ResponseWriter, err error) {
 	var refusal *Error
 	if !errors.As(err, &refusal) {
-		refusal = refuse(CodeInternal, "%v", err)
+		refusal = newError(CodeInternal, "%v", err)
 	}
 	encoded, err := json.MarshalIndent(refusal, "", "  ")
 	if err != nil {
--- a/internal/control/operator/tokens.go
+++ b/internal/control/operator/tokens.go
@@ -27,33 +27,33 @@
 
 // Tokens knows whose each bearer token is. It keeps hashes only, so that no token gets into logs or dumps.
 type Tokens struct {
-	holders []Identity
-	hashes  [][sha256.Size]byte
+	identities []Identity
+	hashes     [][sha256.Size]byte
 }
 
 // NewTokens returns the tokens of the holders, which are no two the same.
-func NewTokens(byHolder map[Identity]string) *Tokens {
+func NewTokens(byIdentity map[Identity]string) *Tokens {
 	t := &Tokens{}
-	for holder, token := range byHolder {
-		t.holders = append(t.holders, holder)
+	for identity, token := range byIdentity {
+		t.identities = append(t.identities, identity)
 		t.hashes = append(t.hashes, sha256.Sum256([]byte(token)))
 	}
 	return t
 }
 
-// Holder returns whose the token is. The comparison takes the same time whatever the token is.
-func (t *Tokens) Holder(token string) (Identity, bool) {
+// Identify returns whose the token is. The comparison takes the same time whatever the token is.
+func (t *Tokens) Identify(token string) (Identity, bool) {
 	hash := sha256.Sum256([]byte(token))
-	holder, found := Identity{}, false
+	identity, found := Identity{}, false
 	for i := range t.hashes {
 		if subtle.ConstantTimeCompare(hash[:], t.hashes[i][:]) == 1 {
-			holder, found = t.holders[i], true
+			identity, found = t.identities[i], true
 		}
 	}
-	return holder, found
+	return identity, found
 }
 
-func bearer(r *http.Request) string {
+func bearerToken(r *http.Request) string {
 	token, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found {
 		return ""
--- a/internal/control/platform/platform.go
+++ b/internal/control/platform/platform.go
@@ -75,13 +75,13 @@
 	http   *http.Client
 }
 
-// idleConnections are kept open to the platform.
-const idleConnections = 4
+// maxIdleConnections are kept open to the platform.
+const maxIdleConnections = 4
 
 // NewClient returns a client.
 func NewClient(config Config) *Client {
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: config.LocalIP}}
-	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnections}
+	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConnections}
 	return &Client{config: config, http: &http.Client{Transport: transport}}
 }
 
@@ -107,14 +107,14 @@
 }
 
 // Watch returns what changed under the prefix after the revision. It waits for a change for up to the given time.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) (Changes, error) {
 	var changes Changes
 	query := url.Values{
 		"prefix": {prefix},
 		"after":  {strconv.FormatUint(after, 10)},
-		"wait":   {wait.String()},
+		"wait":   {maxWait.String()},
 	}
-	err := c.call(ctx, wait+c.config.Timeout, http.MethodGet, "/v1/watch", query, nil, &changes)
+	err := c.call(ctx, maxWait+c.config.Timeout, http.MethodGet, "/v1/watch", query, nil, &changes)
 	return changes, err
 }
 
@@ -147,10 +147,10 @@
 		return trace.ConnectionProblem(err, "platform: %v", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	return readAnswer(response, out)
+	return decodeResponse(response, out)
 }
 
-func readAnswer(response *http.Response, out any) error {
+func decodeResponse(response *http.Response, out any) error {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return trace.ConnectionProblem(err, "platform: %v", err)
--- a/internal/control/routes/routes.go
+++ b/internal/control/routes/routes.go
@@ -35,13 +35,13 @@
 	Idempotent bool   `json:"idempotent"`
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration `json:"timeout"`
-	// Target is the time within which an answer is worth most.
-	Target time.Duration `json:"target"`
+	// TargetLatency is the time within which an answer is worth most.
+	TargetLatency time.Duration `json:"target"`
 	// Rank is 0 for the most urgent.
 	Rank int `json:"rank"`
-	// Attempts is how many backend servers may get one request.
-	Attempts int       `json:"attempts"`
-	Clusters []Cluster `json:"clusters"`
+	// MaxAttempts is how many backend servers may get one request.
+	MaxAttempts int       `json:"attempts"`
+	Clusters    []Cluster `json:"clusters"`
 }
 
 // Service returns the service that gets the request with the number, so that any run of numbers follows the weights.
@@ -53,7 +53,7 @@
 	for _, c := range r.Clusters {
 		total += uint64(c.Weight)
 	}
-	point := spread(number, total)
+	point := quasiRandom(number, total)
 	for _, c := range r.Clusters {
 		if point < uint64(c.Weight) {
 			return c.Service
@@ -66,26 +66,26 @@
 // goldenStep is 2^64 over the golden ratio. Multiples of it fall evenly over all numbers of 64 bits.
 const goldenStep = 0x9E3779B97F4A7C15
 
-// spread returns a point below total. Those of consecutive numbers fall evenly.
-func spread(number, total uint64) uint64 {
+// quasiRandom returns a point below total. Those of consecutive numbers fall evenly.
+func quasiRandom(number, total uint64) uint64 {
 	const upperHalf = 32
 	return ((number * goldenStep) >> upperHalf) * total >> upperHalf
 }
 
 // Limits bound what a caller may send and how long it may take.
 type Limits struct {
-	// MaxHeader and MaxBody are in bytes.
-	MaxHeader int64         `json:"max_header"`
-	MaxBody   int64         `json:"max_body"`
-	Header    time.Duration `json:"header"`
-	Idle      time.Duration `json:"idle"`
+	// MaxHeaderBytes and MaxBody are in bytes.
+	MaxHeaderBytes int64         `json:"max_header"`
+	MaxBodyBytes   int64         `json:"max_body"`
+	HeaderTimeout  time.Duration `json:"header"`
+	IdleTimeout    time.Duration `json:"idle"`
 }
 
 // Service is what the operators say of one service.
 type Service struct {
 	Name string `json:"name"`
-	// Connections is how many connections each of its backend servers takes.
-	Connections int `json:"connections"`
+	// MaxConnections is how many connections each of its backend servers takes.
+	MaxConnections int `json:"connections"`
 }
 
 // Catalogue is one version of all routes.
@@ -134,7 +134,7 @@
 		return trace.BadParameter("route %q: timeout must be more than 0", r.Name)
 	case r.Rank < 0:
 		return trace.BadParameter("route %q: rank must not be negative", r.Name)
-	case r.Attempts < 1:
+	case r.MaxAttempts < 1:
 		return trace.BadParameter("route %q: at least one attempt is needed", r.Name)
 	case len(r.Clusters) == 0:
 		return trace.BadParameter("route %q goes to no service", r.Name)
@@ -163,7 +163,7 @@
 	return nil, false
 }
 
-// Connections returns how many connections a backend server of the service takes, or 0 where that isn't known.
-func (t *Table) Connections(service string) int {
-	return t.services[service].Connections
+// MaxConnections returns how many connections a backend server of the service takes, or 0 where that isn't known.
+func (t *Table) MaxConnections(service string) int {
+	return t.services[service].MaxConnections
 }
--- a/internal/control/settings/parse.go
+++ b/internal/control/settings/parse.go
@@ -14,7 +14,7 @@
 
 // Options are the options of ff for the commands that have no settings file: a flag overrides the environment.
 func Options() []ff.Option {
-	return []ff.Option{ff.WithEnvVarPrefix(environmentVarsPrefix)}
+	return []ff.Option{ff.WithEnvVarPrefix(environmentPrefix)}
 }
 
 // Options are the options of ff for the flags that s was registered with. They let s remember which line of the file
@@ -24,7 +24,7 @@
 	return []ff.Option{
 		ff.WithConfigFileFlag(configFlag),
 		ff.WithConfigFileParser(p.parse),
-		ff.WithEnvVarPrefix(environmentVarsPrefix),
+		ff.WithEnvVarPrefix(environmentPrefix),
 	}
 }
 
@@ -43,10 +43,10 @@
 	s := Register(flags)
 	p := &fileParser{settings: s, flags: flags}
 	file := inifile.Load(name, source)
-	unread := p.setAll(file, flags.Set)
+	invalid := p.setAll(file, flags.Set)
 	for _, f := range s.faults() {
-		if !unread[f.Section+"."+f.Key] {
-			file.Fault(f.Section, f.Key, "%s", f.Reason)
+		if !invalid[f.Section+"."+f.Key] {
+			file.AddFault(f.Section, f.Key, "%s", f.Reason)
 		}
 	}
 	return file.Faults()
@@ -76,25 +76,25 @@
 func (p *fileParser) setAll(file *inifile.File, set func(name, value string) error) map[string]bool {
 	overridden := map[string]bool{}
 	p.flags.Visit(func(f *flag.Flag) { overridden[f.Name] = true })
-	unread := map[string]bool{}
+	invalid := map[string]bool{}
 	for _, s := range file.Sections() {
 		for _, k := range s.Keys() {
 			name := s.Name() + "." + k.Name()
-			known := p.flags.Lookup(name)
-			if known == nil {
-				file.Fault(s.Name(), k.Name(), "unknown key")
+			registered := p.flags.Lookup(name)
+			if registered == nil {
+				file.AddFault(s.Name(), k.Name(), "unknown key")
 				continue
 			}
 			if err := set(name, k.Value()); err != nil {
-				file.Fault(s.Name(), k.Name(), "%q is not %s", k.Value(), wanted(known))
-				unread[name] = true
+				file.AddFault(s.Name(), k.Name(), "%q is not %s", k.Value(), expectedValue(registered))
+				invalid[name] = true
 			}
 			if !overridden[name] {
-				p.settings.remember(file, s.Name(), k.Name())
+				p.settings.recordOrigin(file, s.Name(), k.Name())
 			}
 		}
 	}
-	return unread
+	return invalid
 }
 
 func (p *fileParser) fileName() string {
@@ -104,8 +104,8 @@
 	return ""
 }
 
-// wanted says which values a flag takes.
-func wanted(f *flag.Flag) string {
+// expectedValue says which values a flag takes.
+func expectedValue(f *flag.Flag) string {
 	getter, ok := f.Value.(flag.Getter)
 	if !ok {
 		return "a value of " + f.Name
@@ -128,15 +128,15 @@
 	line int
 }
 
-func (s *Settings) remember(file *inifile.File, section, key string) {
+func (s *Settings) recordOrigin(file *inifile.File, section, key string) {
 	if s.origins == nil {
 		s.origins = map[string]origin{}
 	}
 	s.origins[section+"."+key] = origin{file: file.Name(), line: file.Line(section, key)}
 }
 
-// locate adds file and line to the faults of values that came from a file.
-func (s *Settings) locate(faults inifile.Faults) inifile.Faults {
+// addOrigins adds file and line to the faults of values that came from a file.
+func (s *Settings) addOrigins(faults inifile.Faults) inifile.Faults {
 	for i, f := range faults {
 		o := s.origins[f.Section+"."+f.Key]
 		faults[i].File, faults[i].Line = o.file, o.line
--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -105,10 +105,10 @@
 
 // The sources of what a node goes by.
 const (
-	// FromDocuments takes the documents that teams give to the administration API.
-	FromDocuments = "documents"
-	// FromRoutes takes the routes that operators write to the platform's store.
-	FromRoutes = "routes"
+	// SourceDocuments takes the documents that teams give to the administration API.
+	SourceDocuments = "documents"
+	// SourceRoutes takes the routes that operators write to the platform's store.
+	SourceRoutes = "routes"
 )
 
 // Platform is the platform's key-value service.
@@ -141,35 +141,35 @@
 
 // Default values.
 const (
-	defaultMaxBody        = 1 << 20
-	defaultHeaderTimeout  = 5 * time.Second
-	defaultBodyTimeout    = 10 * time.Second
-	defaultPeerConns      = 64
-	defaultPeerIdle       = 45 * time.Second
-	defaultMaxWait        = 100 * time.Millisecond
-	defaultPlatformWait   = time.Second
-	defaultKeysWindow     = 2 * time.Minute
-	defaultMaxKeys        = 200_000
-	defaultMaxKeyBytes    = 64 << 20
-	maxBodyCeiling        = 3 << 20
-	maxPeerConnsCeiling   = 1300
-	maxPlatformWait       = 30 * time.Second
-	leastTokenBytes       = 16
-	maxQueueWait          = 10 * time.Second
-	maxPeerIdle           = 10 * time.Minute
-	maxBodyTimeout        = 2 * time.Minute
-	leastKeysWindow       = document.MaxDeadline
-	maxKeysWindow         = 10 * time.Minute
-	leastMaxKeys          = 1000
-	maxKeysCeiling        = 10_000_000
-	maxKeyBytesCeiling    = 4 << 30
-	maxMemory             = 1 << 20
-	zoneListSeparator     = ","
-	tokenTeamSeparator    = ":"
-	tokenEditorSeparator  = "/"
-	everyTeam             = "*"
-	environmentVarsPrefix = "COMFREYHOIST"
-	configFlag            = "config"
+	defaultMaxBody         = 1 << 20
+	defaultHeaderTimeout   = 5 * time.Second
+	defaultBodyTimeout     = 10 * time.Second
+	defaultPeerConns       = 64
+	defaultPeerIdleTimeout = 45 * time.Second
+	defaultMaxWait         = 100 * time.Millisecond
+	defaultPlatformTimeout = time.Second
+	defaultKeysWindow      = 2 * time.Minute
+	defaultMaxKeys         = 200_000
+	defaultMaxKeyBytes     = 64 << 20
+	maxBodyCeiling         = 3 << 20
+	maxPeerConnsCeiling    = 1300
+	maxPlatformTimeout     = 30 * time.Second
+	minTokenBytes          = 16
+	maxMaxWait             = 10 * time.Second
+	maxPeerIdleTimeout     = 10 * time.Minute
+	maxBodyTimeout         = 2 * time.Minute
+	minKeysWindow          = document.MaxDeadline
+	maxKeysWindow          = 10 * time.Minute
+	minMaxKeys             = 1000
+	maxKeysCeiling         = 10_000_000
+	maxKeyBytesCeiling     = 4 << 30
+	maxMemoryMegabytes     = 1 << 20
+	listSeparator          = ","
+	tokenTeamSeparator     = ":"
+	tokenEditorSeparator   = "/"
+	everyTeam              = "*"
+	environmentPrefix      = "COMFREYHOIST"
+	configFlag             = "config"
 )
 
 // Register adds a flag for every setting and returns where their values will be.
@@ -187,7 +187,7 @@
 	flags.StringVar(&s.Peer.Address, "peer.address", "", "IP and port that other nodes use")
 	flags.StringVar(&s.Peer.Advertised, "peer.advertised", "", "IP and port that other nodes are told; empty for peer.address")
 	flags.IntVar(&s.Peer.MaxConnections, "peer.max_connections", defaultPeerConns, "most connections to one other node")
-	flags.DurationVar(&s.Peer.IdleTimeout, "peer.idle_timeout", defaultPeerIdle, "time without a call after which a connection from another node is closed")
+	flags.DurationVar(&s.Peer.IdleTimeout, "peer.idle_timeout", defaultPeerIdleTimeout, "time without a call after which a connection from another node is closed")
 	flags.StringVar(&s.Peer.Seeds, "peer.seeds", "", "peer addresses to join through while the platform is away")
 	flags.StringVar(&s.Backend.Address, "backend.address", "", "IP and port for the local backend server's announcements and for health, metrics and the dump")
 	flags.DurationVar(&s.Backend.MaxWait, "backend.max_wait", defaultMaxWait, "longest wait for a slot")
@@ -195,9 +195,9 @@
 	flags.StringVar(&s.Operator.Tokens, "operator.tokens", "", "team:token or team/editor:token pairs, separated by commas")
 	flags.StringVar(&s.Ready.Address, "ready.address", "", "IP and port that tell whether the node takes new work; only with platform.source = routes")
 	flags.StringVar(&s.Metrics.Address, "metrics.address", "", "IP and port of metrics and the dump; only with platform.source = routes, empty for none")
-	flags.StringVar(&s.Platform.Source, "platform.source", FromDocuments, "what the node goes by: documents of teams, or routes of operators")
+	flags.StringVar(&s.Platform.Source, "platform.source", SourceDocuments, "what the node goes by: documents of teams, or routes of operators")
 	flags.StringVar(&s.Platform.URL, "platform.url", "", "URL of the platform's key-value service")
-	flags.DurationVar(&s.Platform.Timeout, "platform.timeout", defaultPlatformWait, "time for one answer of the platform")
+	flags.DurationVar(&s.Platform.Timeout, "platform.timeout", defaultPlatformTimeout, "time for one answer of the platform")
 	flags.DurationVar(&s.Keys.Window, "keys.window", defaultKeysWindow, "time for which callers may send a key again; the same on every node")
 	flags.IntVar(&s.Keys.MaxKeys, "keys.max_keys", defaultMaxKeys, "most keys that are remembered")
 	flags.IntVar(&s.Keys.MaxBytes, "keys.max_bytes", defaultMaxKeyBytes, "most memory for keys and their answers, in bytes")
@@ -208,7 +208,7 @@
 
 // Check returns all faults of the values at once, as a trace.BadParameter.
 func (s *Settings) Check() error {
-	faults := s.locate(s.faults())
+	faults := s.addOrigins(s.faults())
 	if len(faults) == 0 {
 		return nil
 	}
@@ -229,21 +229,21 @@
 	for _, seed := range s.Peer.SeedList() {
 		c.address("peer.seeds", seed)
 	}
-	c.within("caller.max_body", s.Caller.MaxBody, 1, maxBodyCeiling)
-	c.within("peer.max_connections", int64(s.Peer.MaxConnections), 1, maxPeerConnsCeiling)
+	c.inRange("caller.max_body", s.Caller.MaxBody, 1, maxBodyCeiling)
+	c.inRange("peer.max_connections", int64(s.Peer.MaxConnections), 1, maxPeerConnsCeiling)
 	c.duration("caller.body_timeout", s.Caller.BodyTimeout, maxBodyTimeout)
 	c.duration("caller.header_timeout", s.Caller.HeaderTimeout, maxBodyTimeout)
 	if s.Caller.HeaderTimeout > s.Caller.BodyTimeout {
 		c.fault("caller.header_timeout", "is longer than caller.body_timeout, which counts the headers too")
 	}
-	c.duration("peer.idle_timeout", s.Peer.IdleTimeout, maxPeerIdle)
-	c.duration("platform.timeout", s.Platform.Timeout, maxPlatformWait)
-	c.duration("backend.max_wait", s.Backend.MaxWait, maxQueueWait)
+	c.duration("peer.idle_timeout", s.Peer.IdleTimeout, maxPeerIdleTimeout)
+	c.duration("platform.timeout", s.Platform.Timeout, maxPlatformTimeout)
+	c.duration("backend.max_wait", s.Backend.MaxWait, maxMaxWait)
 	c.keys(s)
-	c.distinct(s)
+	c.distinctAddresses(s)
 	c.url("platform.url", s.Platform.URL)
 	c.source(s)
-	c.within("process.memory", s.Process.Memory, 0, maxMemory)
+	c.inRange("process.memory", s.Process.Memory, 0, maxMemoryMegabytes)
 	c.tokens(s.Operator)
 	if _, err := zerolog.ParseLevel(s.Log.Level); err != nil || s.Log.Level == "" {
 		c.fault("log.level", "must be debug, info, warn or error")
@@ -280,7 +280,7 @@
 
 func splitList(list string) []string {
 	var items []string
-	for _, item := range strings.Split(list, zoneListSeparator) {
+	for _, item := range strings.Split(list, listSeparator) {
 		if item = strings.TrimSpace(item); item != "" {
 			items = append(items, item)
 		}
@@ -337,7 +337,7 @@
 	}
 }
 
-func (c *checker) within(name string, value, low, high int64) {
+func (c *checker) inRange(name string, value, low, high int64) {
 	if value < low || value > high {
 		c.fault(name, fmt.Sprintf("must be from %d to %d", low, high))
 	}
@@ -351,13 +351,13 @@
 
 // keys notes bounds that contradict each other or what a node takes from callers.
 func (c *checker) keys(s *Settings) {
-	if s.Keys.Window < leastKeysWindow || s.Keys.Window > maxKeysWindow {
-		c.fault("keys.window", "must be from "+leastKeysWindow.String()+", the longest deadline of a document, to "+maxKeysWindow.String())
+	if s.Keys.Window < minKeysWindow || s.Keys.Window > maxKeysWindow {
+		c.fault("keys.window", "must be from "+minKeysWindow.String()+", the longest deadline of a document, to "+maxKeysWindow.String())
 	}
-	c.within("keys.max_keys", int64(s.Keys.MaxKeys), leastMaxKeys, maxKeysCeiling)
-	c.within("keys.max_bytes", int64(s.Keys.MaxBytes), 1, maxKeyBytesCeiling)
-	if least := s.Keys.MaxKeys * outcome.EntryBytes; s.Keys.MaxBytes < least {
-		c.fault("keys.max_bytes", fmt.Sprintf("must be at least %d for keys.max_keys without their answers", least))
+	c.inRange("keys.max_keys", int64(s.Keys.MaxKeys), minMaxKeys, maxKeysCeiling)
+	c.inRange("keys.max_bytes", int64(s.Keys.MaxBytes), 1, maxKeyBytesCeiling)
+	if minBytes := s.Keys.MaxKeys * outcome.EntryBytes; s.Keys.MaxBytes < minBytes {
+		c.fault("keys.max_bytes", fmt.Sprintf("must be at least %d for keys.max_keys without their answers", minBytes))
 	}
 	if int64(s.Keys.MaxBytes) < s.Caller.MaxBody {
 		c.fault("keys.max_bytes", "must be at least caller.max_body, or one answer fills it")
@@ -374,14 +374,14 @@
 // source notes what only one of the sources needs.
 func (c *checker) source(s *Settings) {
 	switch s.Platform.Source {
-	case FromDocuments:
+	case SourceDocuments:
 		if s.Node.Service != "" {
 			c.fault("node.service", "is used only with platform.source = routes")
 		}
 		if s.Ready.Address != "" {
 			c.fault("ready.address", "is used only with platform.source = routes")
 		}
-	case FromRoutes:
+	case SourceRoutes:
 		c.name("node.service", s.Node.Service)
 		c.address("ready.address", s.Ready.Address)
 	default:
@@ -400,8 +400,8 @@
 	}
 }
 
-// distinct notes the addresses that stand under two settings.
-func (c *checker) distinct(s *Settings) {
+// distinctAddresses notes the addresses that stand under two settings.
+func (c *checker) distinctAddresses(s *Settings) {
 	listeners := []struct{ name, address string }{
 		{"caller.address", s.Caller.Address},
 		{"peer.address", s.Peer.Address},
@@ -412,7 +412,7 @@
 	}
 	first := map[string]string{}
 	for _, l := range listeners {
-		if other, stands := first[l.address]; stands && l.address != "" {
+		if other, exists := first[l.address]; exists && l.address != "" {
 			c.fault(l.name, "is the same as "+other)
 			continue
 		}
--- a/internal/control/settings/settings_test.go
+++ b/internal/control/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/settings"
 )
 
-const sound = `[node]
+const validSettings = `[node]
 name = file
 zone = lisbon_1
 zones = lisbon_1
@@ -68,35 +68,35 @@
 		text string
 		want string
 	}{
-		"sound":             {sound, ""},
-		"unknown key":       {sound + "colour = red", "node.ini:13: [platform] colour: unknown key"},
-		"unknown section":   {sound + "[paint]\ncolour = red", "node.ini:14: [paint] colour: unknown key"},
-		"section twice":     {sound + "[node]", "node.ini:13: [node] stands twice"},
-		"key twice":         {sound + "url = http://127.0.0.1:1", "node.ini:13: [platform] url: stands twice"},
-		"no INI":            {sound + "what is this", "node.ini:13: [platform] what is this: not a [section], a key = value or a comment"},
-		"quoted":            {sound + "timeout = \"1s\"", "node.ini:13: [platform] timeout: values are not quoted"},
-		"bad unit":          {sound + "timeout = 1 second", "node.ini:13: [platform] timeout: \"1 second\" is not a duration, such as 250ms"},
-		"no unit":           {sound + "timeout = 1", "node.ini:13: [platform] timeout: \"1\" is not a duration, such as 250ms"},
-		"too long":          {sound + "timeout = 1h", "node.ini:13: [platform] timeout: must be more than 0 and at most 30s"},
-		"bad level":         {sound + "[log]\nlevel = loud", "node.ini:14: [log] level: must be debug, info, warn or error"},
-		"short token":       {sound + "[operator]\ntokens = a:b", "node.ini:14: [operator] tokens: the token of \"a\" is shorter than 16 bytes"},
-		"team twice":        {sound + "[operator]\ntokens = a:0123456789abcdef,a:fedcba9876543210", "node.ini:14: [operator] tokens: the team \"a\" stands twice"},
-		"editor twice":      {sound + "[operator]\ntokens = a/ana:0123456789abcdef,a/ana:fedcba9876543210", "node.ini:14: [operator] tokens: the editor \"a/ana\" stands twice"},
-		"one token for two": {sound + "[operator]\ntokens = a/ana:0123456789abcdef,a/rui:0123456789abcdef", "node.ini:14: [operator] tokens: \"a/ana\" and \"a/rui\" have the same token"},
-		"no editor":         {sound + "[operator]\ntokens = a/:0123456789abcdef", "node.ini:14: [operator] tokens: the editor of \"a/\" must be letters, digits, and . _ @ - after the first, at most 64 in all"},
-		"editor's token":    {sound + "[operator]\ntokens = a/ana:b", "node.ini:14: [operator] tokens: the token of \"a/ana\" is shorter than 16 bytes"},
-		"no team":           {sound + "[operator]\ntokens = /ana:0123456789abcdef", "node.ini:14: [operator] tokens: a pair is not team:token or team/editor:token"},
-		"editors":           {sound + "[operator]\ntokens = a:0123456789abcdef,a/ana:fedcba9876543210,*/rui:fedcba987654321x", ""},
-		"nobody may use it": {sound + "[operator]\naddress = 127.0.0.1:7003", "node.ini:13: [operator] tokens: must be set where operator.address is, or nobody may use it"},
-		"one address twice": {strings.Replace(sound, ":7002", ":7000", 1), "node.ini:10: [backend] address: is the same as caller.address"},
-		"keys":              {sound + "[keys]\nwindow = 5m\nmax_keys = 1000\nmax_bytes = 2000000", ""},
-		"window too short":  {sound + "[keys]\nwindow = 90s", "node.ini:14: [keys] window: must be from 2m0s, the longest deadline of a document, to 10m0s"},
-		"window too long":   {sound + "[keys]\nwindow = 1h", "node.ini:14: [keys] window: must be from 2m0s, the longest deadline of a document, to 10m0s"},
-		"too few keys":      {sound + "[keys]\nmax_keys = 10", "node.ini:14: [keys] max_keys: must be from 1000 to 10000000"},
-		"no room for keys":  {sound + "[keys]\nmax_keys = 300000", "node.ini:13: [keys] max_bytes: must be at least 76800000 for keys.max_keys without their answers"},
-		"no room for one":   {sound + "[keys]\nmax_keys = 1000\nmax_bytes = 1000000", "node.ini:15: [keys] max_bytes: must be at least caller.max_body, or one answer fills it"},
-		"zone not listed":   {strings.Replace(sound, "zones = lisbon_1", "zones = porto_1", 1), "node.ini:4: [node] zones: must hold node.zone"},
-		"name, no IP":       {strings.Replace(sound, "127.0.0.1:7002", "localhost:7002", 1), "node.ini:10: [backend] address: the host must be an IP"},
+		"sound":             {validSettings, ""},
+		"unknown key":       {validSettings + "colour = red", "node.ini:13: [platform] colour: unknown key"},
+		"unknown section":   {validSettings + "[paint]\ncolour = red", "node.ini:14: [paint] colour: unknown key"},
+		"section twice":     {validSettings + "[node]", "node.ini:13: [node] stands twice"},
+		"key twice":         {validSettings + "url = http://127.0.0.1:1", "node.ini:13: [platform] url: stands twice"},
+		"no INI":            {validSettings + "what is this", "node.ini:13: [platform] what is this: not a [section], a key = value or a comment"},
+		"quoted":            {validSettings + "timeout = \"1s\"", "node.ini:13: [platform] timeout: values are not quoted"},
+		"bad unit":          {validSettings + "timeout = 1 second", "node.ini:13: [platform] timeout: \"1 second\" is not a duration, such as 250ms"},
+		"no unit":           {validSettings + "timeout = 1", "node.ini:13: [platform] timeout: \"1\" is not a duration, such as 250ms"},
+		"too long":          {validSettings + "timeout = 1h", "node.ini:13: [platform] timeout: must be more than 0 and at most 30s"},
+		"bad level":         {validSettings + "[log]\nlevel = loud", "node.ini:14: [log] level: must be debug, info, warn or error"},
+		"short token":       {validSettings + "[operator]\ntokens = a:b", "node.ini:14: [operator] tokens: the token of \"a\" is shorter than 16 bytes"},
+		"team twice":        {validSettings + "[operator]\ntokens = a:0123456789abcdef,a:fedcba9876543210", "node.ini:14: [operator] tokens: the team \"a\" stands twice"},
+		"editor twice":      {validSettings + "[operator]\ntokens = a/ana:0123456789abcdef,a/ana:fedcba9876543210", "node.ini:14: [operator] tokens: the editor \"a/ana\" stands twice"},
+		"one token for two": {validSettings + "[operator]\ntokens = a/ana:0123456789abcdef,a/rui:0123456789abcdef", "node.ini:14: [operator] tokens: \"a/ana\" and \"a/rui\" have the same token"},
+		"no editor":         {validSettings + "[operator]\ntokens = a/:0123456789abcdef", "node.ini:14: [operator] tokens: the editor of \"a/\" must be letters, digits, and . _ @ - after the first, at most 64 in all"},
+		"editor's token":    {validSettings + "[operator]\ntokens = a/ana:b", "node.ini:14: [operator] tokens: the token of \"a/ana\" is shorter than 16 bytes"},
+		"no team":           {validSettings + "[operator]\ntokens = /ana:0123456789abcdef", "node.ini:14: [operator] tokens: a pair is not team:token or team/editor:token"},
+		"editors":           {validSettings + "[operator]\ntokens = a:0123456789abcdef,a/ana:fedcba9876543210,*/rui:fedcba987654321x", ""},
+		"nobody may use it": {validSettings + "[operator]\naddress = 127.0.0.1:7003", "node.ini:13: [operator] tokens: must be set where operator.address is, or nobody may use it"},
+		"one address twice": {strings.Replace(validSettings, ":7002", ":7000", 1), "node.ini:10: [backend] address: is the same as caller.address"},
+		"keys":              {validSettings + "[keys]\nwindow = 5m\nmax_keys = 1000\nmax_bytes = 2000000", ""},
+		"window too short":  {validSettings + "[keys]\nwindow = 90s", "node.ini:14: [keys] window: must be from 2m0s, the longest deadline of a document, to 10m0s"},
+		"window too long":   {validSettings + "[keys]\nwindow = 1h", "node.ini:14: [keys] window: must be from 2m0s, the longest deadline of a document, to 10m0s"},
+		"too few keys":      {validSettings + "[keys]\nmax_keys = 10", "node.ini:14: [keys] max_keys: must be from 1000 to 10000000"},
+		"no room for keys":  {validSettings + "[keys]\nmax_keys = 300000", "node.ini:13: [keys] max_bytes: must be at least 76800000 for keys.max_keys without their answers"},
+		"no room for one":   {validSettings + "[keys]\nmax_keys = 1000\nmax_bytes = 1000000", "node.ini:15: [keys] max_bytes: must be at least caller.max_body, or one answer fills it"},
+		"zone not listed":   {strings.Replace(validSettings, "zones = lisbon_1", "zones = porto_1", 1), "node.ini:4: [node] zones: must hold node.zone"},
+		"name, no IP":       {strings.Replace(validSettings, "127.0.0.1:7002", "localhost:7002", 1), "node.ini:10: [backend] address: the host must be an IP"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -107,7 +107,7 @@
 
 func TestAllFaultsAtOnceWithTheirPlaces(t *testing.T) {
 	is := is.New(t)
-	path := write(t, strings.ReplaceAll(sound, "127.0.0.1:700", "nowhere:700"))
+	path := write(t, strings.ReplaceAll(validSettings, "127.0.0.1:700", "nowhere:700"))
 	flags := flag.NewFlagSet("node", flag.ContinueOnError)
 	s := settings.Register(flags)
 	is.NoErr(s.Parse(flags, []string{"-config", path, "-peer.address", "here"}))
@@ -129,7 +129,7 @@
 }
 
 func FuzzCheckFile(f *testing.F) {
-	f.Add(sound)
+	f.Add(validSettings)
 	f.Add("[a]\nb = c\n[a]\n= d\n'q' = \"x\n\\")
 	f.Fuzz(func(t *testing.T, text string) {
 		lines := strings.Count(text, "\n") + 1
@@ -148,13 +148,13 @@
 		text string
 		want string
 	}{
-		"documents":                {sound, ""},
-		"routes":                   {strings.Replace(sound, "name = file", "name = file\nservice = crew", 1) + routes, ""},
-		"routes without a service": {sound + routes, "node.service"},
-		"documents with a service": {strings.Replace(sound, "name = file", "name = file\nservice = crew", 1), "node.service"},
-		"routes without readiness": {strings.Replace(sound, "name = file", "name = file\nservice = crew", 1) + "source = routes\n", "ready.address"},
-		"another source":           {sound + "source = files\n", "platform.source"},
-		"an address used twice":    {strings.Replace(sound, "name = file", "name = file\nservice = crew", 1) + strings.Replace(routes, "7004", "7002", 1), "ready.address"},
+		"documents":                {validSettings, ""},
+		"routes":                   {strings.Replace(validSettings, "name = file", "name = file\nservice = crew", 1) + routes, ""},
+		"routes without a service": {validSettings + routes, "node.service"},
+		"documents with a service": {strings.Replace(validSettings, "name = file", "name = file\nservice = crew", 1), "node.service"},
+		"routes without readiness": {strings.Replace(validSettings, "name = file", "name = file\nservice = crew", 1) + "source = routes\n", "ready.address"},
+		"another source":           {validSettings + "source = files\n", "platform.source"},
+		"an address used twice":    {strings.Replace(validSettings, "name = file", "name = file\nservice = crew", 1) + strings.Replace(routes, "7004", "7002", 1), "ready.address"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/control/settings/tokens.go
+++ b/internal/control/settings/tokens.go
@@ -24,8 +24,8 @@
 	return t.Team + tokenEditorSeparator + t.Editor
 }
 
-// editorNames are the names that an editor may have.
-var editorNames = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@-]{0,63}$`)
+// editorPattern are the names that an editor may have.
+var editorPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@-]{0,63}$`)
 
 // TokenList returns the tokens, of which each holder has one.
 func (o Operator) TokenList() ([]Token, error) {
@@ -36,7 +36,7 @@
 			return nil, err
 		}
 		for _, other := range tokens {
-			if err := t.apart(other); err != nil {
+			if err := t.checkDistinct(other); err != nil {
 				return nil, err
 			}
 		}
@@ -47,21 +47,21 @@
 
 func parseToken(pair string) (Token, error) {
 	holder, secret, found := strings.Cut(pair, tokenTeamSeparator)
-	team, editor, named := strings.Cut(holder, tokenEditorSeparator)
+	team, editor, hasEditor := strings.Cut(holder, tokenEditorSeparator)
 	t := Token{Team: team, Editor: editor, Secret: secret}
 	switch {
 	case !found || team == "":
 		return t, trace.BadParameter("a pair is not team:token or team/editor:token")
-	case named && !editorNames.MatchString(editor):
+	case hasEditor && !editorPattern.MatchString(editor):
 		return t, trace.BadParameter("the editor of %q must be letters, digits, and . _ @ - after the first, at most 64 in all", holder)
-	case len(secret) < leastTokenBytes:
-		return t, trace.BadParameter("the token of %q is shorter than %d bytes", holder, leastTokenBytes)
+	case len(secret) < minTokenBytes:
+		return t, trace.BadParameter("the token of %q is shorter than %d bytes", holder, minTokenBytes)
 	}
 	return t, nil
 }
 
-// apart returns an error where two tokens can't be told apart.
-func (t Token) apart(other Token) error {
+// checkDistinct returns an error where two tokens can't be told apart.
+func (t Token) checkDistinct(other Token) error {
 	switch {
 	case t.holder() == other.holder() && t.Editor == "":
 		return trace.BadParameter("the team %q stands twice", t.Team)
--- a/internal/control/store/follower.go
+++ b/internal/control/store/follower.go
@@ -12,41 +12,41 @@
 type FollowerConfig struct {
 	Store  Store
 	Prefix string
-	// Wait is how long one watch waits.
-	Wait time.Duration
-	// Settle returns the pause after a change before the next watch, so that changes close together cost one call; nil for
+	// WatchTimeout is how long one watch waits.
+	WatchTimeout time.Duration
+	// CoalesceDelay returns the pause after a change before the next watch, so that changes close together cost one call; nil for
 	// none.
-	Settle func() time.Duration
-	// Listed gets all items after a list, Changed the events of a watch. Both run on the follower's goroutine.
-	Listed  func(ctx context.Context, s Snapshot)
-	Changed func(ctx context.Context, c Changes)
-	// Lost and Back tell when the store stops to answer, and when it answers again.
-	Lost func(err error)
-	Back func()
+	CoalesceDelay func() time.Duration
+	// OnList gets all items after a list, Changed the events of a watch. Both run on the follower's goroutine.
+	OnList   func(ctx context.Context, s Snapshot)
+	OnChange func(ctx context.Context, c Changes)
+	// OnLost and Back tell when the store stops to answer, and when it answers again.
+	OnLost      func(err error)
+	OnRecovered func()
 }
 
 const (
-	// firstRetry is the pause after the first call that fails; each further one in a row doubles it.
-	firstRetry = 50 * time.Millisecond
-	// maxRetry bounds that pause. The store counts calls that it refuses, too, and after an outage all is to be known within
+	// minRetryDelay is the pause after the first call that fails; each further one in a row doubles it.
+	minRetryDelay = 50 * time.Millisecond
+	// maxRetryDelay bounds that pause. The store counts calls that it refuses, too, and after an outage all is to be known within
 	// two seconds.
-	maxRetry = 800 * time.Millisecond
+	maxRetryDelay = 800 * time.Millisecond
 )
 
 // Follower keeps up with all keys under a prefix.
 type Follower struct {
 	config FollowerConfig
-	// after is the revision up to which all is known, and listed is false while that isn't so.
-	after  uint64
-	listed bool
-	lost   bool
+	// revision is the revision up to which all is known, and listed is false while that isn't so.
+	revision    uint64
+	listed      bool
+	unreachable bool
 	// backoff is the pause after calls that fail.
 	backoff pause.Backoff
 }
 
 // NewFollower returns a follower that knows nothing.
 func NewFollower(config FollowerConfig) *Follower {
-	return &Follower{config: config, backoff: pause.Backoff{First: firstRetry, Longest: maxRetry}}
+	return &Follower{config: config, backoff: pause.Backoff{Initial: minRetryDelay, Max: maxRetryDelay}}
 }
 
 // Run follows until the context ends.
@@ -59,9 +59,9 @@
 		case errors.Is(err, ErrCompacted):
 			f.listed = false
 		case err != nil:
-			f.failed(ctx, err)
+			f.recordFailure(ctx, err)
 		default:
-			f.succeeded()
+			f.recordSuccess()
 		}
 	}
 }
@@ -79,42 +79,42 @@
 	if err != nil {
 		return err
 	}
-	f.after, f.listed = snapshot.Revision, true
-	f.config.Listed(ctx, snapshot)
+	f.revision, f.listed = snapshot.Revision, true
+	f.config.OnList(ctx, snapshot)
 	return nil
 }
 
 func (f *Follower) watch(ctx context.Context) error {
-	changes, err := f.config.Store.Watch(ctx, f.config.Prefix, f.after, f.config.Wait)
+	changes, err := f.config.Store.Watch(ctx, f.config.Prefix, f.revision, f.config.WatchTimeout)
 	if err != nil {
 		return err
 	}
-	f.after = max(f.after, changes.Revision)
+	f.revision = max(f.revision, changes.Revision)
 	if len(changes.Events) == 0 {
 		return nil
 	}
-	f.config.Changed(ctx, changes)
-	if f.config.Settle != nil {
-		pause.For(ctx, f.config.Settle())
+	f.config.OnChange(ctx, changes)
+	if f.config.CoalesceDelay != nil {
+		pause.For(ctx, f.config.CoalesceDelay())
 	}
 	return nil
 }
 
-// failed pauses. After a watch that broke off all is read anew: the store may have dropped the history meanwhile, and
+// recordFailure pauses. After a watch that broke off all is read anew: the store may have dropped the history meanwhile, and
 // says so only with the next change.
-func (f *Follower) failed(ctx context.Context, err error) {
+func (f *Follower) recordFailure(ctx context.Context, err error) {
 	f.listed = false
-	if !f.lost {
-		f.lost = true
-		f.config.Lost(err)
+	if !f.unreachable {
+		f.unreachable = true
+		f.config.OnLost(err)
 	}
 	f.backoff.Wait(ctx)
 }
 
-func (f *Follower) succeeded() {
+func (f *Follower) recordSuccess() {
 	f.backoff.Reset()
-	if f.lost {
-		f.lost = false
-		f.config.Back()
+	if f.unreachable {
+		f.unreachable = false
+		f.config.OnRecovered()
 	}
 }
--- a/internal/control/store/follower_test.go
+++ b/internal/control/store/follower_test.go
@@ -14,42 +14,42 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/kv"
 )
 
-// seen is what a follower told of one key.
-type seen struct {
+// observedValue is what a follower told of one key.
+type observedValue struct {
 	mu    sync.Mutex
 	value string
 	lost  int
 }
 
-func (s *seen) set(item store.Item) {
+func (s *observedValue) set(item store.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.value = string(item.Value)
 }
 
-func (s *seen) get() string {
+func (s *observedValue) get() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.value
 }
 
-func follow(ctx context.Context, group *conc.WaitGroup, s store.Store, known *seen) {
+func follow(ctx context.Context, group *conc.WaitGroup, s store.Store, known *observedValue) {
 	f := store.NewFollower(store.FollowerConfig{
-		Store:  s,
-		Prefix: "op/",
-		Wait:   30 * time.Second,
-		Listed: func(_ context.Context, snapshot store.Snapshot) {
+		Store:        s,
+		Prefix:       "op/",
+		WatchTimeout: 30 * time.Second,
+		OnList: func(_ context.Context, snapshot store.Snapshot) {
 			for _, item := range snapshot.Items {
 				known.set(item)
 			}
 		},
-		Changed: func(_ context.Context, c store.Changes) {
+		OnChange: func(_ context.Context, c store.Changes) {
 			for _, e := range c.Events {
 				known.set(e.Item)
 			}
 		},
-		Lost: func(error) { known.lost++ },
-		Back: func() {},
+		OnLost:      func(error) { known.lost++ },
+		OnRecovered: func() {},
 	})
 	group.Go(func() { f.Run(ctx) })
 }
@@ -57,10 +57,10 @@
 // A change reaches a follower within a second of the end of whatever kept it away, with nothing further changing.
 func TestFollowerCatchesUp(t *testing.T) {
 	for name, disturb := range map[string]func(s *kv.Store){
-		"nothing": func(s *kv.Store) { s.Operator("op/config", []byte("2")) },
+		"nothing": func(s *kv.Store) { s.ForcePut("op/config", []byte("2")) },
 		"watches hear nothing, then the history is dropped and they are cut": func(s *kv.Store) {
-			s.SetFaults(kv.Faults{Deaf: true})
-			s.Operator("op/config", []byte("2"))
+			s.SetFaults(kv.Faults{StallWatches: true})
+			s.ForcePut("op/config", []byte("2"))
 			time.Sleep(time.Second)
 			s.SetFaults(kv.Faults{})
 			s.Compact()
@@ -68,7 +68,7 @@
 		"outage": func(s *kv.Store) {
 			s.SetFaults(kv.Faults{Down: true})
 			s.Compact()
-			s.Operator("op/config", []byte("2"))
+			s.ForcePut("op/config", []byte("2"))
 			time.Sleep(5 * time.Second)
 			s.SetFaults(kv.Faults{})
 		},
@@ -76,13 +76,13 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s, known := kv.New(), &seen{}
-				s.Operator("op/config", []byte("1"))
+				s, known := kv.New(), &observedValue{}
+				s.ForcePut("op/config", []byte("1"))
 				ctx, cancel := context.WithCancel(t.Context())
 				var group conc.WaitGroup
 				defer group.Wait()
 				defer cancel()
-				follow(ctx, &group, s.As("node_1"), known)
+				follow(ctx, &group, s.ForNode("node_1"), known)
 				time.Sleep(time.Second)
 				is.Equal(known.get(), "1")
 				disturb(s)
--- a/internal/control/zone/beat_test.go
+++ b/internal/control/zone/beat_test.go
@@ -55,9 +55,9 @@
 	return n, err
 }
 
-// BenchmarkBeat measures the bytes of one heartbeat with its answer, between nodes that agree, and sets the
+// BenchmarkHeartbeat measures the bytes of one heartbeat with its answer, between nodes that agree, and sets the
 // heartbeats of a zone with a leader against those of a zone where every member sends them to every other.
-func BenchmarkBeat(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -82,25 +82,25 @@
 	group.Go(func() { _ = drpcserver.New(mux).Serve(ctx, listener) })
 	pool := peer.NewPool(peer.PoolConfig{MaxPerPeer: 1, MaxIdle: time.Minute, DialTimeout: time.Second})
 	defer pool.Close()
-	client := zone.NewClient(zone.ClientConfig{Pool: pool, Node: "crew-scheduling_2", Zone: "lisbon_1", BeatTimeout: time.Second, Timeout: time.Second})
-	answer, err := client.Beat(ctx, inner.Addr().String(), zone.Beat{})
+	client := zone.NewClient(zone.ClientConfig{Pool: pool, Node: "crew-scheduling_2", Zone: "lisbon_1", HeartbeatTimeout: time.Second, Timeout: time.Second})
+	answer, err := client.SendHeartbeat(ctx, inner.Addr().String(), zone.Heartbeat{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	listener.bytes.Store(0)
-	beats := 0
+	heartbeats := 0
 	for b.Loop() {
-		if _, err := client.Beat(ctx, inner.Addr().String(), zone.Beat{Log: answer.Log, Seen: answer.Next}); err != nil {
+		if _, err := client.SendHeartbeat(ctx, inner.Addr().String(), zone.Heartbeat{LogID: answer.LogID, LogPosition: answer.NextPosition}); err != nil {
 			b.Fatal(err)
 		}
-		beats++
+		heartbeats++
 	}
-	bytes := float64(listener.bytes.Load()) / float64(beats)
+	bytes := float64(listener.bytes.Load()) / float64(heartbeats)
 	b.ReportMetric(bytes, "B/beat")
 	for _, members := range []int{12, 24, 48, 72} {
 		others := float64(members - 1)
-		led := others / membership.HeartbeatPeriod(zone.DefaultTiming.Beat, members).Seconds()
-		each := others / zone.DefaultTiming.Beat.Seconds()
+		led := others / membership.HeartbeatPeriod(zone.DefaultTiming.HeartbeatPeriod, members).Seconds()
+		each := others / zone.DefaultTiming.HeartbeatPeriod.Seconds()
 		b.ReportMetric(led, fmt.Sprintf("beats/s-led-%d", members))
 		b.ReportMetric(led*bytes, fmt.Sprintf("B/s-leader-%d", members))
 		b.ReportMetric(led*bytes/others, fmt.Sprintf("B/s-follower-%d", members))
--- a/internal/control/zone/client.go
+++ b/internal/control/zone/client.go
@@ -16,9 +16,9 @@
 	Pool *peer.Pool
 	Node string
 	Zone string
-	// BeatTimeout bounds one heartbeat, Timeout every other message.
-	BeatTimeout time.Duration
-	Timeout     time.Duration
+	// HeartbeatTimeout bounds one heartbeat, Timeout every other message.
+	HeartbeatTimeout time.Duration
+	Timeout          time.Duration
 }
 
 // Client sends control messages to other nodes.
@@ -31,63 +31,63 @@
 	return &Client{config: config}
 }
 
-// Beat is one heartbeat.
-type Beat struct {
+// Heartbeat is one heartbeat.
+type Heartbeat struct {
 	// Changed are records that the other node may lack.
 	Changed []membership.Record
-	// Log and Seen say which of the other node's changes are known.
-	Log  uint64
-	Seen uint64
+	// LogID and Seen say which of the other node's changes are known.
+	LogID       uint64
+	LogPosition uint64
 	// Leads says that the sender leads its zone, and Leased that it does so under a lease; Address is then its own.
 	Leads   bool
 	Leased  bool
 	Address string
 }
 
-// BeatAnswer is the answer to a heartbeat.
-type BeatAnswer struct {
+// HeartbeatAnswer is the answer to a heartbeat.
+type HeartbeatAnswer struct {
 	membership.Answer
 
-	Digest uint64
-	Log    uint64
-	Next   uint64
-	Newer  []membership.Change
+	Digest       uint64
+	LogID        uint64
+	NextPosition uint64
+	Newer        []membership.Change
 	// More says that further changes wait.
 	More bool
 }
 
-// Beat sends a heartbeat.
-func (c *Client) Beat(ctx context.Context, address string, b Beat) (BeatAnswer, error) {
+// SendHeartbeat sends a heartbeat.
+func (c *Client) SendHeartbeat(ctx context.Context, address string, h Heartbeat) (HeartbeatAnswer, error) {
 	request := &zonepb.BeatRequest{
 		Node:    c.config.Node,
 		Zone:    c.config.Zone,
-		Changed: recordMessages(b.Changed),
-		Log:     b.Log,
-		Seen:    b.Seen,
-		Leads:   b.Leads,
-		Leased:  b.Leased,
-		Address: b.Address,
+		Changed: recordMessages(h.Changed),
+		Log:     h.LogID,
+		Seen:    h.LogPosition,
+		Leads:   h.Leads,
+		Leased:  h.Leased,
+		Address: h.Address,
 	}
 	var reply *zonepb.BeatReply
-	err := c.use(ctx, address, c.config.BeatTimeout, func(ctx context.Context, z zonepb.DRPCZoneClient) (err error) {
+	err := c.withConn(ctx, address, c.config.HeartbeatTimeout, func(ctx context.Context, z zonepb.DRPCZoneClient) (err error) {
 		reply, err = z.Beat(ctx, request)
 		return err
 	})
-	return beatAnswer(reply), err
+	return heartbeatAnswerFrom(reply), err
 }
 
-func beatAnswer(m *zonepb.BeatReply) BeatAnswer {
-	return BeatAnswer{
+func heartbeatAnswerFrom(m *zonepb.BeatReply) HeartbeatAnswer {
+	return HeartbeatAnswer{
 		Answer: membership.Answer{
 			Leads:  m.GetLeads(),
 			Leased: m.GetLeased(),
 			Leader: membership.Target{Node: m.GetLeader(), Address: m.GetLeaderAddress()},
 		},
-		Digest: m.GetDigest(),
-		Log:    m.GetLog(),
-		Next:   m.GetNext(),
-		Newer:  changesFrom(m.GetNewer()),
-		More:   m.GetMore(),
+		Digest:       m.GetDigest(),
+		LogID:        m.GetLog(),
+		NextPosition: m.GetNext(),
+		Newer:        changesFrom(m.GetNewer()),
+		More:         m.GetMore(),
 	}
 }
 
@@ -106,14 +106,14 @@
 
 func (c *Client) exchange(ctx context.Context, address string, request *zonepb.ExchangeRequest) (*zonepb.ExchangeReply, error) {
 	var reply *zonepb.ExchangeReply
-	err := c.use(ctx, address, c.config.Timeout, func(ctx context.Context, z zonepb.DRPCZoneClient) (err error) {
+	err := c.withConn(ctx, address, c.config.Timeout, func(ctx context.Context, z zonepb.DRPCZoneClient) (err error) {
 		reply, err = z.Exchange(ctx, request)
 		return err
 	})
 	return reply, err
 }
 
-func (c *Client) use(ctx context.Context, address string, timeout time.Duration, f func(context.Context, zonepb.DRPCZoneClient) error) error {
+func (c *Client) withConn(ctx context.Context, address string, timeout time.Duration, f func(context.Context, zonepb.DRPCZoneClient) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return c.config.Pool.Use(ctx, address, func(conn drpc.Conn) error {
--- a/internal/control/zone/controller.go
+++ b/internal/control/zone/controller.go
@@ -61,57 +61,57 @@
 	Structure func(value []byte) membership.Structure
 }
 
-// renewals returns the kinds of records that are renewed all the time.
-func renewals(sections map[string]Section) []membership.RenewalRule {
-	var found []membership.RenewalRule
+// renewalRules returns the kinds of records that are renewed all the time.
+func renewalRules(sections map[string]Section) []membership.RenewalRule {
+	var rules []membership.RenewalRule
 	for prefix, section := range sections {
 		if section.Structure != nil {
-			found = append(found, membership.RenewalRule{Prefix: prefix, Structure: section.Structure})
+			rules = append(rules, membership.RenewalRule{Prefix: prefix, Structure: section.Structure})
 		}
 	}
-	return found
+	return rules
 }
 
 // Timing holds the intervals of the control plane.
 type Timing struct {
-	// Beat is the time between heartbeats in a small zone.
-	Beat time.Duration
-	// SilentAfter is the time without an answer after which a leader is no longer followed.
-	SilentAfter time.Duration
-	// DownAfter is the silence after which a member is down.
-	DownAfter time.Duration
+	// HeartbeatPeriod is the time between heartbeats in a small zone.
+	HeartbeatPeriod time.Duration
+	// FollowTimeout is the time without an answer after which a leader is no longer followed.
+	FollowTimeout time.Duration
+	// DownTimeout is the silence after which a member is down.
+	DownTimeout time.Duration
 	// LeaseTTL is the term of the leader's lease.
 	LeaseTTL time.Duration
-	// WatchWait is how long one watch of the documents waits at the platform. Between two watches a leader looks whether
+	// WatchTimeout is how long one watch of the documents waits at the platform. Between two watches a leader looks whether
 	// the platform went back to older content.
-	WatchWait time.Duration
-	// ZoneBeat is the time between heartbeats to the leader of each other zone, where there are few.
-	ZoneBeat time.Duration
+	WatchTimeout time.Duration
+	// InterZoneHeartbeatPeriod is the time between heartbeats to the leader of each other zone, where there are few.
+	InterZoneHeartbeatPeriod time.Duration
 }
 
 // DefaultTiming holds where nothing else is set.
 var DefaultTiming = Timing{
-	Beat:        250 * time.Millisecond,
-	SilentAfter: 750 * time.Millisecond,
-	DownAfter:   1200 * time.Millisecond,
-	LeaseTTL:    1500 * time.Millisecond,
-	WatchWait:   2 * time.Second,
-	ZoneBeat:    time.Second,
+	HeartbeatPeriod:          250 * time.Millisecond,
+	FollowTimeout:            750 * time.Millisecond,
+	DownTimeout:              1200 * time.Millisecond,
+	LeaseTTL:                 1500 * time.Millisecond,
+	WatchTimeout:             2 * time.Second,
+	InterZoneHeartbeatPeriod: time.Second,
 }
 
 const (
-	// askAgain is the time after which a node that gave no answer is asked again.
-	askAgain = 2 * time.Second
-	// candidates is how many nodes of a zone without a leader read the platform.
-	candidates = 3
-	// forgetEvery is the time between looks for records to drop.
-	forgetEvery = time.Minute
+	// retryInterval is the time after which a node that gave no answer is asked again.
+	retryInterval = 2 * time.Second
+	// candidateCount is how many nodes of a zone without a leader read the platform.
+	candidateCount = 3
+	// expiryCheckInterval is the time between looks for records to drop.
+	expiryCheckInterval = time.Minute
 )
 
 // Counts are what the controller sent and took, for metrics.
 type Counts struct {
-	BeatsSent     uint64 `json:"beats_sent"`
-	BeatsReceived uint64 `json:"beats_received"`
+	HeartbeatsSent     uint64 `json:"beats_sent"`
+	HeartbeatsReceived uint64 `json:"beats_received"`
 	// Repairs are comparisons of digests after heartbeats that left a difference.
 	Repairs       uint64 `json:"repairs"`
 	PlatformCalls uint64 `json:"platform_calls"`
@@ -122,27 +122,27 @@
 type Controller struct {
 	config   Config
 	sections map[string]Section
-	kick     chan struct{}
+	wakeup   chan struct{}
 	tasks    *tasks
 
 	records  *membership.Records
 	detector *membership.Detector
 	election *membership.Election
 	role     membership.Role
-	// log names this process's order of changes to other nodes.
-	log         uint64
+	// logID names this process's order of changes to other nodes.
+	logID       uint64
 	incarnation uint64
 	sequence    uint64
 	own         membership.Member
 	// members are the decoded records of all members, also of those that are down.
 	members map[string]membership.Member
 	// zoneChanges counts the changes of the records of the zone's members.
-	zoneChanges uint64
-	ownRenewed  time.Time
-	links       map[string]*link
-	lead        leadership
-	forgot      time.Time
-	counts      Counts
+	zoneChanges     uint64
+	ownRenewedAt    time.Time
+	links           map[string]*link
+	leadership      leadership
+	expiryCheckedAt time.Time
+	counts          Counts
 }
 
 // NewController returns a controller.
@@ -150,22 +150,22 @@
 	c := &Controller{
 		config:      config,
 		sections:    map[string]Section{},
-		kick:        make(chan struct{}, 1),
+		wakeup:      make(chan struct{}, 1),
 		tasks:       newTasks(),
-		records:     membership.NewRecords(renewals(config.Sections)...),
-		detector:    membership.NewDetector(config.Timing.DownAfter),
+		records:     membership.NewRecords(renewalRules(config.Sections)...),
+		detector:    membership.NewDetector(config.Timing.DownTimeout),
 		role:        membership.Following,
-		log:         config.Incarnation,
+		logID:       config.Incarnation,
 		incarnation: config.Incarnation,
 		links:       map[string]*link{},
 		members:     map[string]membership.Member{},
-		lead:        newLeadership(),
+		leadership:  newLeadership(),
 	}
 	c.election = membership.NewElection(membership.ElectionConfig{
 		Node:          config.Board.Snapshot().Self.Node,
-		FollowTimeout: config.Timing.SilentAfter,
-		RetryInterval: askAgain,
-		Candidates:    candidates,
+		FollowTimeout: config.Timing.FollowTimeout,
+		RetryInterval: retryInterval,
+		Candidates:    candidateCount,
 	})
 	maps.Copy(c.sections, config.Sections)
 	c.sections[membership.MemberPrefix] = Section{Publish: c.publishMembers}
@@ -183,18 +183,18 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		c.tick(ctx)
-		c.pause(ctx)
+		c.waitForTick(ctx)
 	}
 }
 
-// pause waits for the next heartbeat, or for a change that is to spread at once.
-func (c *Controller) pause(ctx context.Context) {
+// waitForTick waits for the next heartbeat, or for a change that is to spread at once.
+func (c *Controller) waitForTick(ctx context.Context) {
 	b := c.config.Board.Snapshot()
-	timer := time.NewTimer(membership.HeartbeatPeriod(c.config.Timing.Beat, b.Members.InZone(b.Self.Zone)))
+	timer := time.NewTimer(membership.HeartbeatPeriod(c.config.Timing.HeartbeatPeriod, b.Members.CountInZone(b.Self.Zone)))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-c.kick:
+	case <-c.wakeup:
 	case <-timer.C:
 	}
 }
@@ -202,20 +202,20 @@
 func (c *Controller) tick(ctx context.Context) {
 	var plan membership.Plan
 	c.config.Board.Do(ctx, func(b *board.Board) {
-		c.forget(time.Now())
-		c.refreshSelf(b)
+		c.dropExpired(time.Now())
+		c.refreshOwnRecord(b)
 		plan = c.plan(b)
 	})
 	for _, t := range plan.HeartbeatTargets {
-		c.tasks.start("beat "+t.Address, func() { c.beat(ctx, t) })
+		c.tasks.start("beat "+t.Address, func() { c.sendHeartbeat(ctx, t) })
 	}
 	if plan.ReadPlatform {
 		c.tasks.start("read leader", func() { c.readLeader(ctx) })
 	}
 	if plan.Role != membership.Leading && len(plan.HeartbeatTargets) == 0 {
-		c.askSeeds(ctx)
+		c.contactSeeds(ctx)
 	}
-	c.leadZone(ctx, plan.Role)
+	c.performRole(ctx, plan.Role)
 }
 
 // plan asks the election what to do, and shows the board what it says. It runs in the control goroutine.
@@ -244,12 +244,12 @@
 }
 
 func (c *Controller) changeRole(b *board.Board, role membership.Role) {
-	before := c.role
+	previous := c.role
 	c.role = role
 	switch {
 	case role == membership.Leading:
 		c.config.Log.Emit(events.LeaderElected, events.Fields{"zone": b.Self.Zone, "term": c.election.Term()})
-	case before == membership.Leading:
+	case previous == membership.Leading:
 		c.config.Log.Emit(events.LeaderLost, events.Fields{"zone": b.Self.Zone, "term": c.election.Term()})
 	case role == membership.Spreading:
 		c.config.Log.Emit(events.LeaderUnleased, events.Fields{"zone": b.Self.Zone})
@@ -274,9 +274,9 @@
 	}
 }
 
-// refreshSelf renews the node's own record where the board shows that it changed, and refutes a mark that the node is
+// refreshOwnRecord renews the node's own record where the board shows that it changed, and refutes a mark that the node is
 // down. A node that reaches its leader only through another renews it again and again, as a sign of life.
-func (c *Controller) refreshSelf(b *board.Board) {
+func (c *Controller) refreshOwnRecord(b *board.Board) {
 	own := selfMember(b)
 	held, _ := c.records.Get(membership.MemberPrefix + own.Node)
 	if held.Version.Epoch > c.incarnation {
@@ -285,9 +285,9 @@
 	now := time.Now()
 	followed, leads, _ := c.election.Followed(now)
 	relayed := followed.Node != "" && !leads
-	signOfLife := relayed && now.Sub(c.ownRenewed) > c.config.Timing.Beat
-	mine := membership.Version{Epoch: c.incarnation, Sequence: c.sequence}
-	if own == c.own && held.Version.Compare(mine) == 0 && !signOfLife {
+	renewalDue := relayed && now.Sub(c.ownRenewedAt) > c.config.Timing.HeartbeatPeriod
+	ownVersion := membership.Version{Epoch: c.incarnation, Sequence: c.sequence}
+	if own == c.own && held.Version.Compare(ownVersion) == 0 && !renewalDue {
 		return
 	}
 	marked := held.Version.Epoch == c.incarnation && membership.IsDownMark(held.Version)
@@ -298,7 +298,7 @@
 		c.sequence = max(c.sequence, held.Version.Sequence)
 	}
 	c.own = own
-	c.ownRenewed = now
+	c.ownRenewedAt = now
 	c.sequence = membership.NextOwnSequence(c.sequence)
 	c.offer(b, own.Record(membership.Version{Epoch: c.incarnation, Sequence: c.sequence}))
 }
@@ -317,7 +317,7 @@
 		CallerAddress: b.Self.CallerAddress,
 		Service:       b.Backend.Service,
 		Slots:         b.Backend.Slots,
-		Connections:   b.Backend.Connections,
+		Connections:   b.Backend.MaxConnections,
 		State:         state,
 		BackendLost:   b.Backend.IsLost(),
 		Successor:     b.Self.Successor,
@@ -328,14 +328,14 @@
 // merge takes records in and renews the sections of the board that they concern. It runs in the control goroutine.
 func (c *Controller) merge(b *board.Board, received ...membership.Record) {
 	now := time.Now()
-	received = slices.DeleteFunc(received, func(r membership.Record) bool { return !isSound(r) || isForgotten(r, now) })
+	received = slices.DeleteFunc(received, func(r membership.Record) bool { return !hasMatchingVersion(r) || isExpiredMember(r, now) })
 	changed := c.records.Merge(received...)
 	if len(changed) > 0 {
 		c.publish(b, changed)
 	}
 }
 
-func isForgotten(r membership.Record, now time.Time) bool {
+func isExpiredMember(r membership.Record, now time.Time) bool {
 	if !strings.HasPrefix(r.Key, membership.MemberPrefix) {
 		return false
 	}
@@ -343,12 +343,12 @@
 	return err != nil || m.IsExpired(now)
 }
 
-// forget drops the records of members that have been down for long. It runs in the control goroutine.
-func (c *Controller) forget(now time.Time) {
-	if now.Sub(c.forgot) < forgetEvery {
+// dropExpired drops the records of members that have been down for long. It runs in the control goroutine.
+func (c *Controller) dropExpired(now time.Time) {
+	if now.Sub(c.expiryCheckedAt) < expiryCheckInterval {
 		return
 	}
-	c.forgot = now
+	c.expiryCheckedAt = now
 	for node, m := range c.members {
 		if m.IsExpired(now) {
 			c.records.Drop(membership.MemberPrefix + node)
@@ -376,7 +376,7 @@
 // wake makes the next heartbeat due.
 func (c *Controller) wake() {
 	select {
-	case c.kick <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/control/zone/document.go
+++ b/internal/control/zone/document.go
@@ -81,16 +81,16 @@
 	return membership.Record{Key: key, Version: d.Version(), Value: value}, trace.Wrap(err)
 }
 
-// After returns the document with the earlier one at the head of its history.
-func (d StoredDocument) After(earlier StoredDocument) StoredDocument {
+// WithPrevious returns the document with the earlier one at the head of its history.
+func (d StoredDocument) WithPrevious(previous StoredDocument) StoredDocument {
 	d.History = nil
-	if earlier.Revision == 0 {
+	if previous.Revision == 0 {
 		return d
 	}
-	edits := earlier.History
-	earlier.History = nil
+	edits := previous.History
+	previous.History = nil
 	size := 0
-	for _, edit := range append([]StoredDocument{earlier}, edits...) {
+	for _, edit := range append([]StoredDocument{previous}, edits...) {
 		size += len(edit.Source)
 		if len(d.History) == maxHistoryEdits || size > maxHistoryBytes {
 			break
@@ -104,20 +104,20 @@
 // restored to older content has. Where both have one revision, the document gets the next. It returns the document
 // as it is now in the platform, or the held one unchanged where the entry is not behind.
 func Reinstate(ctx context.Context, client *platform.Client, key string, entry platform.Entry, held StoredDocument) (StoredDocument, platform.Entry, error) {
-	standing, err := parseStanding(entry)
+	current, err := parsePlatformDocument(entry)
 	if err != nil {
 		return held, entry, trace.Wrap(err)
 	}
-	if held.Version().Compare(standing.Stored.Version()) <= 0 {
+	if held.Version().Compare(current.Stored.Version()) <= 0 {
 		return held, entry, nil
 	}
-	if held.Revision == standing.Stored.Revision {
+	if held.Revision == current.Stored.Revision {
 		held.Revision++
 	}
-	if err := standing.readHistory(ctx, client, strings.TrimPrefix(key, DocumentPrefix)); err != nil {
+	if err := current.readHistory(ctx, client, strings.TrimPrefix(key, DocumentPrefix)); err != nil {
 		return held, entry, trace.Wrap(err)
 	}
-	written, err := standing.Replace(ctx, client, held)
+	written, err := current.Replace(ctx, client, held)
 	return held, written, trace.Wrap(err)
 }
 
@@ -133,8 +133,8 @@
 	return []membership.Record{r}
 }
 
-// isSound reports whether the version of a document's record is that of the document in it.
-func isSound(r membership.Record) bool {
+// hasMatchingVersion reports whether the version of a document's record is that of the document in it.
+func hasMatchingVersion(r membership.Record) bool {
 	if !strings.HasPrefix(r.Key, DocumentPrefix) {
 		return true
 	}
@@ -152,7 +152,7 @@
 
 // reinstate writes each document held here that is newer than its entry, or has none, back to the platform. Entries
 // holds what a watch returned; whole says that it returned everything.
-func (c *Controller) reinstate(ctx context.Context, entries []platform.Entry, whole bool) error {
+func (c *Controller) reinstate(ctx context.Context, entries []platform.Entry, full bool) error {
 	stored := map[string]platform.Entry{}
 	for _, e := range entries {
 		stored[e.Key] = e
@@ -160,18 +160,18 @@
 	var failures []error
 	for _, r := range c.heldDocuments(ctx) {
 		entry, changed := stored[r.Key]
-		if !changed && !whole {
+		if !changed && !full {
 			continue
 		}
 		if entry.Deleted {
 			entry = platform.Entry{}
 		}
-		failures = append(failures, c.reinstateOne(ctx, r, entry))
+		failures = append(failures, c.reinstateDocument(ctx, r, entry))
 	}
 	return errors.Join(failures...)
 }
 
-func (c *Controller) reinstateOne(ctx context.Context, r membership.Record, entry platform.Entry) error {
+func (c *Controller) reinstateDocument(ctx context.Context, r membership.Record, entry platform.Entry) error {
 	held, err := ParseStored(r.Value)
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/control/zone/document_test.go
+++ b/internal/control/zone/document_test.go
@@ -17,7 +17,7 @@
 
 const source = "[service]\nname = access\nteam = access-team\n\n[kind all]\npath = /*\nrank = 2\nidempotent = true\n"
 
-func TestWhichDocumentStands(t *testing.T) {
+func TestNewestDocumentWins(t *testing.T) {
 	early := time.Unix(1_800_000_000, 0)
 	edit := func(revision uint64, operation string, at time.Time) zone.StoredDocument {
 		return zone.StoredDocument{Revision: revision, Source: source, Operation: operation, Time: at}
--- a/internal/control/zone/elect.go
+++ b/internal/control/zone/elect.go
@@ -37,15 +37,15 @@
 func (c *Controller) readLeader(ctx context.Context) {
 	self := c.config.Board.Snapshot().Self
 	entry, err := c.config.Platform.Get(ctx, LeaderPrefix+self.Zone)
-	c.answered(ctx, err)
+	c.recordPlatformResult(ctx, err)
 	named := parseLeader(entry.Value)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
-		c.takeLead(ctx, self, platform.Entry{})
+		c.acquireLeadership(ctx, self, platform.Entry{})
 	case err != nil:
 		return
 	case named.Node == self.Node:
-		c.takeLead(ctx, self, entry) // An earlier process of this node, or a lease that this one lost track of.
+		c.acquireLeadership(ctx, self, entry) // An earlier process of this node, or a lease that this one lost track of.
 	default:
 		c.config.Board.Do(ctx, func(*board.Board) {
 			c.election.RecordPlatformLeader(membership.Target{Node: named.Node, Address: named.PeerAddress})
@@ -53,37 +53,37 @@
 	}
 }
 
-// takeLead writes the node into the place of the entry, under a lease of its own.
-func (c *Controller) takeLead(ctx context.Context, self board.Self, entry platform.Entry) {
+// acquireLeadership writes the node into the place of the entry, under a lease of its own.
+func (c *Controller) acquireLeadership(ctx context.Context, self board.Self, entry platform.Entry) {
 	stored, err := c.config.Platform.Get(ctx, zonePrefix+self.Zone)
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	lease, err := c.config.Platform.GrantLease(ctx, c.config.Timing.LeaseTTL)
 	if err != nil {
 		return
 	}
-	value := leaderValue{Node: self.Node, PeerAddress: self.PeerAddress, Incarnation: c.log, Term: c.nextTerm(ctx, stored)}
+	value := leaderValue{Node: self.Node, PeerAddress: self.PeerAddress, Incarnation: c.logID, Term: c.nextTerm(ctx, stored)}
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return
 	}
-	swap := platform.Swap{Key: entryKey(self), Value: encoded, Expected: entry.Revision, Lease: lease.ID}
+	swap := platform.Swap{Key: leaderKey(self), Value: encoded, Expected: entry.Revision, Lease: lease.ID}
 	written, err := c.config.Platform.CompareAndSwap(ctx, swap)
 	if err != nil {
 		return // Another was first, or the answer was lost; then the lease lapses or the next read finds this node.
 	}
 	c.config.Board.Do(ctx, func(b *board.Board) {
-		c.election.RecordLeaseGranted(membership.Lease{Term: value.Term, Until: asked.Add(c.config.Timing.LeaseTTL)})
-		c.lead.begin(lease, asked, encoded, stored.Revision)
-		c.presumePredecessor(b)
+		c.election.RecordLeaseGranted(membership.Lease{Term: value.Term, Until: requestedAt.Add(c.config.Timing.LeaseTTL)})
+		c.leadership.beginTerm(lease, requestedAt, encoded, stored.Revision)
+		c.presumePredecessorDown(b)
 		c.offer(b, decodeLeader(written)...)
 	})
 	c.wake()
 }
 
-func entryKey(self board.Self) string {
+func leaderKey(self board.Self) string {
 	return LeaderPrefix + self.Zone
 }
 
@@ -93,16 +93,16 @@
 	_ = json.Unmarshal(stored.Value, &v) // Without a value the zone begins anew.
 	term := v.Term
 	c.config.Board.Do(ctx, func(b *board.Board) {
-		held, _ := c.records.Get(entryKey(b.Self))
+		held, _ := c.records.Get(leaderKey(b.Self))
 		term = max(term, held.Version.Epoch, c.election.Term())
 	})
 	return term + 1
 }
 
-// presumePredecessor calls the leader before this one down where it gave no answer while its lease lapsed.
-func (c *Controller) presumePredecessor(b *board.Board) {
+// presumePredecessorDown calls the leader before this one down where it gave no answer while its lease lapsed.
+func (c *Controller) presumePredecessorDown(b *board.Board) {
 	c.detector.Reset()
-	held, found := c.records.Get(entryKey(b.Self))
+	held, found := c.records.Get(leaderKey(b.Self))
 	predecessor := parseLeader(held.Value).Node
 	if found && predecessor != b.Self.Node && c.election.IsUnresponsive(predecessor) {
 		c.detector.PresumeDown(predecessor, time.Now())
@@ -111,25 +111,25 @@
 
 // renewLease keeps the lease. What was asked for before a pause counts from then.
 func (c *Controller) renewLease(ctx context.Context) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	var lease platform.Lease
-	c.config.Board.Do(ctx, func(*board.Board) { lease = c.lead.lease })
+	c.config.Board.Do(ctx, func(*board.Board) { lease = c.leadership.lease })
 	err := c.config.Platform.RenewLease(ctx, lease)
-	c.answered(ctx, err)
+	c.recordPlatformResult(ctx, err)
 	c.config.Board.Do(ctx, func(*board.Board) {
 		switch {
-		case lease.ID != c.lead.lease.ID:
+		case lease.ID != c.leadership.lease.ID:
 		case err == nil:
-			c.lead.renewed = asked
-			c.election.RecordLeaseRenewed(asked.Add(c.config.Timing.LeaseTTL))
+			c.leadership.leaseRenewedAt = requestedAt
+			c.election.RecordLeaseRenewed(requestedAt.Add(c.config.Timing.LeaseTTL))
 		case errors.Is(err, platform.ErrNotFound):
 			c.election.RecordLeaseLost()
 		}
 	})
 }
 
-// answered notes whether the platform answered.
-func (c *Controller) answered(ctx context.Context, err error) {
+// recordPlatformResult notes whether the platform answered.
+func (c *Controller) recordPlatformResult(ctx context.Context, err error) {
 	reachable := err == nil || errors.Is(err, platform.ErrNotFound) || errors.Is(err, platform.ErrCompareFailed)
 	if ctx.Err() != nil {
 		return
--- a/internal/control/zone/follow.go
+++ b/internal/control/zone/follow.go
@@ -11,27 +11,27 @@
 const (
 	// mismatchesToRepair is how many heartbeats in a row show another digest before buckets are compared.
 	mismatchesToRepair = 3
-	// repairEvery is the least time between two comparisons with one node.
-	repairEvery = 3 * time.Second
-	// linkIdle is the time after which what is known of another node's log is forgotten.
-	linkIdle = time.Minute
+	// minRepairInterval is the least time between two comparisons with one node.
+	minRepairInterval = 3 * time.Second
+	// linkIdleTimeout is the time after which what is known of another node's log is forgotten.
+	linkIdleTimeout = time.Minute
 )
 
 // link is what a node knows of another one that it sends heartbeats to.
 type link struct {
-	log  uint64
-	seen uint64
+	logID       uint64
+	logPosition uint64
 	// pending are the keys of records that were made here and that the other node may lack.
 	pending map[string]bool
-	// pulls says that the other node sends heartbeats here as well, so that nothing need be sent to it.
-	pulls      bool
-	mismatches int
-	repaired   time.Time
-	used       time.Time
+	// sendsHeartbeats says that the other node sends heartbeats here as well, so that nothing need be sent to it.
+	sendsHeartbeats bool
+	mismatches      int
+	repairedAt      time.Time
+	usedAt          time.Time
 }
 
 func (l *link) offer(records []membership.Record) {
-	if l.pulls {
+	if l.sendsHeartbeats {
 		return
 	}
 	for _, r := range records {
@@ -44,19 +44,19 @@
 	l, ok := c.links[address]
 	if !ok {
 		for other, held := range c.links {
-			if now.Sub(held.used) > linkIdle {
+			if now.Sub(held.usedAt) > linkIdleTimeout {
 				delete(c.links, other)
 			}
 		}
 		l = &link{pending: map[string]bool{membership.MemberPrefix + c.own.Node: true}}
 		c.links[address] = l
 	}
-	l.used = now
+	l.usedAt = now
 	return l
 }
 
-// beat sends a heartbeat to a node of the same zone and tells the election of the answer.
-func (c *Controller) beat(ctx context.Context, t membership.Target) {
+// sendHeartbeat sends a heartbeat to a node of the same zone and tells the election of the answer.
+func (c *Controller) sendHeartbeat(ctx context.Context, t membership.Target) {
 	answer, err := c.synchronize(ctx, t.Address)
 	if ctx.Err() != nil {
 		return
@@ -73,14 +73,14 @@
 }
 
 // synchronize exchanges heartbeats with the node at the address until both have the other's changes.
-func (c *Controller) synchronize(ctx context.Context, address string) (BeatAnswer, error) {
+func (c *Controller) synchronize(ctx context.Context, address string) (HeartbeatAnswer, error) {
 	for {
-		request := c.beatRequest(ctx, address)
-		answer, err := c.config.Peers.Beat(ctx, address, request)
+		request := c.newHeartbeat(ctx, address)
+		answer, err := c.config.Peers.SendHeartbeat(ctx, address, request)
 		if err != nil {
 			return answer, err
 		}
-		if c.takeAnswer(ctx, address, request, answer) {
+		if c.applyAnswer(ctx, address, request, answer) {
 			c.repair(ctx, address)
 		}
 		if !answer.More {
@@ -89,12 +89,12 @@
 	}
 }
 
-func (c *Controller) beatRequest(ctx context.Context, address string) Beat {
-	var request Beat
+func (c *Controller) newHeartbeat(ctx context.Context, address string) Heartbeat {
+	var request Heartbeat
 	c.config.Board.Do(ctx, func(b *board.Board) {
-		c.counts.BeatsSent++
+		c.counts.HeartbeatsSent++
 		l := c.link(address, time.Now())
-		request.Log, request.Seen = l.log, l.seen
+		request.LogID, request.LogPosition = l.logID, l.logPosition
 		for key := range l.pending {
 			if r, ok := c.records.Get(key); ok {
 				request.Changed = append(request.Changed, r)
@@ -108,16 +108,16 @@
 	return request
 }
 
-// takeAnswer takes the changes in and reports whether buckets should be compared.
-func (c *Controller) takeAnswer(ctx context.Context, address string, request Beat, answer BeatAnswer) bool {
+// applyAnswer takes the changes in and reports whether buckets should be compared.
+func (c *Controller) applyAnswer(ctx context.Context, address string, request Heartbeat, answer HeartbeatAnswer) bool {
 	repair := false
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		now := time.Now()
 		l := c.link(address, now)
 		c.acknowledge(l, request.Changed)
-		whole := c.mergeChanges(b, answer.Newer)
+		allApplied := c.mergeChanges(b, answer.Newer)
 		if answer.More {
-			l.seen = answer.Next
+			l.logPosition = answer.NextPosition
 			return
 		}
 		if c.records.Digest() == answer.Digest {
@@ -125,14 +125,14 @@
 		} else {
 			l.mismatches++
 		}
-		unknownLog := l.log != answer.Log && l.mismatches > 0
-		l.log, l.seen = answer.Log, answer.Next
-		if !whole {
-			l.log = 0 // The next heartbeat begins anew.
+		unknownLog := l.logID != answer.LogID && l.mismatches > 0
+		l.logID, l.logPosition = answer.LogID, answer.NextPosition
+		if !allApplied {
+			l.logID = 0 // The next heartbeat begins anew.
 		}
-		if unknownLog || (l.mismatches >= mismatchesToRepair && now.Sub(l.repaired) > repairEvery) {
+		if unknownLog || (l.mismatches >= mismatchesToRepair && now.Sub(l.repairedAt) > minRepairInterval) {
 			repair = true
-			l.repaired = now
+			l.repairedAt = now
 			c.counts.Repairs++
 		}
 	})
@@ -141,7 +141,7 @@
 
 // mergeChanges takes changes in and reports whether each patch among them fitted.
 func (c *Controller) mergeChanges(b *board.Board, changes []membership.Change) bool {
-	whole := true
+	allApplied := true
 	var received []membership.Record
 	for _, change := range changes {
 		held, _ := c.records.Get(change.Record.Key)
@@ -151,14 +151,14 @@
 			received = append(received, change.Record)
 		case !known:
 			r, fits := change.Patch.Apply(held)
-			whole = whole && fits
+			allApplied = allApplied && fits
 			if fits {
 				received = append(received, r)
 			}
 		}
 	}
 	c.merge(b, received...)
-	return whole
+	return allApplied
 }
 
 // acknowledge drops the records that were sent from those to be sent, unless they have changed since.
@@ -186,41 +186,41 @@
 		offered = c.records.NewerThan(theirs, versions)
 	})
 	for len(wanted)+len(offered) > 0 {
-		part, rest := split(offered)
-		newer, err := c.config.Peers.Exchange(ctx, address, wanted, part)
-		if err != nil || (len(newer) == 0 && len(part) == 0) {
+		batch, rest := splitToFit(offered)
+		newer, err := c.config.Peers.Exchange(ctx, address, wanted, batch)
+		if err != nil || (len(newer) == 0 && len(batch) == 0) {
 			return
 		}
 		offered = rest
 		c.config.Board.Do(ctx, func(b *board.Board) {
 			c.merge(b, newer...)
-			wanted = c.records.MissingKeys(pick(versions, wanted))
+			wanted = c.records.MissingKeys(selectVersions(versions, wanted))
 		})
 	}
 }
 
-// split returns as many records as fit in a message, and the others.
-func split(records []membership.Record) (part, rest []membership.Record) {
-	room := maxRecordBytes
+// splitToFit returns as many records as fit in a message, and the others.
+func splitToFit(records []membership.Record) (batch, rest []membership.Record) {
+	remaining := maxRecordBytes
 	for i, r := range records {
-		room -= len(r.Value)
-		if i > 0 && room < 0 {
+		remaining -= len(r.Value)
+		if i > 0 && remaining < 0 {
 			return records[:i], records[i:]
 		}
 	}
 	return records, nil
 }
 
-func pick(versions map[string]membership.Version, keys []string) map[string]membership.Version {
-	picked := make(map[string]membership.Version, len(keys))
+func selectVersions(versions map[string]membership.Version, keys []string) map[string]membership.Version {
+	selected := make(map[string]membership.Version, len(keys))
 	for _, key := range keys {
-		picked[key] = versions[key]
+		selected[key] = versions[key]
 	}
-	return picked
+	return selected
 }
 
-// askSeeds joins through the configured addresses where no other node is known.
-func (c *Controller) askSeeds(ctx context.Context) {
+// contactSeeds joins through the configured addresses where no other node is known.
+func (c *Controller) contactSeeds(ctx context.Context) {
 	for _, address := range c.config.Seeds {
 		c.tasks.start("beat "+address, func() { _, _ = c.synchronize(ctx, address) })
 	}
--- a/internal/control/zone/history.go
+++ b/internal/control/zone/history.go
@@ -15,14 +15,14 @@
 // HistoryPrefix begins the keys of the earlier edits of documents. No leader lists or watches them.
 const HistoryPrefix = "history/"
 
-// ErrHistoryLags says that the platform showed a document before the history that belongs to it.
-var ErrHistoryLags = errors.New("the platform shows an older history than the document's")
+// ErrHistoryStale says that the platform showed a document before the history that belongs to it.
+var ErrHistoryStale = errors.New("the platform shows an older history than the document's")
 
-// Standing is a document as it stands in the platform, with its history. All is zero where there is no document.
+// PlatformDocument is a document as it stands in the platform, with its history. All is zero where there is no document.
 //
 // An edit gets into the history before another takes its place, so who reads the document and then its history misses
 // no edit. One compare-and-swap on the document decides which edit takes its place.
-type Standing struct {
+type PlatformDocument struct {
 	Stored   StoredDocument
 	Entry    platform.Entry
 	replaces string
@@ -37,13 +37,13 @@
 	Replaces string `json:"replaces,omitempty"`
 }
 
-// ReadStanding reads the document of the service and then its history.
-func ReadStanding(ctx context.Context, client *platform.Client, service string) (Standing, error) {
+// ReadPlatformDocument reads the document of the service and then its history.
+func ReadPlatformDocument(ctx context.Context, client *platform.Client, service string) (PlatformDocument, error) {
 	entry, err := getOrNone(ctx, client, DocumentPrefix+service)
 	if err != nil {
-		return Standing{}, trace.Wrap(err)
+		return PlatformDocument{}, trace.Wrap(err)
 	}
-	s, err := parseStanding(entry)
+	s, err := parsePlatformDocument(entry)
 	if err != nil {
 		return s, trace.Wrap(err)
 	}
@@ -59,8 +59,8 @@
 	return entry, trace.Wrap(err)
 }
 
-func parseStanding(entry platform.Entry) (Standing, error) {
-	s := Standing{Entry: entry}
+func parsePlatformDocument(entry platform.Entry) (PlatformDocument, error) {
+	s := PlatformDocument{Entry: entry}
 	if entry.Revision == 0 {
 		return s, nil
 	}
@@ -71,7 +71,7 @@
 }
 
 // readHistory adds the edits in the history to those in the document, as earlier versions of the program wrote it.
-func (s *Standing) readHistory(ctx context.Context, client *platform.Client, service string) error {
+func (s *PlatformDocument) readHistory(ctx context.Context, client *platform.Client, service string) error {
 	var err error
 	if s.history, err = getOrNone(ctx, client, HistoryPrefix+service); err != nil {
 		return trace.Wrap(err)
@@ -83,23 +83,23 @@
 		return trace.Wrap(err)
 	}
 	for _, edit := range edits {
-		if !holds(s.Stored.History, edit) {
+		if !containsEdit(s.Stored.History, edit) {
 			s.Stored.History = append(s.Stored.History, edit)
 		}
 	}
-	if s.historyLags(time.Now()) {
-		return trace.Wrap(ErrHistoryLags)
+	if s.isHistoryStale(time.Now()) {
+		return trace.Wrap(ErrHistoryStale)
 	}
 	return nil
 }
 
-// longestLag is how far the platform's reads may lag. A history that still lacks an edit after that has lost it, which
+// maxReadLag is how far the platform's reads may lag. A history that still lacks an edit after that has lost it, which
 // must not stand in the way of further edits.
-const longestLag = time.Minute
+const maxReadLag = time.Minute
 
-func (s *Standing) historyLags(now time.Time) bool {
+func (s *PlatformDocument) isHistoryStale(now time.Time) bool {
 	_, found := s.Stored.Find(s.replaces)
-	return s.replaces != "" && !found && now.Sub(s.Stored.Time) < longestLag
+	return s.replaces != "" && !found && now.Sub(s.Stored.Time) < maxReadLag
 }
 
 func parseHistory(entry platform.Entry) ([]StoredDocument, error) {
@@ -111,8 +111,8 @@
 }
 
 // Replace puts the document that stands into the history and the next one in its place.
-func (s Standing) Replace(ctx context.Context, client *platform.Client, next StoredDocument) (platform.Entry, error) {
-	if err := s.keep(ctx, client, next.After(s.Stored).History); err != nil {
+func (s PlatformDocument) Replace(ctx context.Context, client *platform.Client, next StoredDocument) (platform.Entry, error) {
+	if err := s.writeHistory(ctx, client, next.WithPrevious(s.Stored).History); err != nil {
 		return platform.Entry{}, trace.Wrap(err)
 	}
 	next.History = nil
@@ -124,32 +124,32 @@
 	return written, trace.Wrap(err)
 }
 
-// keep writes the history unless it has the document that stands. Another edit of it may have put that there as well.
-func (s Standing) keep(ctx context.Context, client *platform.Client, edits []StoredDocument) error {
-	if len(edits) == 0 || s.isKept(s.history) {
+// writeHistory writes the history unless it has the document that stands. Another edit of it may have put that there as well.
+func (s PlatformDocument) writeHistory(ctx context.Context, client *platform.Client, edits []StoredDocument) error {
+	if len(edits) == 0 || s.isInHistory(s.history) {
 		return nil
 	}
 	value, err := json.Marshal(edits)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	_, failure := client.CompareAndSwap(ctx, platform.Swap{Key: s.history.Key, Value: value, Expected: s.history.Revision})
-	if failure == nil {
+	_, writeErr := client.CompareAndSwap(ctx, platform.Swap{Key: s.history.Key, Value: value, Expected: s.history.Revision})
+	if writeErr == nil {
 		return nil
 	}
-	now, err := getOrNone(ctx, client, s.history.Key)
-	if err == nil && s.isKept(now) {
+	current, err := getOrNone(ctx, client, s.history.Key)
+	if err == nil && s.isInHistory(current) {
 		return nil
 	}
-	return trace.Wrap(failure)
+	return trace.Wrap(writeErr)
 }
 
-// isKept reports whether the history holds the document that stands.
-func (s Standing) isKept(history platform.Entry) bool {
+// isInHistory reports whether the history holds the document that stands.
+func (s PlatformDocument) isInHistory(history platform.Entry) bool {
 	edits, err := parseHistory(history)
-	return err == nil && holds(edits, s.Stored)
+	return err == nil && containsEdit(edits, s.Stored)
 }
 
-func holds(edits []StoredDocument, one StoredDocument) bool {
-	return slices.ContainsFunc(edits, func(edit StoredDocument) bool { return edit.Version() == one.Version() })
+func containsEdit(edits []StoredDocument, target StoredDocument) bool {
+	return slices.ContainsFunc(edits, func(edit StoredDocument) bool { return edit.Version() == target.Version() })
 }
--- a/internal/control/zone/leader.go
+++ b/internal/control/zone/leader.go
@@ -16,82 +16,82 @@
 
 // leadership is what a leader keeps for its duties. It belongs to the control goroutine.
 type leadership struct {
-	lease   platform.Lease
-	renewed time.Time
-	// value is what the leader wrote under the lease.
-	value []byte
+	lease          platform.Lease
+	leaseRenewedAt time.Time
+	// leaderEntryValue is what the leader wrote under the lease.
+	leaderEntryValue []byte
 	// zoneRevision is that of the zone's entry, and published how many changes of the members are in it.
-	zoneRevision uint64
-	published    uint64
+	zoneRevision     uint64
+	publishedChanges uint64
 	// stopWatch ends the watch of this term.
 	stopWatch context.CancelFunc
-	// lapsed holds the other zones without a leader at the platform, and since when.
-	lapsed map[string]time.Time
+	// leaderlessSince holds the other zones without a leader at the platform, and since when.
+	leaderlessSince map[string]time.Time
 	// targets has where each other zone was reached last, and tries how often it was not since.
-	targets map[string]membership.Target
-	tries   map[string]int
-	met     time.Time
+	targets          map[string]membership.Target
+	failures         map[string]int
+	contactedZonesAt time.Time
 	// unanswered counts the heartbeats in a row to each other zone that had no answer.
 	unanswered map[string]int
-	// sought is when the members that are down were looked for.
-	sought time.Time
+	// probedDownAt is when the members that are down were looked for.
+	probedDownAt time.Time
 }
 
 func newLeadership() leadership {
 	return leadership{
-		lapsed:  map[string]time.Time{},
-		targets: map[string]membership.Target{},
-		tries:   map[string]int{},
+		leaderlessSince: map[string]time.Time{},
+		targets:         map[string]membership.Target{},
+		failures:        map[string]int{},
 
 		unanswered: map[string]int{},
 	}
 }
 
-// begin takes over under a new lease.
-func (l *leadership) begin(lease platform.Lease, asked time.Time, value []byte, zoneRevision uint64) {
-	l.end()
-	l.lease, l.renewed, l.value, l.zoneRevision, l.published = lease, asked, value, zoneRevision, 0
-	clear(l.lapsed)
+// beginTerm takes over under a new lease.
+func (l *leadership) beginTerm(lease platform.Lease, requestedAt time.Time, value []byte, zoneRevision uint64) {
+	l.endWatch()
+	l.lease, l.leaseRenewedAt, l.leaderEntryValue, l.zoneRevision, l.publishedChanges = lease, requestedAt, value, zoneRevision, 0
+	clear(l.leaderlessSince)
 }
 
-func (l *leadership) end() {
+func (l *leadership) endWatch() {
 	if l.stopWatch != nil {
 		l.stopWatch()
 		l.stopWatch = nil
 	}
 }
 
-// leadZone does what the role asks for.
-func (c *Controller) leadZone(ctx context.Context, role membership.Role) {
+// performRole does what the role asks for.
+func (c *Controller) performRole(ctx context.Context, role membership.Role) {
 	if role == membership.Following {
-		c.followOnly(ctx)
+		c.actAsFollower(ctx)
 		return
 	}
 	c.markDown(ctx)
-	c.seekDown(ctx)
-	c.meetZones(ctx)
+	c.probeDownMembers(ctx)
+	c.contactZones(ctx)
 	if role == membership.Leading {
-		c.leadAtPlatform(ctx)
+		c.actAsLeaseHolder(ctx)
 	}
 }
 
-// followOnly ends the watch of an earlier term. A node that reaches nobody of its zone gets changes from other zones.
-func (c *Controller) followOnly(ctx context.Context) {
+// actAsFollower ends the watch of an earlier term. A node that reaches nobody of its zone gets changes from other zones.
+func (c *Controller) actAsFollower(ctx context.Context) {
 	alone := false
 	c.config.Board.Do(ctx, func(*board.Board) {
-		c.lead.end()
+		c.leadership.endWatch()
 		followed, _, _ := c.election.Followed(time.Now())
 		alone = followed.Node == ""
 	})
 	if alone {
-		c.meetZones(ctx)
+		c.contactZones(ctx)
 	}
 }
 
-func (c *Controller) leadAtPlatform(ctx context.Context) {
-	c.startWatching(ctx)
+func (c *Controller) actAsLeaseHolder(ctx context.Context) {
+	c.startWatches(ctx)
 	var renewed time.Time
-	c.config.Board.Do(ctx, func(*board.Board) { renewed = c.lead.renewed })
+	c.config.Board.Do(ctx, func(*board.Board) { renewed = c.leadership.leaseRenewedAt })
 	if time.Since(renewed) >= c.config.Timing.LeaseTTL/3 {
 		c.tasks.start("renew lease", func() { c.renewLease(ctx) })
 	}
@@ -100,48 +100,48 @@
 
 // markDown marks the members that are silent and answer no heartbeat either.
 func (c *Controller) markDown(ctx context.Context) {
-	var doubtful []membership.Target
+	var suspected []membership.Target
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		now := time.Now()
 		for _, m := range b.Members.ByNode {
-			if !c.judges(b, m, now) {
+			if !c.mayMarkDown(b, m, now) {
 				continue
 			}
 			if c.detector.IsDown(m.Node, now) {
-				c.markMember(b, m)
+				c.markMemberDown(b, m)
 			} else if c.detector.IsSuspected(m.Node, now) {
-				doubtful = append(doubtful, membership.Target{Node: m.Node, Address: m.PeerAddress})
+				suspected = append(suspected, membership.Target{Node: m.Node, Address: m.PeerAddress})
 			}
 		}
 	})
-	for _, t := range doubtful {
+	for _, t := range suspected {
 		c.tasks.start("probe "+t.Address, func() { c.probe(ctx, t) })
 	}
 }
 
-// judges reports whether it is this leader's part to say that the member is down.
-func (c *Controller) judges(b *board.Board, m membership.Member, now time.Time) bool {
+// mayMarkDown reports whether it is this leader's part to say that the member is down.
+func (c *Controller) mayMarkDown(b *board.Board, m membership.Member, now time.Time) bool {
 	if m.Node == b.Self.Node {
 		return false
 	}
-	return m.Zone == b.Self.Zone || (c.role == membership.Leading && c.judgesZone(b, m.Zone, now))
+	return m.Zone == b.Self.Zone || (c.role == membership.Leading && c.mayMarkZoneDown(b, m.Zone, now))
 }
 
-// judgesZone reports whether the other zone has lost its leader, and this one is the first of those that have one.
-func (c *Controller) judgesZone(b *board.Board, zone string, now time.Time) bool {
-	since, lapsed := c.lead.lapsed[zone]
-	if !lapsed || now.Sub(since) < c.config.Timing.DownAfter {
+// mayMarkZoneDown reports whether the other zone has lost its leader, and this one is the first of those that have one.
+func (c *Controller) mayMarkZoneDown(b *board.Board, zone string, now time.Time) bool {
+	since, leaderless := c.leadership.leaderlessSince[zone]
+	if !leaderless || now.Sub(since) < c.config.Timing.DownTimeout {
 		return false
 	}
 	for _, m := range b.Members.ByNode {
-		if _, lapsed := c.lead.lapsed[m.Zone]; !lapsed && m.Zone < b.Self.Zone {
+		if _, leaderless := c.leadership.leaderlessSince[m.Zone]; !leaderless && m.Zone < b.Self.Zone {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Controller) markMember(b *board.Board, m membership.Member) {
+func (c *Controller) markMemberDown(b *board.Board, m membership.Member) {
 	held, _ := c.records.Get(membership.MemberPrefix + m.Node)
 	c.config.Log.Emit(events.MemberDown, events.Fields{"member": m.Node, "zone": m.Zone})
 	c.offer(b, m.DownRecord(held.Version, time.Now()))
@@ -165,15 +165,15 @@
 	})
 }
 
-// seekDown sends heartbeats to the zone's members that are down: one that started again while the platform is away
+// probeDownMembers sends heartbeats to the zone's members that are down: one that started again while the platform is away
 // knows nobody.
-func (c *Controller) seekDown(ctx context.Context) {
+func (c *Controller) probeDownMembers(ctx context.Context) {
 	var targets []membership.Target
 	c.config.Board.Do(ctx, func(b *board.Board) {
-		if time.Since(c.lead.sought) < askAgain {
+		if time.Since(c.leadership.probedDownAt) < retryInterval {
 			return
 		}
-		c.lead.sought = time.Now()
+		c.leadership.probedDownAt = time.Now()
 		for _, m := range c.members {
 			if m.Zone == b.Self.Zone && m.State == membership.Down {
 				targets = append(targets, membership.Target{Node: m.Node, Address: m.PeerAddress})
@@ -185,15 +185,15 @@
 	}
 }
 
-// meetZones sends a heartbeat to the leader of each other zone. While the platform answers, it brings what the zones
+// contactZones sends a heartbeat to the leader of each other zone. While the platform answers, it brings what the zones
 // have to tell each other, and in a fleet of many zones the heartbeats come more seldom.
-func (c *Controller) meetZones(ctx context.Context) {
+func (c *Controller) contactZones(ctx context.Context) {
 	targets := map[string]membership.Target{}
 	c.config.Board.Do(ctx, func(b *board.Board) {
-		if time.Since(c.lead.met) < c.meetPeriod(b) {
+		if time.Since(c.leadership.contactedZonesAt) < c.interZoneHeartbeatPeriod(b) {
 			return
 		}
-		c.lead.met = time.Now()
+		c.leadership.contactedZonesAt = time.Now()
 		for _, m := range b.Members.ByNode {
 			if m.Zone != b.Self.Zone {
 				targets[m.Zone] = c.zoneTarget(b, m.Zone)
@@ -201,54 +201,54 @@
 		}
 	})
 	for zone, t := range targets {
-		c.tasks.start("zone "+zone, func() { c.meetZone(ctx, zone, t) })
+		c.tasks.start("zone "+zone, func() { c.contactZone(ctx, zone, t) })
 	}
 }
 
-func (c *Controller) meetPeriod(b *board.Board) time.Duration {
+func (c *Controller) interZoneHeartbeatPeriod(b *board.Board) time.Duration {
 	if !b.Platform.Reachable || c.role != membership.Leading {
-		return c.config.Timing.ZoneBeat
+		return c.config.Timing.InterZoneHeartbeatPeriod
 	}
 	zones := map[string]bool{}
 	for _, m := range b.Members.ByNode {
 		zones[m.Zone] = true
 	}
-	return membership.InterZoneHeartbeatPeriod(c.config.Timing.ZoneBeat, len(zones)-1)
+	return membership.InterZoneHeartbeatPeriod(c.config.Timing.InterZoneHeartbeatPeriod, len(zones)-1)
 }
 
 // zoneTarget returns where to reach the zone: where it was reached last, the leader that its record names, or after
 // failures one member after the other.
 func (c *Controller) zoneTarget(b *board.Board, zone string) membership.Target {
-	tries := c.lead.tries[zone]
-	if t, known := c.lead.targets[zone]; known && tries == 0 {
+	failures := c.leadership.failures[zone]
+	if t, known := c.leadership.targets[zone]; known && failures == 0 {
 		return t
 	}
-	if r, found := c.records.Get(LeaderPrefix + zone); found && tries%2 == 0 {
+	if r, found := c.records.Get(LeaderPrefix + zone); found && failures%2 == 0 {
 		v := parseLeader(r.Value)
 		return membership.Target{Node: v.Node, Address: v.PeerAddress}
 	}
 	members := b.Members.SortedInZone(zone)
-	m := members[tries/2%len(members)]
+	m := members[failures/2%len(members)]
 	return membership.Target{Node: m.Node, Address: m.PeerAddress}
 }
 
-func (c *Controller) meetZone(ctx context.Context, zone string, t membership.Target) {
+func (c *Controller) contactZone(ctx context.Context, zone string, t membership.Target) {
 	answer, err := c.synchronize(ctx, t.Address)
 	if ctx.Err() != nil {
 		return
 	}
 	c.config.Board.Do(ctx, func(b *board.Board) {
-		c.met(b, zone, err == nil)
+		c.recordZoneContact(b, zone, err == nil)
 		knowsLeader := answer.Leads || answer.Leader.Node != ""
 		if err != nil || !knowsLeader {
-			c.lead.tries[zone]++
+			c.leadership.failures[zone]++
 			return
 		}
-		c.lead.tries[zone] = 0
-		c.lead.targets[zone] = t
-		c.link(t.Address, time.Now()).pulls = answer.Leads && c.role != membership.Following
+		c.leadership.failures[zone] = 0
+		c.leadership.targets[zone] = t
+		c.link(t.Address, time.Now()).sendsHeartbeats = answer.Leads && c.role != membership.Following
 		if !answer.Leads {
-			c.lead.targets[zone] = answer.Leader
+			c.leadership.targets[zone] = answer.Leader
 		}
 	})
 }
@@ -276,11 +276,11 @@
 	var swap platform.Swap
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		changes = c.zoneChanges
-		if changes == c.lead.published || !c.election.HoldsLease(time.Now()) {
+		if changes == c.leadership.publishedChanges || !c.election.HoldsLease(time.Now()) {
 			return
 		}
 		value = zoneValue{Term: c.election.Term(), Records: c.zoneRecords(b.Self.Zone)}
-		swap = platform.Swap{Key: zonePrefix + b.Self.Zone, Expected: c.lead.zoneRevision}
+		swap = platform.Swap{Key: zonePrefix + b.Self.Zone, Expected: c.leadership.zoneRevision}
 	})
 	if len(value.Records) == 0 {
 		return
@@ -290,14 +290,14 @@
 		return
 	}
 	entry, err := c.config.Platform.CompareAndSwap(ctx, swap)
-	c.answered(ctx, err)
+	c.recordPlatformResult(ctx, err)
 	if err != nil {
 		c.rereadZone(ctx, swap.Key, value.Term)
 		return
 	}
 	c.config.Board.Do(ctx, func(*board.Board) {
-		c.lead.zoneRevision = entry.Revision
-		c.lead.published = changes
+		c.leadership.zoneRevision = entry.Revision
+		c.leadership.publishedChanges = changes
 	})
 }
 
@@ -311,7 +311,7 @@
 	_ = json.Unmarshal(entry.Value, &stored) // An absent or unreadable value has no term.
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		c.merge(b, stored.Records...)
-		c.lead.zoneRevision = entry.Revision
+		c.leadership.zoneRevision = entry.Revision
 		if stored.Term > term {
 			c.election.RecordLeaseLost()
 		}
