--- a/internal/control/zone/publish.go
+++ b/internal/control/zone/publish.go
@@ -49,25 +49,25 @@
 		c.members[m.Node] = m
 		if m.Zone == b.Self.Zone {
 			c.zoneChanges++
-			c.reportUp(members, m)
+			c.logMemberUp(members, m)
 		}
 		if m.State != membership.Down {
 			c.detector.RecordHeartbeat(m.Node, time.Now()) // The member itself made the record.
 		}
-		replace(members, m)
+		replaceMember(members, m)
 	}
 	b.Members = members
 }
 
-// reportUp logs a member of the own zone that joined or came back.
-func (c *Controller) reportUp(before board.Members, m membership.Member) {
+// logMemberUp logs a member of the own zone that joined or came back.
+func (c *Controller) logMemberUp(before board.Members, m membership.Member) {
 	if _, known := before.ByNode[m.Node]; !known && m.State == membership.Up {
 		c.config.Log.Emit(events.MemberUp, events.Fields{"member": m.Node, "zone": m.Zone})
 	}
 }
 
-// replace puts the member in the place of its earlier self. The lists of the services are not changed but replaced.
-func replace(members board.Members, m membership.Member) {
+// replaceMember puts the member in the place of its earlier self. The lists of the services are not changed but replaced.
+func replaceMember(members board.Members, m membership.Member) {
 	if before, known := members.ByNode[m.Node]; known && before.Service != "" {
 		others := slices.DeleteFunc(slices.Clone(members.ByService[before.Service]), func(other membership.Member) bool {
 			return other.Node == m.Node
@@ -83,16 +83,16 @@
 	}
 	members.ByNode[m.Node] = m
 	if m.AcceptsRequests() {
-		members.ByService[m.Service] = insert(members.ByService[m.Service], m)
+		members.ByService[m.Service] = insertSorted(members.ByService[m.Service], m)
 	}
 }
 
-// insert returns the list with the member, by name.
-func insert(list []membership.Member, m membership.Member) []membership.Member {
-	place, _ := slices.BinarySearchFunc(list, m.Node, func(other membership.Member, node string) int {
+// insertSorted returns the list with the member, by name.
+func insertSorted(list []membership.Member, m membership.Member) []membership.Member {
+	index, _ := slices.BinarySearchFunc(list, m.Node, func(other membership.Member, node string) int {
 		return strings.Compare(other.Node, node)
 	})
-	return slices.Insert(slices.Clone(list), place, m)
+	return slices.Insert(slices.Clone(list), index, m)
 }
 
 func (c *Controller) publishDocuments(b *board.Board, changed []membership.Record) {
@@ -116,12 +116,12 @@
 		documents.ByService[service] = d
 	}
 	documents.ByService[parsed.Service] = board.DocumentInForce{
-		Revision:  stored.Revision,
-		Operation: stored.Operation,
-		Editor:    stored.Editor,
-		Accepted:  stored.Time,
-		Document:  parsed,
-		InForce:   time.Now(),
+		Revision:     stored.Revision,
+		Operation:    stored.Operation,
+		Editor:       stored.Editor,
+		AcceptedAt:   stored.Time,
+		Document:     parsed,
+		InForceSince: time.Now(),
 	}
 	b.Documents = documents
 	c.config.Log.Emit(events.DocumentInForce, events.Fields{"service": parsed.Service, "revision": stored.Revision})
--- a/internal/control/zone/reach.go
+++ b/internal/control/zone/reach.go
@@ -12,8 +12,8 @@
 const (
 	// reachPrefix begins the key of the record by which a zone's leader tells its members which zones it can't reach.
 	reachPrefix = "reach/"
-	// unreachedAfter is how many heartbeats in a row to another zone had no answer when it counts as not reached.
-	unreachedAfter = 2
+	// unreachedThreshold is how many heartbeats in a row to another zone had no answer when it counts as not reached.
+	unreachedThreshold = 2
 )
 
 // reachValue is what a leader can't reach.
@@ -21,11 +21,11 @@
 	Unreached []string `json:"unreached"`
 }
 
-// met notes whether a heartbeat to the zone was answered, and tells the members where that changes what is reached.
-func (c *Controller) met(b *board.Board, zone string, answered bool) {
-	c.lead.unanswered[zone]++
+// recordZoneContact notes whether a heartbeat to the zone was answered, and tells the members where that changes what is reached.
+func (c *Controller) recordZoneContact(b *board.Board, zone string, answered bool) {
+	c.leadership.unanswered[zone]++
 	if answered {
-		delete(c.lead.unanswered, zone)
+		delete(c.leadership.unanswered, zone)
 	}
 	if c.role == membership.Following {
 		return
@@ -33,22 +33,22 @@
 	unreached := c.unreached(b)
 	key := reachPrefix + b.Self.Zone
 	held, _ := c.records.Get(key)
-	if slices.Equal(unreached, parseReach(held.Value)) {
+	if slices.Equal(unreached, parseUnreached(held.Value)) {
 		return
 	}
 	value, err := json.Marshal(reachValue{Unreached: unreached})
 	if err != nil {
 		return
 	}
-	version := membership.Version{Epoch: held.Version.Epoch + 1, Sequence: c.log}
+	version := membership.Version{Epoch: held.Version.Epoch + 1, Sequence: c.logID}
 	c.offer(b, membership.Record{Key: key, Version: version, Value: value})
 }
 
 // unreached returns the other zones with members that don't answer, by name.
 func (c *Controller) unreached(b *board.Board) []string {
 	var zones []string
-	for zone, count := range c.lead.unanswered {
-		if count >= unreachedAfter && b.Members.InZone(zone) > 0 {
+	for zone, count := range c.leadership.unanswered {
+		if count >= unreachedThreshold && b.Members.CountInZone(zone) > 0 {
 			zones = append(zones, zone)
 		}
 	}
@@ -56,7 +56,7 @@
 	return zones
 }
 
-func parseReach(value []byte) []string {
+func parseUnreached(value []byte) []string {
 	var v reachValue
 	_ = json.Unmarshal(value, &v) // Without a readable value all is reached.
 	return v.Unreached
@@ -68,14 +68,14 @@
 		if r.Key != reachPrefix+b.Self.Zone {
 			continue
 		}
-		reach := board.Reach{Unreached: map[string]time.Time{}}
-		for _, zone := range parseReach(r.Value) {
-			since, known := b.Reach.Unreached[zone]
+		reach := board.ZoneReachability{UnreachableSince: map[string]time.Time{}}
+		for _, zone := range parseUnreached(r.Value) {
+			since, known := b.ZoneReachability.UnreachableSince[zone]
 			if !known {
 				since = time.Now()
 			}
-			reach.Unreached[zone] = since
+			reach.UnreachableSince[zone] = since
 		}
-		b.Reach = reach
+		b.ZoneReachability = reach
 	}
 }
--- a/internal/control/zone/server.go
+++ b/internal/control/zone/server.go
@@ -30,7 +30,7 @@
 	reply := &zonepb.BeatReply{}
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		now := time.Now()
-		c.counts.BeatsReceived++
+		c.counts.HeartbeatsReceived++
 		c.detector.RecordHeartbeat(m.GetNode(), now)
 		c.merge(b, recordsFrom(m.GetChanged())...)
 		if m.GetLeads() && m.GetZone() == b.Self.Zone {
@@ -56,23 +56,23 @@
 // answerChanges adds what the sender has not seen. One that has seen nothing of this log gets the records that are
 // renewed all the time, and compares digests for the others.
 func (c *Controller) answerChanges(reply *zonepb.BeatReply, m *zonepb.BeatRequest, own string) {
-	reply.Log = c.log
+	reply.Log = c.logID
 	reply.Digest = c.records.Digest()
 	reply.Next = c.records.LastChange()
-	follows := followsOf(m, own)
-	if m.GetLog() != c.log {
-		reply.Newer = recordMessages(c.records.RenewedRecords(follows))
+	filter := renewalFilter(m, own)
+	if m.GetLog() != c.logID {
+		reply.Newer = recordMessages(c.records.RenewedRecords(filter))
 		return
 	}
-	newer, next := c.records.Since(m.GetSeen(), maxRecordBytes, follows)
+	newer, next := c.records.Since(m.GetSeen(), maxRecordBytes, filter)
 	reply.Newer = changeMessages(newer)
 	reply.Next = next
 	reply.More = next < c.records.LastChange()
 }
 
-// followsOf returns which renewals the sender of the heartbeat gets here: those that the own zone makes, where it
+// renewalFilter returns which renewals the sender of the heartbeat gets here: those that the own zone makes, where it
 // belongs to that zone or leads another one.
-func followsOf(m *zonepb.BeatRequest, own string) membership.ZoneFilter {
+func renewalFilter(m *zonepb.BeatRequest, own string) membership.ZoneFilter {
 	concerned := m.GetZone() == own || m.GetLeads()
 	return func(zone string) bool { return concerned && zone == own }
 }
@@ -87,22 +87,22 @@
 			reply.Digests = c.records.Digests()
 			reply.Have = versionMessages(c.records.Versions(m.GetDigests()))
 		}
-		reply.Newer = recordMessages(c.fitting(m.GetWanted()))
+		reply.Newer = recordMessages(c.recordsThatFit(m.GetWanted()))
 	})
 	return reply, ctx.Err()
 }
 
-// fitting returns the records under the keys, as many as fit in a message.
-func (c *Controller) fitting(keys []string) []membership.Record {
+// recordsThatFit returns the records under the keys, as many as fit in a message.
+func (c *Controller) recordsThatFit(keys []string) []membership.Record {
 	var records []membership.Record
-	room := maxRecordBytes
+	remaining := maxRecordBytes
 	for _, key := range keys {
 		r, ok := c.records.Get(key)
 		if !ok {
 			continue
 		}
-		room -= len(r.Value)
-		if len(records) > 0 && room < 0 {
+		remaining -= len(r.Value)
+		if len(records) > 0 && remaining < 0 {
 			break
 		}
 		records = append(records, r)
--- a/internal/control/zone/server_test.go
+++ b/internal/control/zone/server_test.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/zonepb"
 )
 
-func TestWhoGetsRenewals(t *testing.T) {
+func TestRenewalRecipients(t *testing.T) {
 	structure := func(value []byte) membership.Structure {
 		return membership.Structure{Term: uint64(value[0]), Zone: string(value[1:])}
 	}
--- a/internal/control/zone/stats.go
+++ b/internal/control/zone/stats.go
@@ -17,19 +17,19 @@
 	// Relayed says that the followed node does not lead but follows the leader.
 	Relayed bool   `json:"relayed"`
 	Term    uint64 `json:"term"`
-	// LeaseLeft is how long the node still leads without a renewal.
-	LeaseLeft int64 `json:"lease_left_ms"`
-	Records   int   `json:"records"`
+	// LeaseRemaining is how long the node still leads without a renewal.
+	LeaseRemaining int64 `json:"lease_left_ms"`
+	Records        int   `json:"records"`
 	// Digest sums up all records; nodes that agree have the same.
 	Digest uint64 `json:"digest"`
 	// Silence is how long each node that this leader listens for has been silent; empty where the node follows.
 	Silence map[string]int64 `json:"silence_ms"`
 	// Down are the members that are known to be down.
 	Down []string `json:"down"`
-	// Lapsed are the other zones without a leader at the platform, and for how long.
-	Lapsed map[string]int64 `json:"lapsed_zones_ms"`
-	Links  []LinkStats      `json:"links"`
-	Counts Counts           `json:"counts"`
+	// LeaderlessZones are the other zones without a leader at the platform, and for how long.
+	LeaderlessZones map[string]int64 `json:"lapsed_zones_ms"`
+	Links           []LinkStats      `json:"links"`
+	Counts          Counts           `json:"counts"`
 }
 
 // LinkStats are the state of one link to another node.
@@ -52,26 +52,26 @@
 func (c *Controller) stats(now time.Time) Stats {
 	followed, leads, _ := c.election.Followed(now)
 	s := Stats{
-		Role:      c.role,
-		Followed:  followed.Node,
-		Relayed:   followed.Node != "" && !leads,
-		Term:      c.election.Term(),
-		LeaseLeft: max(0, c.election.LeaseRemaining(now).Milliseconds()),
-		Records:   c.records.Len(),
-		Digest:    c.records.Digest(),
-		Silence:   map[string]int64{},
-		Lapsed:    map[string]int64{},
-		Down:      c.down(),
-		Links:     c.linkStats(now),
-		Counts:    c.counts,
+		Role:            c.role,
+		Followed:        followed.Node,
+		Relayed:         followed.Node != "" && !leads,
+		Term:            c.election.Term(),
+		LeaseRemaining:  max(0, c.election.LeaseRemaining(now).Milliseconds()),
+		Records:         c.records.Len(),
+		Digest:          c.records.Digest(),
+		Silence:         map[string]int64{},
+		LeaderlessZones: map[string]int64{},
+		Down:            c.down(),
+		Links:           c.linkStats(now),
+		Counts:          c.counts,
 	}
 	if c.role != membership.Following {
 		for node, age := range c.detector.Silences(now) {
 			s.Silence[node] = age.Milliseconds()
 		}
 	}
-	for zone, since := range c.lead.lapsed {
-		s.Lapsed[zone] = now.Sub(since).Milliseconds()
+	for zone, since := range c.leadership.leaderlessSince {
+		s.LeaderlessZones[zone] = now.Sub(since).Milliseconds()
 	}
 	return s
 }
@@ -94,7 +94,7 @@
 			Address:    address,
 			Pending:    len(l.pending),
 			Mismatches: l.mismatches,
-			Idle:       now.Sub(l.used).Milliseconds(),
+			Idle:       now.Sub(l.usedAt).Milliseconds(),
 		})
 	}
 	slices.SortFunc(stats, func(a, b LinkStats) int { return strings.Compare(a.Address, b.Address) })
--- a/internal/control/zone/watch.go
+++ b/internal/control/zone/watch.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// watchRetry is the pause after a watch that failed.
-	watchRetry = 500 * time.Millisecond
-	// watchEvery is the least time between two watches. Each change at the platform ends the watches of all zones; with
+	// watchRetryDelay is the pause after a watch that failed.
+	watchRetryDelay = 500 * time.Millisecond
+	// minWatchInterval is the least time between two watches. Each change at the platform ends the watches of all zones; with
 	// the pause they are not called again for each change of each zone.
-	watchEvery = 400 * time.Millisecond
-	// relistEvery is the longest time without a look at all entries of a kind, and relistLeadersEvery at those of the
+	minWatchInterval = 400 * time.Millisecond
+	// relistInterval is the longest time without a look at all entries of a kind, and relistLeadersEvery at those of the
 	// leaders, which are small.
-	relistEvery        = 10 * time.Minute
-	relistLeadersEvery = 30 * time.Second
-	// quietWait is how long one watch of anything but documents waits at the platform.
-	quietWait = 20 * time.Second
-	// checkEvery is the time between looks at whether the platform still holds the newest document.
-	checkEvery = 2 * time.Second
+	relistInterval       = 10 * time.Minute
+	leaderRelistInterval = 30 * time.Second
+	// defaultWatchTimeout is how long one watch of anything but documents waits at the platform.
+	defaultWatchTimeout = 20 * time.Second
+	// rollbackCheckInterval is the time between looks at whether the platform still holds the newest document.
+	rollbackCheckInterval = 2 * time.Second
 )
 
-// startWatching watches the platform as long as this lease is held, each kind of entry for itself: the history of the
+// startWatches watches the platform as long as this lease is held, each kind of entry for itself: the history of the
 // documents is none of them.
-func (c *Controller) startWatching(ctx context.Context) {
+func (c *Controller) startWatches(ctx context.Context) {
 	c.config.Board.Do(ctx, func(*board.Board) {
-		if c.lead.stopWatch != nil {
+		if c.leadership.stopWatch != nil {
 			return
 		}
-		watching, stop := context.WithCancel(ctx)
-		c.lead.stopWatch = stop
+		watchCtx, stop := context.WithCancel(ctx)
+		c.leadership.stopWatch = stop
 		for prefix, section := range c.sections {
 			if section.Decode != nil {
-				c.tasks.start("watch "+prefix+" "+c.lead.lease.ID, func() { c.watch(watching, prefix) })
+				c.tasks.start("watch "+prefix+" "+c.leadership.lease.ID, func() { c.watch(watchCtx, prefix) })
 			}
 		}
 	})
@@ -47,80 +47,80 @@
 // watch is how far one kind of entries has been seen at the platform.
 type watch struct {
 	prefix string
-	// after is the revision seen last; 0 where everything is to be listed.
-	after uint64
-	// listed is when everything was listed last, and checked when it was last looked whether the platform went back.
-	listed  time.Time
-	checked time.Time
+	// revision is the revision seen last; 0 where everything is to be listed.
+	revision uint64
+	// listedAt is when everything was listed last, and checked when it was last looked whether the platform went back.
+	listedAt  time.Time
+	checkedAt time.Time
 }
 
 // watch takes in all changes under the prefix at the platform until the context ends.
 func (c *Controller) watch(ctx context.Context, prefix string) {
 	w := watch{prefix: prefix}
 	for ctx.Err() == nil {
-		c.checkDocuments(ctx, &w)
+		c.checkForRollback(ctx, &w)
 		if c.watchOnce(ctx, &w) {
-			pause.For(ctx, watchEvery)
+			pause.For(ctx, minWatchInterval)
 		} else {
-			pause.For(ctx, watchRetry)
+			pause.For(ctx, watchRetryDelay)
 		}
 	}
 }
 
-// checkDocuments makes a watch of the documents list them all where the platform lost one.
-func (c *Controller) checkDocuments(ctx context.Context, w *watch) {
-	if w.prefix != DocumentPrefix || time.Since(w.checked) <= checkEvery {
+// checkForRollback makes a watch of the documents list them all where the platform lost one.
+func (c *Controller) checkForRollback(ctx context.Context, w *watch) {
+	if w.prefix != DocumentPrefix || time.Since(w.checkedAt) <= rollbackCheckInterval {
 		return
 	}
-	w.checked = time.Now()
-	w.listed = c.listedStill(ctx, w.listed)
+	w.checkedAt = time.Now()
+	w.listedAt = c.listTimeAfterCheck(ctx, w.listedAt)
 }
 
 // watchOnce waits for changes once, or lists everything where that is due. It reports false where the platform gave no
 // answer.
 func (c *Controller) watchOnce(ctx context.Context, w *watch) bool {
-	if time.Since(w.listed) > w.longest() {
-		w.after = 0
+	if time.Since(w.listedAt) > w.maxListAge() {
+		w.revision = 0
 	}
-	whole := w.after == 0
-	changes, err := c.changes(ctx, w.prefix, w.after)
-	c.answered(ctx, err)
+	full := w.revision == 0
+	changes, err := c.fetchChanges(ctx, w.prefix, w.revision)
+	c.recordPlatformResult(ctx, err)
 	if err != nil {
 		return false
 	}
-	if changes.Revision < w.after {
-		w.listed = time.Time{} // The platform went back to older content.
+	if changes.Revision < w.revision {
+		w.listedAt = time.Time{} // The platform went back to older content.
 		return true
 	}
-	if whole {
-		w.listed = time.Now()
+	if full {
+		w.listedAt = time.Now()
 	}
-	w.after = changes.Revision
-	if c.takeChanges(ctx, w.prefix, changes.Entries, whole) != nil {
-		w.listed = time.Time{}
+	w.revision = changes.Revision
+	if c.applyChanges(ctx, w.prefix, changes.Entries, full) != nil {
+		w.listedAt = time.Time{}
 	}
 	return true
 }
 
-// longest is the longest time without a look at all entries.
-func (w *watch) longest() time.Duration {
+// maxListAge is the longest time without a look at all entries.
+func (w *watch) maxListAge() time.Duration {
 	if w.prefix == LeaderPrefix {
-		return relistLeadersEvery
+		return leaderRelistInterval
 	}
-	return relistEvery
+	return relistInterval
 }
 
-// takeChanges takes in what the platform shows under the prefix, and writes back what it lost.
-func (c *Controller) takeChanges(ctx context.Context, prefix string, entries []platform.Entry, whole bool) error {
-	c.takeIn(ctx, entries)
+// applyChanges takes in what the platform shows under the prefix, and writes back what it lost.
+func (c *Controller) applyChanges(ctx context.Context, prefix string, entries []platform.Entry, full bool) error {
+	c.mergeEntries(ctx, entries)
 	switch prefix {
 	case LeaderPrefix:
-		c.takeLeaders(ctx, entries, whole)
-		c.keepLead(ctx, entries, whole)
+		c.recordLeaders(ctx, entries, full)
+		c.confirmLeadership(ctx, entries, full)
 	case DocumentPrefix:
-		return c.reinstate(ctx, entries, whole)
+		return c.reinstate(ctx, entries, full)
 	case zonePrefix:
-		if whole {
+		if full {
 			c.relistLeaders(ctx) // Only now are all zones known.
 		}
 	}
@@ -128,29 +128,29 @@
 }
 
 func (c *Controller) relistLeaders(ctx context.Context) {
-	changes, err := c.changes(ctx, LeaderPrefix, 0)
-	c.answered(ctx, err)
+	changes, err := c.fetchChanges(ctx, LeaderPrefix, 0)
+	c.recordPlatformResult(ctx, err)
 	if err != nil {
 		return
 	}
-	_ = c.takeChanges(ctx, LeaderPrefix, changes.Entries, true) // Only documents can fail.
+	_ = c.applyChanges(ctx, LeaderPrefix, changes.Entries, true) // Only documents can fail.
 }
 
-// listedStill returns when all documents were listed last, or never where the platform lost one since. Then it may have
+// listTimeAfterCheck returns when all documents were listed last, or never where the platform lost one since. Then it may have
 // lost the leaders' entries too.
-func (c *Controller) listedStill(ctx context.Context, listed time.Time) time.Time {
-	if !c.wentBack(ctx) {
-		return listed
+func (c *Controller) listTimeAfterCheck(ctx context.Context, listedAt time.Time) time.Time {
+	if !c.hasRolledBack(ctx) {
+		return listedAt
 	}
 	c.relistLeaders(ctx)
 	return time.Time{}
 }
 
-// wentBack reports whether the platform lost the newest document held here, as one that was restored to older content
+// hasRolledBack reports whether the platform lost the newest document held here, as one that was restored to older content
 // has. Its revision alone doesn't tell: later writes soon bring it past the one seen last, and a watch shows nothing of
 // what is gone. Whatever older content lacks, it lacks the newest document.
-func (c *Controller) wentBack(ctx context.Context) bool {
-	service, found := c.config.Board.Snapshot().Documents.Newest()
+func (c *Controller) hasRolledBack(ctx context.Context) bool {
+	service, found := c.config.Board.Snapshot().Documents.LastAccepted()
 	if !found {
 		return false
 	}
@@ -160,23 +160,23 @@
 	if err != nil {
 		return false
 	}
-	standing, err := parseStanding(entry)
-	return err == nil && standing.Stored.Version().Compare(held.Version) < 0
+	current, err := parsePlatformDocument(entry)
+	return err == nil && current.Stored.Version().Compare(held.Version) < 0
 }
 
-// changes returns everything under the prefix where nothing was seen before, and else what comes after the revision.
-func (c *Controller) changes(ctx context.Context, prefix string, after uint64) (platform.Changes, error) {
+// fetchChanges returns everything under the prefix where nothing was seen before, and else what comes after the revision.
+func (c *Controller) fetchChanges(ctx context.Context, prefix string, after uint64) (platform.Changes, error) {
 	if after == 0 {
 		return c.config.Platform.List(ctx, prefix)
 	}
-	wait := quietWait
+	timeout := defaultWatchTimeout
 	if prefix == DocumentPrefix {
-		wait = c.config.Timing.WatchWait
+		timeout = c.config.Timing.WatchTimeout
 	}
-	return c.config.Platform.Watch(ctx, prefix, after, wait)
+	return c.config.Platform.Watch(ctx, prefix, after, timeout)
 }
 
-func (c *Controller) takeIn(ctx context.Context, entries []platform.Entry) {
+func (c *Controller) mergeEntries(ctx context.Context, entries []platform.Entry) {
 	var records []membership.Record
 	for _, e := range entries {
 		records = append(records, c.decode(e)...)
@@ -184,11 +184,11 @@
 	c.config.Board.Do(ctx, func(b *board.Board) { c.merge(b, records...) })
 }
 
-// takeLeaders takes in which zones have a leader at the platform. Whole says that the entries are everything there.
-func (c *Controller) takeLeaders(ctx context.Context, entries []platform.Entry, whole bool) {
+// recordLeaders takes in which zones have a leader at the platform. Whole says that the entries are everything there.
+func (c *Controller) recordLeaders(ctx context.Context, entries []platform.Entry, full bool) {
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		named := map[string]leaderValue{}
-		if whole {
+		if full {
 			for _, m := range b.Members.ByNode {
 				named[m.Zone] = leaderValue{}
 			}
@@ -200,31 +200,31 @@
 			}
 		}
 		for zone, v := range named {
-			c.takeLeader(b, zone, v)
+			c.recordLeader(b, zone, v)
 		}
 	})
 }
 
-func (c *Controller) takeLeader(b *board.Board, zone string, v leaderValue) {
-	_, lapsed := c.lead.lapsed[zone]
+func (c *Controller) recordLeader(b *board.Board, zone string, v leaderValue) {
+	_, leaderless := c.leadership.leaderlessSince[zone]
 	switch {
 	case zone == b.Self.Zone:
 	case v.Node != "":
-		delete(c.lead.lapsed, zone)
-	case !lapsed:
-		c.lead.lapsed[zone] = time.Now()
+		delete(c.leadership.leaderlessSince, zone)
+	case !leaderless:
+		c.leadership.leaderlessSince[zone] = time.Now()
 	}
 }
 
-// keepLead resigns where a later leader stands at the platform. Where the platform lost the entry of this one, as
+// confirmLeadership resigns where a later leader stands at the platform. Where the platform lost the entry of this one, as
 // after going back to older content, it is written again under the lease, which the platform checks.
-func (c *Controller) keepLead(ctx context.Context, entries []platform.Entry, whole bool) {
+func (c *Controller) confirmLeadership(ctx context.Context, entries []platform.Entry, full bool) {
 	var swap platform.Swap
 	c.config.Board.Do(ctx, func(b *board.Board) {
-		swap = platform.Swap{Key: entryKey(b.Self), Value: c.lead.value, Lease: c.lead.lease.ID}
+		swap = platform.Swap{Key: leaderKey(b.Self), Value: c.leadership.leaderEntryValue, Lease: c.leadership.lease.ID}
 	})
 	named := leaderValue{}
-	found := whole
+	found := full
 	for _, e := range entries {
 		if e.Key != swap.Key {
 			continue
@@ -241,7 +241,7 @@
 		c.config.Board.Do(ctx, func(*board.Board) { c.election.RecordLeaseLost() })
 	default:
 		_, err := c.config.Platform.CompareAndSwap(ctx, swap)
-		c.answered(ctx, err) // A refusal means that the platform lagged or that the lease is over.
+		c.recordPlatformResult(ctx, err) // A refusal means that the platform lagged or that the lease is over.
 	}
 }
 
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -70,7 +70,7 @@
 	status, answer := http.StatusBadGateway, []byte(nil)
 	for range Retries + 1 {
 		address := instances[b.next.Add(1)%uint64(len(instances))]
-		status, answer = b.once(r, "http://"+address+p.ByName("path"), body)
+		status, answer = b.sendOnce(r, "http://"+address+p.ByName("path"), body)
 		if status < http.StatusInternalServerError || r.Context().Err() != nil {
 			break
 		}
@@ -79,7 +79,7 @@
 	_, _ = w.Write(answer)
 }
 
-func (b *Balancer) once(r *http.Request, address string, body []byte) (int, []byte) {
+func (b *Balancer) sendOnce(r *http.Request, address string, body []byte) (int, []byte) {
 	request, err := http.NewRequestWithContext(r.Context(), r.Method, address, bytes.NewReader(body))
 	if err != nil {
 		return http.StatusBadRequest, nil
--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -100,7 +100,7 @@
 }
 
 func measureSize(ctx context.Context, config Config, size int) (Run, error) {
-	deployment := idle(size, config.Zones)
+	deployment := idleDeployment(size, config.Zones)
 	run := Run{Nodes: size, Zones: config.Zones, Services: len(deployment.Services), Window: config.Window}
 	begin := time.Now()
 	f, err := fleet.Start(ctx, fleet.Config{Binary: config.Binary, Deployment: deployment, Output: config.Output})
@@ -114,7 +114,7 @@
 		return run, trace.Wrap(err)
 	}
 	run.Ready = time.Since(begin)
-	if err := pause(ctx, config.Settle); err != nil {
+	if err := sleep(ctx, config.Settle); err != nil {
 		return run, trace.Wrap(err)
 	}
 	if err := run.measureWindow(ctx, f); err != nil {
@@ -126,27 +126,27 @@
 
 // measureWindow counts the costs of the nodes over the window.
 func (r *Run) measureWindow(ctx context.Context, f *fleet.Fleet) error {
-	before, err := sample(f)
+	before, err := takeSnapshot(f)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := pause(ctx, r.Window); err != nil {
+	if err := sleep(ctx, r.Window); err != nil {
 		return trace.Wrap(err)
 	}
-	after, err := sample(f)
+	after, err := takeSnapshot(f)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	leads, err := leaders(ctx, f)
+	leaderNames, err := leaders(ctx, f)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	r.take(f, before, after, leads)
+	r.setCosts(f, before, after, leaderNames)
 	return nil
 }
 
-// idle returns a deployment of so many nodes in so many availability zones, whose services have documents like those of a real team.
-func idle(size, zones int) fleet.Deployment {
+// idleDeployment returns a deployment of so many nodes in so many availability zones, whose services have documents like those of a real team.
+func idleDeployment(size, zones int) fleet.Deployment {
 	d := fleet.Deployment{}
 	for i := range zones {
 		d.Zones = append(d.Zones, fmt.Sprintf("zone_%d", i))
@@ -176,7 +176,7 @@
 	return b.String()
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return trace.Wrap(ctx.Err())
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -46,10 +46,10 @@
 		"platform": {"a": {Bytes: 50}},
 	}}
 	before := snapshot{traffic: map[string]map[string]proxy.Traffic{"a": {"b": {Bytes: 4}}}}
-	is.Equal(passed(before, after, "a", ""), 6.0)           // sent to nodes since before
-	is.Equal(passed(before, after, "", "a"), 5.0)           // received from nodes
-	is.Equal(passed(before, after, "a", "platform"), 100.0) // to the platform
-	is.Equal(passed(before, after, "platform", "a"), 50.0)
+	is.Equal(bytesBetween(before, after, "a", ""), 6.0)           // sent to nodes since before
+	is.Equal(bytesBetween(before, after, "", "a"), 5.0)           // received from nodes
+	is.Equal(bytesBetween(before, after, "a", "platform"), 100.0) // to the platform
+	is.Equal(bytesBetween(before, after, "platform", "a"), 50.0)
 }
 
 func TestReadsItsOwnProcess(t *testing.T) {
@@ -68,7 +68,7 @@
 func TestDeploymentHasItsSizeAndSoundDocuments(t *testing.T) {
 	is := is.New(t)
 	instances := 0
-	for _, s := range idle(20, 3).Services {
+	for _, s := range idleDeployment(20, 3).Services {
 		instances += s.Instances
 		_, err := document.Parse([]byte(s.Document))
 		is.NoErr(err)
--- a/internal/lab/capacity/change.go
+++ b/internal/lab/capacity/change.go
@@ -15,41 +15,41 @@
 	changeTimeout = 30 * time.Second
 	// changePoll is the time between looks at a node that does not have a change yet.
 	changePoll = 100 * time.Millisecond
-	// adminTimeout bounds one call of the administration API.
-	adminTimeout = 5 * time.Second
+	// operatorTimeout bounds one call of the administration API.
+	operatorTimeout = 5 * time.Second
 )
 
 // changeDocuments changes documents through nodes in turn and returns how long each change took from its acceptance
 // until the last node had it in force, by the nodes' own clocks, which are one on a single machine.
 func changeDocuments(ctx context.Context, f *fleet.Fleet, changes int) ([]time.Duration, error) {
-	var took []time.Duration
+	var durations []time.Duration
 	for i := range changes {
 		n := f.Nodes[i*len(f.Nodes)/changes]
 		d, err := changeDocument(ctx, f, n, i+1)
 		if err != nil {
-			return took, trace.Wrap(err)
+			return durations, trace.Wrap(err)
 		}
-		took = append(took, d)
+		durations = append(durations, d)
 	}
-	return took, nil
+	return durations, nil
 }
 
 func changeDocument(ctx context.Context, f *fleet.Fleet, n *fleet.Node, edit int) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	client := operator.NewClient(operator.ClientConfig{Address: n.Operator, Token: fleet.OperatorToken, Timeout: adminTimeout})
-	stands, err := client.Get(ctx, n.Service)
+	client := operator.NewClient(operator.ClientConfig{Address: n.Operator, Token: fleet.OperatorToken, Timeout: operatorTimeout})
+	current, err := client.Get(ctx, n.Service)
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	stored, err := client.Put(ctx, n.Service, []byte(documentOf(n.Service, edit)), stands.Tag(), "")
+	stored, err := client.Put(ctx, n.Service, []byte(documentOf(n.Service, edit)), current.Tag(), "")
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
 	accepted := time.Now()
 	last := accepted
 	for _, other := range f.Nodes {
-		at, err := inForce(ctx, other, n.Service, stored.Revision)
+		at, err := awaitInForce(ctx, other, n.Service, stored.Revision)
 		if err != nil {
 			return 0, trace.Wrap(err)
 		}
@@ -60,16 +60,16 @@
 	return last.Sub(accepted), nil
 }
 
-// inForce waits until the node has the revision and returns since when.
-func inForce(ctx context.Context, n *fleet.Node, service string, revision uint64) (time.Time, error) {
+// awaitInForce waits until the node has the revision and returns since when.
+func awaitInForce(ctx context.Context, n *fleet.Node, service string, revision uint64) (time.Time, error) {
 	for {
 		dump, err := fleet.FetchDump(ctx, n.Backend)
 		if err == nil {
 			if d := dump.Board.Documents.ByService[service]; d.Revision >= revision {
-				return d.InForce, nil
+				return d.InForceSince, nil
 			}
 		}
-		if err := pause(ctx, changePoll); err != nil {
+		if err := sleep(ctx, changePoll); err != nil {
 			return time.Time{}, trace.Wrap(err, "%s has not taken revision %d", n.Name, revision)
 		}
 	}
--- a/internal/lab/capacity/sample.go
+++ b/internal/lab/capacity/sample.go
@@ -17,19 +17,19 @@
 
 // snapshot is the state of all counters at one moment.
 type snapshot struct {
-	at      time.Time
-	core    map[string]time.Duration
-	memory  map[string]float64
-	traffic map[string]map[string]proxy.Traffic
-	calls   store.Counts
-	machine machineTime
+	at            time.Time
+	processorTime map[string]time.Duration
+	memory        map[string]float64
+	traffic       map[string]map[string]proxy.Traffic
+	calls         store.Counts
+	machine       machineTime
 }
 
-func sample(f *fleet.Fleet) (snapshot, error) {
-	s := snapshot{at: time.Now(), core: map[string]time.Duration{}, memory: map[string]float64{}}
+func takeSnapshot(f *fleet.Fleet) (snapshot, error) {
+	s := snapshot{at: time.Now(), processorTime: map[string]time.Duration{}, memory: map[string]float64{}}
 	for _, n := range f.Nodes {
 		var err error
-		if s.core[n.Name], err = processorTime(n.PID()); err != nil {
+		if s.processorTime[n.Name], err = processorTime(n.PID()); err != nil {
 			return s, trace.Wrap(err)
 		}
 		if s.memory[n.Name], err = residentMemory(n.PID()); err != nil {
@@ -135,20 +135,20 @@
 	return found, nil
 }
 
-// take works the costs out of two snapshots.
-func (r *Run) take(f *fleet.Fleet, before, after snapshot, leads map[string]bool) {
+// setCosts works the costs out of two snapshots.
+func (r *Run) setCosts(f *fleet.Fleet, before, after snapshot, leaderNames map[string]bool) {
 	seconds := after.at.Sub(before.at).Seconds()
 	for _, n := range f.Nodes {
 		cost := &r.Follower
-		if leads[n.Name] {
+		if leaderNames[n.Name] {
 			cost = &r.Leader
 		}
 		cost.add(Cost{
-			Core:     (after.core[n.Name] - before.core[n.Name]).Seconds() / seconds,
+			Core:     (after.processorTime[n.Name] - before.processorTime[n.Name]).Seconds() / seconds,
 			Memory:   after.memory[n.Name],
-			Sent:     passed(before, after, n.Name, "") / seconds,
-			Received: passed(before, after, "", n.Name) / seconds,
-			Platform: (passed(before, after, n.Name, fleet.PlatformEnd) + passed(before, after, fleet.PlatformEnd, n.Name)) / seconds,
+			Sent:     bytesBetween(before, after, n.Name, "") / seconds,
+			Received: bytesBetween(before, after, "", n.Name) / seconds,
+			Platform: (bytesBetween(before, after, n.Name, fleet.PlatformEndpoint) + bytesBetween(before, after, fleet.PlatformEndpoint, n.Name)) / seconds,
 		})
 	}
 	r.Leader.average()
@@ -158,8 +158,8 @@
 	r.MachineBusy = (after.machine.busy - before.machine.busy) / (after.machine.total - before.machine.total)
 }
 
-// passed returns the bytes from one end to another; an empty name stands for all nodes.
-func passed(before, after snapshot, from, to string) float64 {
+// bytesBetween returns the bytes from one end to another; an empty name stands for all nodes.
+func bytesBetween(before, after snapshot, from, to string) float64 {
 	var bytes int64
 	for source, targets := range after.traffic {
 		for target, t := range targets {
@@ -173,7 +173,7 @@
 
 func matches(wanted, name string) bool {
 	if wanted == "" {
-		return name != fleet.PlatformEnd
+		return name != fleet.PlatformEndpoint
 	}
 	return wanted == name
 }
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -34,20 +34,20 @@
 		sumXY += x * y
 	}
 	count := float64(len(runs))
-	spread := count*sumXX - sumX*sumX
-	if spread == 0 {
+	denominator := count*sumXX - sumX*sumX
+	if denominator == 0 {
 		return Slope{Base: sumY / max(count, 1)}
 	}
-	perNode := (count*sumXY - sumX*sumY) / spread
+	perNode := (count*sumXY - sumX*sumY) / denominator
 	return Slope{Base: (sumY - perNode*sumX) / count, PerNode: perNode}
 }
 
 // column is one figure of the table.
 type column struct {
-	head  string
-	value func(Run) float64
-	// places are the digits after the point.
-	places int
+	header string
+	value  func(Run) float64
+	// decimals are the digits after the point.
+	decimals int
 }
 
 const (
@@ -67,19 +67,19 @@
 	{"follower kB/s", func(r Run) float64 { return r.Follower.total() / kilobyte }, 2},
 	{"platform reads/s", func(r Run) float64 { return r.PlatformReads }, 2},
 	{"platform writes/s", func(r Run) float64 { return r.PlatformWrites }, 2},
-	{"in force ms, median", func(r Run) float64 { return milliseconds(r.inForce(0.5)) }, 0},
-	{"in force ms, longest", func(r Run) float64 { return milliseconds(r.inForce(1)) }, 0},
+	{"in force ms, median", func(r Run) float64 { return milliseconds(r.changeTimeQuantile(0.5)) }, 0},
+	{"in force ms, longest", func(r Run) float64 { return milliseconds(r.changeTimeQuantile(1)) }, 0},
 	{"machine busy %", func(r Run) float64 { return percent * r.MachineBusy }, 0},
 }
 
 // WriteTable prints a column for each run, and the slope of each figure.
 func WriteTable(w io.Writer, runs []Run) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	head := []string{"figure"}
+	header := []string{"figure"}
 	for _, r := range runs {
-		head = append(head, fmt.Sprintf("%d nodes", r.Nodes))
+		header = append(header, fmt.Sprintf("%d nodes", r.Nodes))
 	}
-	lines := []string{strings.Join(append(head, "per node"), "\t")}
+	lines := []string{strings.Join(append(header, "per node"), "\t")}
 	for _, c := range columns {
 		lines = append(lines, strings.Join(c.cells(runs), "\t"))
 	}
@@ -92,9 +92,9 @@
 }
 
 func (c column) cells(runs []Run) []string {
-	cells := []string{c.head}
+	cells := []string{c.header}
 	for _, r := range runs {
-		cells = append(cells, strconv.FormatFloat(c.value(r), 'f', c.places, 64))
+		cells = append(cells, strconv.FormatFloat(c.value(r), 'f', c.decimals, 64))
 	}
 	return append(cells, strconv.FormatFloat(Fit(runs, c.value).PerNode, 'g', 3, 64))
 }
@@ -103,13 +103,13 @@
 	return c.Sent + c.Received + c.Platform
 }
 
-// inForce returns the time within which the given part of the changes were in force everywhere.
-func (r Run) inForce(part float64) time.Duration {
+// changeTimeQuantile returns the time within which the given part of the changes were in force everywhere.
+func (r Run) changeTimeQuantile(quantile float64) time.Duration {
 	if len(r.InForce) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(r.InForce))
-	return sorted[int(part*float64(len(sorted)-1))]
+	return sorted[int(quantile*float64(len(sorted)-1))]
 }
 
 func milliseconds(d time.Duration) float64 {
--- a/internal/lab/fleet/address.go
+++ b/internal/lab/fleet/address.go
@@ -12,31 +12,31 @@
 	"github.com/gravitational/trace"
 )
 
-// started counts the fleets of this process.
-var started atomic.Uint64
+// fleetCount counts the fleets of this process.
+var fleetCount atomic.Uint64
 
 // subnet is a part of the loopback addresses that a fleet has to itself, also beside the fleets of other processes.
 // A node that starts again so finds its ports free.
 type subnet uint16
 
 func newSubnet() subnet {
-	return subnet(xxhash.Sum64String(fmt.Sprintf("%d/%d", os.Getpid(), started.Add(1))))
+	return subnet(xxhash.Sum64String(fmt.Sprintf("%d/%d", os.Getpid(), fleetCount.Add(1))))
 }
 
 const (
-	// lowestNet keeps a fleet's addresses away from 127.0.0.1.
-	lowestNet = 1
-	// nets is how many values the second byte of an address may have.
-	nets = 250
-	// hosts is how many addresses are used below one third byte.
-	hosts = 250
+	// minSecondByte keeps a fleet's addresses away from 127.0.0.1.
+	minSecondByte = 1
+	// secondByteCount is how many values the second byte of an address may have.
+	secondByteCount = 250
+	// hostsPerThirdByte is how many addresses are used below one third byte.
+	hostsPerThirdByte = 250
 )
 
 // ip returns the IP of the fleet's node of the number, from 0.
 func (s subnet) ip(number int) string {
-	second := lowestNet + int(s)%nets
-	third := (int(s)/nets + number/hosts) % nets
-	return fmt.Sprintf("127.%d.%d.%d", second, third, 1+number%hosts)
+	second := minSecondByte + int(s)%secondByteCount
+	third := (int(s)/secondByteCount + number/hostsPerThirdByte) % secondByteCount
+	return fmt.Sprintf("127.%d.%d.%d", second, third, 1+number%hostsPerThirdByte)
 }
 
 // The ports of nodes lie below those that systems give to outgoing connections: one from the same IP would else take the port
--- a/internal/lab/fleet/address_test.go
+++ b/internal/lab/fleet/address_test.go
@@ -56,9 +56,9 @@
 		l, err := net.Listen("tcp", addresses[4])
 		is.NoErr(err)
 		is.NoErr(l.Close())
-		pause.For(ctx, settleAfterClose)
+		pause.For(ctx, processStartTime)
 	}
 }
 
-// settleAfterClose lets processes that were being started while the test itself closed a listener begin.
-const settleAfterClose = 10 * time.Millisecond
+// processStartTime lets processes that were being started while the test itself closed a listener begin.
+const processStartTime = 10 * time.Millisecond
--- a/internal/lab/fleet/deployment.go
+++ b/internal/lab/fleet/deployment.go
@@ -50,7 +50,7 @@
 					ServiceTime: 10 * time.Millisecond,
 					Spread:      0.3,
 					Queue:       100,
-					Calls:       []server.Downstream{{Service: "access", Method: http.MethodGet, Path: "/urgent/windows"}},
+					Calls:       []server.DownstreamCall{{Service: "access", Method: http.MethodGet, Path: "/urgent/windows"}},
 				},
 			},
 			{
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -40,8 +40,8 @@
 	Baseline bool
 	// Seed drives the random parts of the network's faults.
 	Seed uint64
-	// Settings are further flags for every node.
-	Settings []string
+	// ExtraFlags are further flags for every node.
+	ExtraFlags []string
 }
 
 // Fleet is a running deployment.
@@ -116,8 +116,8 @@
 // WaitReady waits until every node knows every other. It fails at once where a backend server could not run.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, n := range f.Nodes {
-		for !f.ready(ctx, n) {
-			if err := n.serverFailed(); err != nil {
+		for !f.isReady(ctx, n) {
+			if err := n.serverError(); err != nil {
 				return trace.Wrap(err, "backend server of node %s", n.Name)
 			}
 			select {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (f *Fleet) ready(ctx context.Context, n *Node) bool {
+func (f *Fleet) isReady(ctx context.Context, n *Node) bool {
 	if f.config.Baseline {
 		return answersCallers(ctx, n.Caller)
 	}
@@ -138,7 +138,7 @@
 	if err != nil || len(dump.Board.Documents.ByService) < len(f.config.Deployment.Services) {
 		return false
 	}
-	return dump.Board.Members.TakingWork() == len(f.Nodes) && answersCallers(ctx, n.Caller)
+	return dump.Board.Members.CountAcceptingRequests() == len(f.Nodes) && answersCallers(ctx, n.Caller)
 }
 
 // answersCallers waits until the node, which lets callers wait while it learns of services, has answered one. The
@@ -163,13 +163,13 @@
 	f.StoreURL = "http://" + listener.Addr().String()
 	f.http = &http.Server{Handler: f.Store.Handler(), BaseContext: func(net.Listener) context.Context { return ctx }}
 	f.group.Go(func() { _ = f.http.Serve(listener) })
-	address, err := f.Network.Listen(ctx, PlatformEnd, listener.Addr().String())
+	address, err := f.Network.Listen(ctx, PlatformEndpoint, listener.Addr().String())
 	f.platformURL = "http://" + address
 	return trace.Wrap(err)
 }
 
-// PlatformEnd is the platform's name in the Network; nodes go by their own names.
-const PlatformEnd = "platform"
+// PlatformEndpoint is the platform's name in the Network; nodes go by their own names.
+const PlatformEndpoint = "platform"
 
 func (f *Fleet) putDocuments(ctx context.Context) error {
 	client := platform.NewClient(platform.Config{URL: f.StoreURL, Timeout: time.Second})
@@ -193,7 +193,7 @@
 			return trace.Wrap(err)
 		}
 	}
-	f.group.Go(func() { n.serverEnded(n.Server.Run(ctx)) })
+	f.group.Go(func() { n.setServerError(n.Server.Run(ctx)) })
 	return nil
 }
 
@@ -211,7 +211,7 @@
 		return nil, trace.Wrap(err)
 	}
 	n.Caller, n.Backend, n.Operator = addresses[0], addresses[1], addresses[2]
-	f.Network.Name(n.IP, n.Name)
+	f.Network.RegisterIP(n.IP, n.Name)
 	n.Peer, err = f.Network.Listen(ctx, n.Name, addresses[3])
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -233,20 +233,20 @@
 // OperatorToken may edit every document of a fleet.
 const OperatorToken = "operator-token-of-the-lab"
 
-func (f *Fleet) arguments(n *Node, listen string) []string {
+func (f *Fleet) arguments(n *Node, peerListen string) []string {
 	return append([]string{
 		"node",
 		"-node.name", n.Name,
 		"-node.zone", n.Zone,
 		"-node.zones", strings.Join(f.config.Deployment.Zones, ","),
 		"-caller.address", n.Caller,
-		"-peer.address", listen,
+		"-peer.address", peerListen,
 		"-peer.advertised", n.Peer,
 		"-backend.address", n.Backend,
 		"-operator.address", n.Operator,
 		"-operator.tokens", "*:" + OperatorToken,
 		"-platform.url", f.platformURL,
-	}, f.config.Settings...)
+	}, f.config.ExtraFlags...)
 }
 
 // startBaseline serves every node's caller address with the naive baseline, in a process of its own as the node's.
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -31,11 +31,11 @@
 
 	mu      sync.Mutex
 	process *exec.Cmd
-	// failed is why the backend server could not run, if it could not.
-	failed error
+	// serverErr is why the backend server could not run, if it could not.
+	serverErr error
 }
 
-func (n *Node) serverEnded(err error) {
+func (n *Node) setServerError(err error) {
 	if err == nil {
 		return
 	}
@@ -44,13 +44,13 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.failed = err
+	n.serverErr = err
 }
 
-func (n *Node) serverFailed() error {
+func (n *Node) serverError() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.failed
+	return n.serverErr
 }
 
 // Start starts the node's process, for the first time or after it ended.
@@ -62,8 +62,8 @@
 	return trace.Wrap(n.process.Start())
 }
 
-// Append adds flags for the next start.
-func (n *Node) Append(flags ...string) {
+// AppendFlags adds flags for the next start.
+func (n *Node) AppendFlags(flags ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.command = append(n.command, flags...)
--- a/internal/lab/kv/kv.go
+++ b/internal/lab/kv/kv.go
@@ -25,20 +25,20 @@
 // Faults are in force until they are set anew.
 type Faults struct {
 	// Down makes every call fail, and LapseLeases lets leases run out meanwhile.
-	Down        bool
-	LapseLeases bool
+	Down         bool
+	ExpireLeases bool
 	// RefuseNodes fails the calls of single nodes.
 	RefuseNodes map[string]bool
-	// Deaf makes watches hear nothing, also of what happened before.
-	Deaf bool
+	// StallWatches makes watches hear nothing, also of what happened before.
+	StallWatches bool
 	// LoseAnswers carries writes out and fails them.
 	LoseAnswers bool
 	// LateWrites fails writes and carries them out when Settle is called, if their condition still holds.
 	LateWrites bool
 }
 
-// errOutage is how calls fail.
-var errOutage = errors.New("no answer")
+// errUnavailable is how calls fail.
+var errUnavailable = errors.New("no answer")
 
 // lease is one grant.
 type lease struct {
@@ -54,9 +54,9 @@
 	items    map[string]store.Item
 	history  []store.Event
 	// compacted is the revision up to which the history is gone.
-	compacted uint64
-	leases    map[uint64]*lease
-	late      []store.Write
+	compacted  uint64
+	leases     map[uint64]*lease
+	lateWrites []store.Write
 	// changed is closed with each change, and cut with each Cut.
 	changed chan struct{}
 	cut     chan struct{}
@@ -78,7 +78,7 @@
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.Down && !s.faults.LapseLeases {
+	if s.faults.Down && !s.faults.ExpireLeases {
 		s.resumeLeases()
 	}
 	s.faults = f
@@ -101,18 +101,18 @@
 	s.cut = make(chan struct{})
 }
 
-// Settle carries out the writes that were held back.
-func (s *Store) Settle() {
+// CompleteLateWrites carries out the writes that were held back.
+func (s *Store) CompleteLateWrites() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, w := range s.late {
+	for _, w := range s.lateWrites {
 		_, _ = s.put(w)
 	}
-	s.late = nil
+	s.lateWrites = nil
 }
 
-// Operator writes a key without a condition.
-func (s *Store) Operator(key string, value []byte) {
+// ForcePut writes a key without a condition.
+func (s *Store) ForcePut(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = s.put(store.Write{Key: key, Value: value, Expected: s.items[key].Revision})
@@ -136,17 +136,17 @@
 func (s *Store) Item(key string) store.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLeases()
 	return s.items[key]
 }
 
-// As returns the store as one node sees it.
-func (s *Store) As(node string) store.Store {
+// ForNode returns the store as one node sees it.
+func (s *Store) ForNode(node string) store.Store {
 	return &client{store: s, node: node}
 }
 
-func (s *Store) expire() {
-	if s.faults.Down && !s.faults.LapseLeases {
+func (s *Store) expireLeases() {
+	if s.faults.Down && !s.faults.ExpireLeases {
 		return
 	}
 	now := time.Now()
@@ -167,7 +167,7 @@
 	if s.items[w.Key].Revision != w.Expected {
 		return 0, store.ErrConflict
 	}
-	if _, stands := s.leases[w.Lease]; w.Lease != 0 && !stands {
+	if _, found := s.leases[w.Lease]; w.Lease != 0 && !found {
 		return 0, store.ErrNoLease
 	}
 	if w.Delete {
@@ -177,20 +177,20 @@
 	s.revision++
 	item := store.Item{Key: w.Key, Value: slices.Clone(w.Value), Revision: s.revision, Lease: w.Lease}
 	s.items[w.Key] = item
-	s.note(store.Event{Item: item})
+	s.recordEvent(store.Event{Item: item})
 	return s.revision, nil
 }
 
 func (s *Store) remove(key string) {
-	if _, stands := s.items[key]; !stands {
+	if _, found := s.items[key]; !found {
 		return
 	}
 	s.revision++
 	delete(s.items, key)
-	s.note(store.Event{Item: store.Item{Key: key, Revision: s.revision}, Deleted: true})
+	s.recordEvent(store.Event{Item: store.Item{Key: key, Revision: s.revision}, Deleted: true})
 }
 
-func (s *Store) note(e store.Event) {
+func (s *Store) recordEvent(e store.Event) {
 	s.history = append(s.history, e)
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -202,26 +202,26 @@
 	node  string
 }
 
-// enter counts a call and reports how it fails. The store stays locked where it doesn't.
-func (c *client) enter() error {
+// beginCall counts a call and reports how it fails. The store stays locked where it doesn't.
+func (c *client) beginCall() error {
 	c.store.mu.Lock()
 	c.store.calls++
-	c.store.expire()
+	c.store.expireLeases()
 	if c.store.faults.Down || c.store.faults.RefuseNodes[c.node] {
 		c.store.mu.Unlock()
-		return errOutage
+		return errUnavailable
 	}
 	return nil
 }
 
 // Get reads one key.
 func (c *client) Get(_ context.Context, key string) (store.Item, error) {
-	if err := c.enter(); err != nil {
+	if err := c.beginCall(); err != nil {
 		return store.Item{}, err
 	}
 	defer c.store.mu.Unlock()
-	item, stands := c.store.items[key]
-	if !stands {
+	item, found := c.store.items[key]
+	if !found {
 		return store.Item{}, store.ErrNotFound
 	}
 	return item, nil
@@ -229,7 +229,7 @@
 
 // List reads all keys with the prefix.
 func (c *client) List(_ context.Context, prefix string) (store.Snapshot, error) {
-	if err := c.enter(); err != nil {
+	if err := c.beginCall(); err != nil {
 		return store.Snapshot{}, err
 	}
 	defer c.store.mu.Unlock()
@@ -246,7 +246,7 @@
 func (c *client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (store.Changes, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	if err := c.enter(); err != nil {
+	if err := c.beginCall(); err != nil {
 		return store.Changes{}, err
 	}
 	defer c.store.mu.Unlock()
@@ -257,20 +257,20 @@
 		}
 		changed, cut := c.store.changed, c.store.cut
 		c.store.mu.Unlock()
-		var ended error
+		var endErr error
 		select {
 		case <-changed:
 		case <-cut:
-			ended = errOutage
+			endErr = errUnavailable
 		case <-ctx.Done():
-			ended = ctx.Err()
+			endErr = ctx.Err()
 		case <-timer.C:
 			c.store.mu.Lock()
 			return store.Changes{Revision: c.store.revision}, nil
 		}
 		c.store.mu.Lock()
-		if ended != nil {
-			return store.Changes{}, ended
+		if endErr != nil {
+			return store.Changes{}, endErr
 		}
 	}
 }
@@ -278,7 +278,7 @@
 // changes returns what a watch after the revision has to tell now.
 func (c *client) changes(prefix string, after uint64) (store.Changes, error) {
 	s := c.store
-	if s.faults.Deaf {
+	if s.faults.StallWatches {
 		return store.Changes{}, nil
 	}
 	if after < s.compacted && len(s.history) > 0 {
@@ -295,24 +295,24 @@
 
 // Put carries out one write.
 func (c *client) Put(_ context.Context, w store.Write) (uint64, error) {
-	if err := c.enter(); err != nil {
+	if err := c.beginCall(); err != nil {
 		return 0, err
 	}
 	defer c.store.mu.Unlock()
 	if c.store.faults.LateWrites {
-		c.store.late = append(c.store.late, w)
-		return 0, errOutage
+		c.store.lateWrites = append(c.store.lateWrites, w)
+		return 0, errUnavailable
 	}
 	revision, err := c.store.put(w)
 	if c.store.faults.LoseAnswers {
-		return 0, errOutage
+		return 0, errUnavailable
 	}
 	return revision, err
 }
 
 // Grant returns a new lease.
 func (c *client) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
-	if err := c.enter(); err != nil {
+	if err := c.beginCall(); err != nil {
 		return 0, err
 	}
 	defer c.store.mu.Unlock()
@@ -323,12 +323,12 @@
 
 // Renew keeps a lease.
 func (c *client) Renew(_ context.Context, id uint64) error {
-	if err := c.enter(); err != nil {
+	if err := c.beginCall(); err != nil {
 		return err
 	}
 	defer c.store.mu.Unlock()
-	l, stands := c.store.leases[id]
-	if !stands {
+	l, found := c.store.leases[id]
+	if !found {
 		return store.ErrNoLease
 	}
 	l.expires = time.Now().Add(l.ttl)
--- a/internal/lab/load/budget_test.go
+++ b/internal/lab/load/budget_test.go
@@ -27,7 +27,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(divide(test.connections, test.streams), test.want)
+			is.Equal(divideConnections(test.connections, test.streams), test.want)
 		})
 	}
 }
@@ -35,7 +35,7 @@
 // A flood beyond what is answered keeps to its connections, and the rest is told so.
 func TestFloodKeepsToItsConnections(t *testing.T) {
 	is := is.New(t)
-	const most = 10
+	const limit = 10
 	var open, peak atomic.Int32
 	target := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		now := open.Add(1)
@@ -50,7 +50,7 @@
 		Streams:     []Stream{{Name: "flood", Service: "x", Path: "/", Rate: 200, Timeout: time.Minute}},
 		Targets:     []string{strings.TrimPrefix(target.URL, "http://")},
 		Duration:    500 * time.Millisecond,
-		Connections: most,
+		Connections: limit,
 	})
 	unsent := 0
 	for _, r := range results {
@@ -58,7 +58,7 @@
 			unsent++
 		}
 	}
-	is.Equal(peak.Load(), int32(most))
+	is.Equal(peak.Load(), int32(limit))
 	is.True(unsent > 0)
-	is.True(len(results)-unsent >= most)
+	is.True(len(results)-unsent >= limit)
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -82,7 +82,7 @@
 	ID      string `json:"id"`
 	// Sent and Took count from the start of the run.
 	Sent    time.Duration `json:"sent"`
-	Took    time.Duration `json:"took"`
+	Latency time.Duration `json:"took"`
 	Status  int           `json:"status"`
 	Outcome string        `json:"outcome"`
 	Reason  string        `json:"reason"`
@@ -103,14 +103,14 @@
 		start:  time.Now(),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idlePerTarget}},
 	}
-	ctx, cancel := context.WithTimeout(ctx, config.Duration+lastAnswers)
+	ctx, cancel := context.WithTimeout(ctx, config.Duration+completionTimeout)
 	defer cancel()
 	var group conc.WaitGroup
-	shares := divide(cmp.Or(config.Connections, mostConnections()), config.Streams)
+	shares := divideConnections(cmp.Or(config.Connections, maxConnections()), config.Streams)
 	for i, s := range config.Streams {
 		random := rand.New(rand.NewPCG(config.Seed, uint64(i)))
-		own := make(connections, shares[i])
-		group.Go(func() { g.send(ctx, s, own, random) })
+		limiter := make(connectionLimiter, shares[i])
+		group.Go(func() { g.sendStream(ctx, s, limiter, random) })
 	}
 	group.Wait()
 	return g.results
@@ -118,8 +118,8 @@
 
 const (
 	idlePerTarget = 256
-	// lastAnswers is how long the last requests may take.
-	lastAnswers = 10 * time.Second
+	// completionTimeout is how long the last requests may take.
+	completionTimeout = 10 * time.Second
 )
 
 type generator struct {
@@ -131,8 +131,8 @@
 	results []Result
 }
 
-// send starts the requests of a stream at random times that give its rate.
-func (g *generator) send(ctx context.Context, s Stream, own connections, random *rand.Rand) {
+// sendStream starts the requests of a stream at random times that give its rate.
+func (g *generator) sendStream(ctx context.Context, s Stream, limiter connectionLimiter, random *rand.Rand) {
 	stop := g.config.Duration
 	if s.Stop > 0 {
 		stop = min(stop, s.Stop)
@@ -150,12 +150,12 @@
 		}
 		target := targets[random.IntN(len(targets))]
 		id := fmt.Sprintf("%s-%d-%d", s.Name, s.Start.Milliseconds(), number)
-		group.Go(func() { g.request(ctx, s, own, target, id) })
+		group.Go(func() { g.request(ctx, s, limiter, target, id) })
 		next += time.Duration(random.ExpFloat64() / s.Rate * float64(time.Second))
 	}
 }
 
-func (g *generator) request(ctx context.Context, s Stream, own connections, target, id string) {
+func (g *generator) request(ctx context.Context, s Stream, limiter connectionLimiter, target, id string) {
 	result := Result{
 		Stream:  s.Name,
 		Added:   s.Added,
@@ -168,26 +168,26 @@
 	begin := time.Now()
 	for result.Sends <= s.Resends && ctx.Err() == nil {
 		result.Sends++
-		g.once(ctx, s, own, target, &result)
+		g.sendOnce(ctx, s, limiter, target, &result)
 		if result.OK() || time.Since(begin) > s.Timeout {
 			break
 		}
 	}
-	result.Took = time.Since(begin)
+	result.Latency = time.Since(begin)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.results = append(g.results, result)
 }
 
-func (g *generator) once(ctx context.Context, s Stream, own connections, target string, result *Result) {
+func (g *generator) sendOnce(ctx context.Context, s Stream, limiter connectionLimiter, target string, result *Result) {
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
 	result.Status, result.Outcome, result.Reason, result.RetryAfter = 0, "", "", ""
-	if !own.take() {
+	if !limiter.tryAcquire() {
 		result.Reason = NoConnection
 		return
 	}
-	defer own.free()
+	defer limiter.release()
 	address := "http://" + target + s.path()
 	request, err := http.NewRequestWithContext(ctx, s.Method, address, strings.NewReader(s.Body))
 	if err != nil {
--- a/internal/lab/once/caller.go
+++ b/internal/lab/once/caller.go
@@ -42,8 +42,8 @@
 )
 
 var (
-	keyKinds    = []KeyKind{Timed, Opaque, Minted}
-	politeKinds = []KeyKind{Timed, Opaque, Minted, None}
+	keyKinds        = []KeyKind{Timed, Opaque, Minted}
+	singleSendKinds = []KeyKind{Timed, Opaque, Minted, None}
 )
 
 // Send is one request as its caller saw it.
@@ -91,8 +91,8 @@
 }
 
 const (
-	// patience is how long a caller waits for one answer.
-	patience = 1500 * time.Millisecond
+	// requestTimeout is how long a caller waits for one answer.
+	requestTimeout = 1500 * time.Millisecond
 	// maxRounds is how often a caller sends one booking.
 	maxRounds = 12
 	// maxCopies is how many copies a caller sends at the same moment.
@@ -103,13 +103,13 @@
 
 // callers sends bookings from many goroutines.
 type callers struct {
-	service string
-	targets []string
-	polite  bool
-	// client keeps connections and, as clients do, sends a request with a key again by itself where a kept
+	service    string
+	targets    []string
+	singleSend bool
+	// keepAliveClient keeps connections and, as clients do, sends a request with a key again by itself where a kept
 	// connection ends before any answer; once makes a connection for each request.
-	client *http.Client
-	once   *http.Client
+	keepAliveClient *http.Client
+	singleUseClient *http.Client
 
 	mu       sync.Mutex
 	bookings []Booking
@@ -117,11 +117,11 @@
 
 func newCallers(config Config) *callers {
 	return &callers{
-		service: config.Service,
-		targets: config.Fleet.Callers(),
-		polite:  config.Polite,
-		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idlePerTarget}},
-		once:    &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		service:         config.Service,
+		targets:         config.Fleet.Callers(),
+		singleSend:      config.SingleSend,
+		keepAliveClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idlePerTarget}},
+		singleUseClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 }
 
@@ -131,13 +131,13 @@
 // run keeps sending bookings, one after the other, until the context ends.
 func (c *callers) run(ctx context.Context, name string, random *rand.Rand) {
 	kinds := keyKinds
-	if c.polite {
-		kinds = politeKinds
+	if c.singleSend {
+		kinds = singleSendKinds
 	}
 	for number := 0; ctx.Err() == nil; number++ {
 		b := Booking{ID: fmt.Sprintf("%s-%d", name, number), Kind: kinds[random.IntN(len(kinds))], Begin: time.Now()}
-		if c.polite {
-			c.bookPolitely(&b, random)
+		if c.singleSend {
+			c.bookOnce(&b, random)
 		} else {
 			c.book(ctx, &b, random)
 		}
@@ -147,8 +147,8 @@
 	}
 }
 
-// bookPolitely sends the booking once, to the first node that takes the connection.
-func (c *callers) bookPolitely(b *Booking, random *rand.Rand) {
+// bookOnce sends the booking once, to the first node that takes the connection.
+func (c *callers) bookOnce(b *Booking, random *rand.Rand) {
 	for {
 		s := c.send(b, firstKey(b), c.targets[random.IntN(len(c.targets))])
 		b.Sends = append(b.Sends, s)
@@ -161,7 +161,7 @@
 // book sends the booking in rounds until it is told to have run, and once more now and then.
 func (c *callers) book(ctx context.Context, b *Booking, random *rand.Rand) {
 	key := firstKey(b)
-	again := random.IntN(4) == 0
+	sendAgain := random.IntN(4) == 0
 	for round := 0; round < maxRounds && ctx.Err() == nil; round++ {
 		copies := 1
 		if key != "" {
@@ -169,11 +169,11 @@
 		}
 		sends := c.round(b, key, copies, random)
 		b.Sends = append(b.Sends, sends...)
-		key = keyAfter(key, sends)
-		if key == "" || (b.Ran() && !again) {
+		key = nextKey(key, sends)
+		if key == "" || (b.Ran() && !sendAgain) {
 			return
 		}
-		again = again && !b.Ran()
+		sendAgain = sendAgain && !b.Ran()
 		time.Sleep(time.Duration(random.Int64N(int64(roundPause))))
 	}
 }
@@ -189,8 +189,8 @@
 	}
 }
 
-// keyAfter returns the key to send again under. Without one that was told, a booking can't be sent again.
-func keyAfter(key string, sends []Send) string {
+// nextKey returns the key to send again under. Without one that was told, a booking can't be sent again.
+func nextKey(key string, sends []Send) string {
 	if key == "" {
 		return sends[0].Key
 	}
@@ -214,19 +214,19 @@
 
 // send sends one copy.
 func (c *callers) send(b *Booking, key, target string) Send {
-	client := c.once
+	client := c.singleUseClient
 	if b.Kind == None || key != "" {
-		client = c.client
+		client = c.keepAliveClient
 	}
-	o := Order{Target: target, Service: c.service, Method: http.MethodPost, Path: "/bookings", Key: key, Body: b.ID}
+	o := Request{Target: target, Service: c.service, Method: http.MethodPost, Path: "/bookings", Key: key, Body: b.ID}
 	if b.Kind == None {
 		o.Method, o.Path = http.MethodGet, "/windows"
 	}
-	return Post(client, o)
+	return SendRequest(client, o)
 }
 
-// Order is one request to send.
-type Order struct {
+// Request is one request to send.
+type Request struct {
 	// Target is the caller address of a node.
 	Target  string
 	Service string
@@ -237,11 +237,11 @@
 	Body string
 }
 
-// Post sends a request and returns what its caller saw.
-func Post(client *http.Client, o Order) (s Send) {
+// SendRequest sends a request and returns what its caller saw.
+func SendRequest(client *http.Client, o Request) (s Send) {
 	s = Send{Begin: time.Now(), Key: o.Key, Target: o.Target}
 	defer func() { s.End = time.Now() }()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	address := "http://" + o.Target + "/call/" + o.Service + o.Path
 	request, err := http.NewRequestWithContext(ctx, o.Method, address, strings.NewReader(o.Body))
@@ -263,16 +263,16 @@
 		s.Error = err.Error()
 		return s
 	}
-	s.read(response, string(body))
+	s.readResponse(response, string(body))
 	return s
 }
 
-// read takes in the whole answer.
-func (s *Send) read(response *http.Response, body string) {
+// readResponse takes in the whole answer.
+func (s *Send) readResponse(response *http.Response, body string) {
 	s.Status, s.Body = response.StatusCode, body
 	s.Outcome = response.Header.Get(caller.OutcomeHeader)
 	s.Reason = response.Header.Get(caller.ReasonHeader)
-	if told := response.Header.Get(backend.KeyHeader); told != "" {
-		s.Key = told
+	if key := response.Header.Get(backend.KeyHeader); key != "" {
+		s.Key = key
 	}
 }
--- a/internal/lab/once/check.go
+++ b/internal/lab/once/check.go
@@ -18,8 +18,8 @@
 	Reasons  map[string]int `json:"reasons"`
 	// Kinds says how each kind of key fared.
 	Kinds map[KeyKind]KindCount `json:"kinds"`
-	// Shares says, for an outage, how the first sends of each kind of key fared at the nodes of each zone.
-	Shares map[string]Share `json:"shares,omitempty"`
+	// FirstSends says, for an outage, how the first sends of each kind of key fared at the nodes of each zone.
+	FirstSends map[string]FirstSendCounts `json:"shares,omitempty"`
 	// Violations are the promises that were broken; none are expected.
 	Violations []string `json:"violations"`
 	// Failed are the sends that callers who use nodes that are up saw fail.
@@ -35,11 +35,11 @@
 	FirstRan int `json:"first_ran"`
 	// FirstMedian and FirstHigh are the median and the 99th percentile of how long those took.
 	FirstMedian time.Duration `json:"first_median"`
-	FirstHigh   time.Duration `json:"first_p99"`
+	FirstP99    time.Duration `json:"first_p99"`
 }
 
-// start is one key in the ledgers.
-type start struct {
+// keyStarts is one key in the ledgers.
+type keyStarts struct {
 	count int
 	first time.Time
 }
@@ -55,19 +55,19 @@
 	starts := startsByKey(runs)
 	for key, s := range starts {
 		if s.count > 1 {
-			report.violate("key %s ran %d times", key, s.count)
+			report.addViolation("key %s ran %d times", key, s.count)
 		}
 	}
 	for _, b := range bookings {
 		report.count(b)
 		report.check(b, starts)
 	}
-	report.measure(bookings)
+	report.addLatencies(bookings)
 	return report
 }
 
-func startsByKey(runs []server.Run) map[string]start {
-	starts := map[string]start{}
+func startsByKey(runs []server.Run) map[string]keyStarts {
+	starts := map[string]keyStarts{}
 	for _, r := range runs {
 		if r.Key == "" {
 			continue // an idempotent request
@@ -82,7 +82,7 @@
 	return starts
 }
 
-func (r *Report) violate(format string, values ...any) {
+func (r *Report) addViolation(format string, values ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf(format, values...))
 }
 
@@ -106,52 +106,52 @@
 	}
 }
 
-// measure adds how long the first sends took that ran.
-func (r *Report) measure(bookings []Booking) {
-	took := map[KeyKind][]time.Duration{}
+// addLatencies adds how long the first sends took that ran.
+func (r *Report) addLatencies(bookings []Booking) {
+	latencies := map[KeyKind][]time.Duration{}
 	for _, b := range bookings {
 		if len(b.Sends) > 0 && b.Sends[0].Outcome == "ran" {
-			took[b.Kind] = append(took[b.Kind], b.Sends[0].End.Sub(b.Sends[0].Begin))
+			latencies[b.Kind] = append(latencies[b.Kind], b.Sends[0].End.Sub(b.Sends[0].Begin))
 		}
 	}
-	for kind, all := range took {
+	for kind, all := range latencies {
 		slices.Sort(all)
 		count := r.Kinds[kind]
-		count.FirstMedian, count.FirstHigh = all[len(all)/2], all[len(all)*99/100]
+		count.FirstMedian, count.FirstP99 = all[len(all)/2], all[len(all)*99/100]
 		r.Kinds[kind] = count
 	}
 }
 
 // check looks at every answer of one booking.
-func (r *Report) check(b Booking, starts map[string]start) {
-	first := ""
+func (r *Report) check(b Booking, starts map[string]keyStarts) {
+	firstBody := ""
 	for _, s := range b.Sends {
 		if s.Key == "" {
 			continue // an idempotent request, or one that got no further than its entry
 		}
-		ran, started := starts[s.Key]
+		recorded, found := starts[s.Key]
 		switch s.Outcome {
 		case "ran":
-			if s.Status == http.StatusOK && !started {
-				r.violate("booking %s was told ran under %s, which is in no ledger", b.ID, s.Key)
+			if s.Status == http.StatusOK && !found {
+				r.addViolation("booking %s was told ran under %s, which is in no ledger", b.ID, s.Key)
 			}
-			if first != "" && s.Body != first {
-				r.violate("booking %s got two answers: %q and %q", b.ID, first, s.Body)
+			if firstBody != "" && s.Body != firstBody {
+				r.addViolation("booking %s got two answers: %q and %q", b.ID, firstBody, s.Body)
 			}
-			first = s.Body
+			firstBody = s.Body
 		case "not_run":
-			if started && !explained(b, s, ran.first) {
-				r.violate("booking %s was told not_run (%s) under %s, which ran %s after the send began",
-					b.ID, s.Reason, s.Key, ran.first.Sub(s.Begin))
+			if found && !isExplained(b, s, recorded.first) {
+				r.addViolation("booking %s was told not_run (%s) under %s, which ran %s after the send began",
+					b.ID, s.Reason, s.Key, recorded.first.Sub(s.Begin))
 			}
 		}
 	}
 }
 
-// explained reports whether a later send of the caller can have run what an earlier one was told not to have run.
-func explained(b Booking, told Send, ran time.Time) bool {
+// isExplained reports whether a later send of the caller can have run what an earlier one was told not to have run.
+func isExplained(b Booking, earlier Send, startedAt time.Time) bool {
 	for _, s := range b.Sends {
-		if s.Key == told.Key && s.Begin.After(told.Begin) && s.Begin.Before(ran) && s.End.After(ran) {
+		if s.Key == earlier.Key && s.Begin.After(earlier.Begin) && s.Begin.Before(startedAt) && s.End.After(startedAt) {
 			return true
 		}
 	}
--- a/internal/lab/once/once.go
+++ b/internal/lab/once/once.go
@@ -24,10 +24,10 @@
 	Seed uint64
 	// Callers is how many goroutines send bookings.
 	Callers int
-	// Calm runs without faults.
-	Calm bool
-	// Polite callers send each booking once, to a node that is up, and idempotent requests as well.
-	Polite bool
+	// NoFaults runs without faults.
+	NoFaults bool
+	// SingleSend callers send each booking once, to a node that is up, and idempotent requests as well.
+	SingleSend bool
 	// Outage takes the platform or the first availability zone away for the whole run; the report's shares begin when
 	// the epochs agreed before have ended.
 	Outage Outage
@@ -50,22 +50,22 @@
 		group.Go(func() { c.run(running, fmt.Sprintf("caller-%d", i), random) })
 	}
 	if config.Outage != NoOutage {
-		config.Outage.begin(config.Fleet)
-		defer restore(config.Fleet)
-	} else if !config.Calm {
+		config.Outage.start(config.Fleet)
+		defer endOutage(config.Fleet)
+	} else if !config.NoFaults {
 		f := newFaults(config.Fleet, rand.New(rand.NewPCG(config.Seed, 0)), config.Output)
 		group.Go(func() { f.run(running) })
 	}
 	group.Wait()
 	pause.For(ctx, settleTime)
-	report := Check(c.bookings, runs(config.Fleet))
+	report := Check(c.bookings, ledgerRuns(config.Fleet))
 	if config.Outage != NoOutage {
-		report.Shares = shares(c.bookings, config.Fleet, start.Add(outageSettles))
+		report.FirstSends = countFirstSends(c.bookings, config.Fleet, start.Add(outageSettleTime))
 	}
 	return report
 }
 
-func runs(f *fleet.Fleet) []server.Run {
+func ledgerRuns(f *fleet.Fleet) []server.Run {
 	var all []server.Run
 	for _, n := range f.Nodes {
 		all = append(all, n.Server.Ledger().Runs()...)
--- a/internal/lab/once/outage.go
+++ b/internal/lab/once/outage.go
@@ -20,25 +20,25 @@
 	ZoneOutage Outage = "zone"
 )
 
-// outageSettles is the time after which no epoch holds that was agreed before the outage.
-var outageSettles = homes.DefaultTiming.Horizon + homes.DefaultTiming.TakeOver + 2*time.Second
+// outageSettleTime is the time after which no epoch holds that was agreed before the outage.
+var outageSettleTime = homes.DefaultTiming.Horizon + homes.DefaultTiming.TakeoverDelay + 2*time.Second
 
-func (o Outage) begin(f *fleet.Fleet) {
+func (o Outage) start(f *fleet.Fleet) {
 	if o == PlatformOutage {
 		f.Store.SetFaults(store.Faults{Down: true})
 		return
 	}
-	inside, outside := sides(f, f.Nodes[0].Zone)
+	inside, outside := splitZone(f, f.Nodes[0].Zone)
 	f.Network.SetBoth(inside, outside, proxy.Fault{Cut: true})
 }
 
-func restore(f *fleet.Fleet) {
+func endOutage(f *fleet.Fleet) {
 	f.Network.Clear()
 	f.Store.SetFaults(store.Faults{})
 }
 
-// Share is what the callers of first sends of bookings were told.
-type Share struct {
+// FirstSendCounts is what the callers of first sends of bookings were told.
+type FirstSendCounts struct {
 	Sent int `json:"sent"`
 	Ran  int `json:"ran"`
 	// Refused counts those that were told not_admitted or not_run, with a reason.
@@ -47,7 +47,7 @@
 	SlowestRefusal time.Duration `json:"slowest_refusal"`
 }
 
-func (s *Share) count(first Send) {
+func (s *FirstSendCounts) add(first Send) {
 	s.Sent++
 	switch first.Outcome {
 	case "ran":
@@ -58,19 +58,19 @@
 	}
 }
 
-func shares(bookings []Booking, f *fleet.Fleet, from time.Time) map[string]Share {
+func countFirstSends(bookings []Booking, f *fleet.Fleet, from time.Time) map[string]FirstSendCounts {
 	zones := map[string]string{}
 	for _, n := range f.Nodes {
 		zones[n.Caller] = n.Zone
 	}
-	byKind := map[string]Share{}
+	byKind := map[string]FirstSendCounts{}
 	for _, b := range bookings {
 		if len(b.Sends) == 0 || b.Begin.Before(from) {
 			continue
 		}
 		name := string(b.Kind) + " " + zones[b.Sends[0].Target]
 		s := byKind[name]
-		s.count(b.Sends[0])
+		s.add(b.Sends[0])
 		byKind[name] = s
 	}
 	return byKind
--- a/internal/lab/proxy/network.go
+++ b/internal/lab/proxy/network.go
@@ -28,27 +28,27 @@
 	Cut bool
 	// Delay holds each chunk of bytes back.
 	Delay time.Duration
-	// Spread adds a random delay of up to this much.
-	Spread time.Duration
+	// Jitter adds a random delay of up to this much.
+	Jitter time.Duration
 	// TruncateAfter closes the connection after so many bytes; 0 for never.
 	TruncateAfter int64
 	// Corrupt flips a bit in the middle of every chunk.
 	Corrupt bool
-	// Scatter flips a bit at a random place of every chunk.
-	Scatter bool
+	// CorruptRandomly flips a bit at a random place of every chunk.
+	CorruptRandomly bool
 	// Duplicate passes every chunk on twice.
 	Duplicate bool
-	// Cross exchanges chunks between the connections that carry bytes at the same time.
-	Cross bool
-	// AtLeast spares chunks of fewer bytes from damage: from TruncateAfter, Corrupt, Scatter, Duplicate and Cross.
-	AtLeast int
-	// Times is how many chunks are damaged in all; 0 for no bound.
-	Times int
+	// SwapChunks exchanges chunks between the connections that carry bytes at the same time.
+	SwapChunks bool
+	// MinChunkSize spares chunks of fewer bytes from damage: from TruncateAfter, Corrupt, Scatter, Duplicate and Cross.
+	MinChunkSize int
+	// MaxDamagedChunks is how many chunks are damaged in all; 0 for no bound.
+	MaxDamagedChunks int
 }
 
 // withoutDamage returns the fault as it is for chunks that are spared.
 func (f Fault) withoutDamage() Fault {
-	return Fault{Cut: f.Cut, Delay: f.Delay, Spread: f.Spread}
+	return Fault{Cut: f.Cut, Delay: f.Delay, Jitter: f.Jitter}
 }
 
 type link struct {
@@ -60,14 +60,14 @@
 type Network struct {
 	group conc.WaitGroup
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	names   map[string]string
-	faults  map[link]Fault
-	changed chan struct{}
-	pairs   map[*pair]bool
-	crossed map[link]chan []byte
-	traffic map[link]*Traffic
+	mu           sync.Mutex
+	random       *rand.Rand
+	names        map[string]string
+	faults       map[link]Fault
+	changed      chan struct{}
+	connections  map[*proxiedConn]bool
+	swapChannels map[link]chan []byte
+	traffic      map[link]*Traffic
 	// damaged counts the chunks that the fault in force has damaged.
 	damaged map[link]int
 }
@@ -82,19 +82,19 @@
 // NewNetwork returns a network without faults. The seed drives its random delays.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
-		random:  rand.New(rand.NewPCG(seed, seed)),
-		names:   map[string]string{},
-		faults:  map[link]Fault{},
-		changed: make(chan struct{}),
-		pairs:   map[*pair]bool{},
-		crossed: map[link]chan []byte{},
-		traffic: map[link]*Traffic{},
-		damaged: map[link]int{},
+		random:       rand.New(rand.NewPCG(seed, seed)),
+		names:        map[string]string{},
+		faults:       map[link]Fault{},
+		changed:      make(chan struct{}),
+		connections:  map[*proxiedConn]bool{},
+		swapChannels: map[link]chan []byte{},
+		traffic:      map[link]*Traffic{},
+		damaged:      map[link]int{},
 	}
 }
 
-// Name says which end dials from the IP.
-func (n *Network) Name(ip, name string) {
+// RegisterIP says which end dials from the IP.
+func (n *Network) RegisterIP(ip, name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.names[ip] = name
@@ -106,7 +106,7 @@
 	defer n.mu.Unlock()
 	n.faults[link{from, to}] = f
 	n.damaged[link{from, to}] = 0
-	n.wake()
+	n.notifyChange()
 }
 
 // SetBoth puts a fault on both directions between every end of one group and every end of the other.
@@ -124,26 +124,26 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults = map[link]Fault{}
-	n.wake()
+	n.notifyChange()
 }
 
 // SilenceOpen makes the open connections from one end to the other silent for good. New ones work.
 func (n *Network) SilenceOpen(from, to string) int {
-	return n.each(from, to, func(p *pair) { p.silence() })
+	return n.forEachConnection(from, to, func(c *proxiedConn) { c.silence() })
 }
 
 // ResetOpen closes the open connections from one end to the other.
 func (n *Network) ResetOpen(from, to string) int {
-	return n.each(from, to, func(p *pair) { p.close() })
+	return n.forEachConnection(from, to, func(c *proxiedConn) { c.close() })
 }
 
-func (n *Network) each(from, to string, f func(*pair)) int {
+func (n *Network) forEachConnection(from, to string, f func(*proxiedConn)) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
-	for p := range n.pairs {
-		if p.link == (link{from, to}) {
-			f(p)
+	for c := range n.connections {
+		if c.link == (link{from, to}) {
+			f(c)
 			count++
 		}
 	}
@@ -175,7 +175,7 @@
 	return traffic
 }
 
-func (n *Network) count(l link, bytes int) {
+func (n *Network) countTraffic(l link, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t, ok := n.traffic[l]
@@ -200,8 +200,8 @@
 		if err != nil {
 			return
 		}
-		p := newPair(n, link{from: n.nameOf(conn), to: name}, conn)
-		group.Go(func() { p.run(ctx, target) })
+		c := newProxiedConn(n, link{from: n.nameOf(conn), to: name}, conn)
+		group.Go(func() { c.run(ctx, target) })
 	}
 }
 
@@ -215,16 +215,16 @@
 	return n.names[host]
 }
 
-func (n *Network) add(p *pair) {
+func (n *Network) addConnection(c *proxiedConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.pairs[p] = true
+	n.connections[c] = true
 }
 
-func (n *Network) remove(p *pair) {
+func (n *Network) removeConnection(c *proxiedConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.pairs, p)
+	delete(n.connections, c)
 }
 
 // fault returns the fault in force and a channel that closes when faults change.
@@ -234,19 +234,19 @@
 	return n.faults[l], n.changed
 }
 
-// strike returns the fault in force for a chunk of so many bytes.
-func (n *Network) strike(l link, bytes int) Fault {
+// faultForChunk returns the fault in force for a chunk of so many bytes.
+func (n *Network) faultForChunk(l link, bytes int) Fault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f := n.faults[l]
-	if bytes < f.AtLeast || f.Times > 0 && n.damaged[l] >= f.Times {
+	if bytes < f.MinChunkSize || f.MaxDamagedChunks > 0 && n.damaged[l] >= f.MaxDamagedChunks {
 		return f.withoutDamage()
 	}
 	n.damaged[l]++
 	return f
 }
 
-func (n *Network) flipAnywhere(chunk []byte) {
+func (n *Network) flipRandomBit(chunk []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	chunk[n.random.IntN(len(chunk))] ^= 1 << n.random.IntN(bitsPerByte)
@@ -254,45 +254,45 @@
 
 const bitsPerByte = 8
 
-func (n *Network) jitter(f Fault) time.Duration {
-	if f.Spread <= 0 {
+func (n *Network) delayFor(f Fault) time.Duration {
+	if f.Jitter <= 0 {
 		return f.Delay
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return f.Delay + time.Duration(n.random.Int64N(int64(f.Spread)))
+	return f.Delay + time.Duration(n.random.Int64N(int64(f.Jitter)))
 }
 
-// crossWait is how long a chunk waits for another connection's.
-const crossWait = 20 * time.Millisecond
+// swapTimeout is how long a chunk waits for another connection's.
+const swapTimeout = 20 * time.Millisecond
 
-// cross returns the chunk of another connection of the link, which gets this one, or this one where none comes.
-func (n *Network) cross(l link, chunk []byte) []byte {
-	own := slices.Clone(chunk)
-	exchange := n.exchange(l)
-	timer := time.NewTimer(crossWait)
+// swapChunk returns the chunk of another connection of the link, which gets this one, or this one where none comes.
+func (n *Network) swapChunk(l link, chunk []byte) []byte {
+	copied := slices.Clone(chunk)
+	channel := n.swapChannel(l)
+	timer := time.NewTimer(swapTimeout)
 	defer timer.Stop()
 	select {
-	case other := <-exchange:
-		exchange <- own
+	case other := <-channel:
+		channel <- copied
 		return other
-	case exchange <- own:
-		return <-exchange
+	case channel <- copied:
+		return <-channel
 	case <-timer.C:
-		return own
+		return copied
 	}
 }
 
-func (n *Network) exchange(l link) chan []byte {
+func (n *Network) swapChannel(l link) chan []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.crossed[l] == nil {
-		n.crossed[l] = make(chan []byte)
+	if n.swapChannels[l] == nil {
+		n.swapChannels[l] = make(chan []byte)
 	}
-	return n.crossed[l]
+	return n.swapChannels[l]
 }
 
-func (n *Network) wake() {
+func (n *Network) notifyChange() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
--- a/internal/lab/proxy/pair.go
+++ b/internal/lab/proxy/pair.go
@@ -10,34 +10,34 @@
 	"github.com/sourcegraph/conc"
 )
 
-// pair is one connection through the proxy.
-type pair struct {
-	network  *Network
-	link     link
-	client   net.Conn
-	silenced chan struct{}
-	closed   chan struct{}
-	once     sync.Once
-	quiet    sync.Once
+// proxiedConn is one connection through the proxy.
+type proxiedConn struct {
+	network     *Network
+	link        link
+	client      net.Conn
+	silenced    chan struct{}
+	closed      chan struct{}
+	closeOnce   sync.Once
+	silenceOnce sync.Once
 }
 
-func newPair(n *Network, l link, client net.Conn) *pair {
-	return &pair{network: n, link: l, client: client, silenced: make(chan struct{}), closed: make(chan struct{})}
+func newProxiedConn(n *Network, l link, client net.Conn) *proxiedConn {
+	return &proxiedConn{network: n, link: l, client: client, silenced: make(chan struct{}), closed: make(chan struct{})}
 }
 
-func (p *pair) silence() {
-	p.quiet.Do(func() { close(p.silenced) })
+func (c *proxiedConn) silence() {
+	c.silenceOnce.Do(func() { close(c.silenced) })
 }
 
-func (p *pair) close() {
-	p.once.Do(func() { close(p.closed) })
+func (c *proxiedConn) close() {
+	c.closeOnce.Do(func() { close(c.closed) })
 }
 
-func (p *pair) run(ctx context.Context, target string) {
-	p.network.add(p)
-	defer p.network.remove(p)
-	defer func() { _ = p.client.Close() }()
-	if !p.passes(ctx, p.link) {
+func (c *proxiedConn) run(ctx context.Context, target string) {
+	c.network.addConnection(c)
+	defer c.network.removeConnection(c)
+	defer func() { _ = c.client.Close() }()
+	if !c.awaitUncut(ctx, c.link) {
 		return
 	}
 	server, err := net.Dial("tcp", target)
@@ -45,13 +45,13 @@
 		return
 	}
 	defer func() { _ = server.Close() }()
-	stop := context.AfterFunc(ctx, p.close)
+	stop := context.AfterFunc(ctx, c.close)
 	defer stop()
 	var group conc.WaitGroup
-	group.Go(func() { p.pump(ctx, p.link, p.client, server) })
-	group.Go(func() { p.pump(ctx, link{from: p.link.to, to: p.link.from}, server, p.client) })
-	<-p.closed
-	_ = p.client.Close()
+	group.Go(func() { c.forward(ctx, c.link, c.client, server) })
+	group.Go(func() { c.forward(ctx, link{from: c.link.to, to: c.link.from}, server, c.client) })
+	<-c.closed
+	_ = c.client.Close()
 	_ = server.Close()
 	group.Wait()
 }
@@ -59,13 +59,13 @@
 // chunkSize is the most bytes that are passed on at once.
 const chunkSize = 32 << 10
 
-func (p *pair) pump(ctx context.Context, l link, from, to net.Conn) {
-	defer p.close()
+func (c *proxiedConn) forward(ctx context.Context, l link, from, to net.Conn) {
+	defer c.close()
 	buffer := make([]byte, chunkSize)
-	var passed int64
+	var forwarded int64
 	for {
 		count, err := from.Read(buffer)
-		if count > 0 && !p.pass(ctx, l, to, buffer[:count], &passed) {
+		if count > 0 && !c.forwardChunk(ctx, l, to, buffer[:count], &forwarded) {
 			return
 		}
 		if err != nil {
@@ -74,43 +74,43 @@
 	}
 }
 
-// pass writes one chunk as the fault in force says, and reports whether the connection goes on.
-func (p *pair) pass(ctx context.Context, l link, to net.Conn, chunk []byte, passed *int64) bool {
-	if !p.passes(ctx, l) {
+// forwardChunk writes one chunk as the fault in force says, and reports whether the connection goes on.
+func (c *proxiedConn) forwardChunk(ctx context.Context, l link, to net.Conn, chunk []byte, forwarded *int64) bool {
+	if !c.awaitUncut(ctx, l) {
 		return false
 	}
-	f := p.network.strike(l, len(chunk))
-	if !p.pause(ctx, p.network.jitter(f)) {
+	f := c.network.faultForChunk(l, len(chunk))
+	if !c.pause(ctx, c.network.delayFor(f)) {
 		return false
 	}
 	if f.Corrupt {
 		chunk[len(chunk)/2] ^= 1
 	}
-	if f.Scatter {
-		p.network.flipAnywhere(chunk)
+	if f.CorruptRandomly {
+		c.network.flipRandomBit(chunk)
 	}
-	if f.Cross {
-		chunk = p.network.cross(l, chunk)
+	if f.SwapChunks {
+		chunk = c.network.swapChunk(l, chunk)
 	}
 	if f.Duplicate {
 		chunk = slices.Repeat(chunk, 2)
 	}
-	if left := f.TruncateAfter - *passed; f.TruncateAfter > 0 && int64(len(chunk)) > left {
-		_, _ = to.Write(chunk[:max(left, 0)])
+	if remaining := f.TruncateAfter - *forwarded; f.TruncateAfter > 0 && int64(len(chunk)) > remaining {
+		_, _ = to.Write(chunk[:max(remaining, 0)])
 		return false
 	}
-	*passed += int64(len(chunk))
-	p.network.count(l, len(chunk))
+	*forwarded += int64(len(chunk))
+	c.network.countTraffic(l, len(chunk))
 	_, err := to.Write(chunk)
 	return err == nil
 }
 
-// passes waits while the link is cut, for good where the connection is silenced.
-func (p *pair) passes(ctx context.Context, l link) bool {
+// awaitUncut waits while the link is cut, for good where the connection is silenced.
+func (c *proxiedConn) awaitUncut(ctx context.Context, l link) bool {
 	for {
-		f, changed := p.network.fault(l)
+		f, changed := c.network.fault(l)
 		select {
-		case <-p.silenced:
+		case <-c.silenced:
 			changed = nil
 		default:
 			if !f.Cut {
@@ -119,13 +119,13 @@
 		}
 		select {
 		case <-changed:
-		case <-p.silenced:
+		case <-c.silenced:
 			select {
 			case <-ctx.Done():
-			case <-p.closed:
+			case <-c.closed:
 			}
 			return false
-		case <-p.closed:
+		case <-c.closed:
 			return false
 		case <-ctx.Done():
 			return false
@@ -133,7 +133,7 @@
 	}
 }
 
-func (p *pair) pause(ctx context.Context, d time.Duration) bool {
+func (c *proxiedConn) pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -142,7 +142,7 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-p.closed:
+	case <-c.closed:
 		return false
 	case <-ctx.Done():
 		return false
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -32,7 +32,7 @@
 	for _, r := range results {
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%s\t%.1f%%\t%.2f\t%d\n",
 			r.Deployment, r.Scenario, r.Variant, r.GoodputBefore, r.GoodputDuring, r.IdealDuring,
-			percent(r.GoodputDuring/r.IdealDuring), r.GoodputAfter, recovery(r.Recovery), percent(r.Wasted), r.Amplification,
+			percent(r.GoodputDuring/r.IdealDuring), r.GoodputAfter, formatRecovery(r.Recovery), percent(r.Wasted), r.Amplification,
 			r.Unsent)
 	}
 	if err := t.Flush(); err != nil {
@@ -48,18 +48,18 @@
 		for _, s := range r.Streams {
 			_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f\t%.0f\t%s\t%s\n",
 				r.Deployment, r.Scenario, r.Variant, s.Rank, s.Name, percent(s.GoodBefore), percent(s.GoodDuring),
-				percent(s.KeptDuring), percent(s.GoodAfter), s.Rate, s.Ideal,
-				s.Median.Round(time.Millisecond), s.High.Round(time.Millisecond))
+				percent(s.OrdinaryGoodDuring), percent(s.GoodAfter), s.Goodput, s.Ideal,
+				s.Median.Round(time.Millisecond), s.P99.Round(time.Millisecond))
 		}
 	}
 	return trace.Wrap(t.Flush())
 }
 
-func percent(part float64) float64 {
-	return 100 * part
+func percent(ratio float64) float64 {
+	return 100 * ratio
 }
 
-func recovery(d time.Duration) string {
+func formatRecovery(d time.Duration) string {
 	if d < 0 {
 		return "never"
 	}
--- a/internal/lab/scenario/deployments.go
+++ b/internal/lab/scenario/deployments.go
@@ -23,11 +23,11 @@
 	Fleet fleet.Deployment
 	// Streams are the ordinary load.
 	Streams []load.Stream
-	// Least and Most name the streams of the least and the most urgent work.
-	Least string
-	Most  string
-	// Deep is the service at the end of the chains.
-	Deep string
+	// LeastUrgent and Most name the streams of the least and the most urgent work.
+	LeastUrgent string
+	MostUrgent  string
+	// DeepService is the service at the end of the chains.
+	DeepService string
 }
 
 // Deployments returns both deployments by name, with the services, slots and connections that they have. Service
@@ -41,24 +41,24 @@
 
 func lustreLimpo() Deployment {
 	return Deployment{
-		Name:  LustreLimpo,
-		Least: "archive",
-		Most:  "sheets",
-		Deep:  "access",
+		Name:        LustreLimpo,
+		LeastUrgent: "archive",
+		MostUrgent:  "sheets",
+		DeepService: "access",
 		Fleet: fleet.Deployment{
 			Zones: []string{"lisbon_1", "lisbon_2", "lisbon_3"},
 			Services: []fleet.Service{
 				service("crew-scheduling", 3, 35, 300, 60*time.Millisecond,
 					[]kind{{"sheets", "GET", 0, true}, {"availability", "GET", 3, true}, {"past", "GET", 7, true}},
-					[]server.Downstream{get("access", "/windows/palace", "/")}),
+					[]server.DownstreamCall{get("access", "/windows/palace", "/")}),
 				service("bookings", 3, 35, 300, 80*time.Millisecond,
 					[]kind{{"bookings", "POST", 2, false}, {"deposits", "POST", 2, false}},
-					[]server.Downstream{get("crew-scheduling", "/availability/today", "/")}),
+					[]server.DownstreamCall{get("crew-scheduling", "/availability/today", "/")}),
 				service("access", 3, 10, 170, 30*time.Millisecond,
 					[]kind{{"windows", "GET", 1, true}}, nil),
 				service("wash-history", 4, 35, 300, 30*time.Millisecond,
 					[]kind{{"archive", "GET", 8, true}},
-					[]server.Downstream{get("crew-scheduling", "/past/2019", "/")}),
+					[]server.DownstreamCall{get("crew-scheduling", "/past/2019", "/")}),
 			},
 		},
 		Streams: []load.Stream{
@@ -72,24 +72,24 @@
 
 func valokisko() Deployment {
 	return Deployment{
-		Name:  Valokisko,
-		Least: "lookups",
-		Most:  "board",
-		Deep:  "venues",
+		Name:        Valokisko,
+		LeastUrgent: "lookups",
+		MostUrgent:  "board",
+		DeepService: "venues",
 		Fleet: fleet.Deployment{
 			Zones: []string{"finland_1", "finland_2", "finland_3"},
 			Services: []fleet.Service{
 				service("fixtures", 4, 150, 1000, 100*time.Millisecond,
 					[]kind{{"lookups", "GET", 7, true}, {"stock", "GET", 3, true}},
-					[]server.Downstream{get("venues", "/schedules/week", "/lookups")}),
+					[]server.DownstreamCall{get("venues", "/schedules/week", "/lookups")}),
 				service("orders", 3, 200, 1300, 300*time.Millisecond,
 					[]kind{{"orders", "POST", 2, false}},
-					[]server.Downstream{get("fixtures", "/stock/lamps", "/"), get("venues", "/halls/main", "/")}),
+					[]server.DownstreamCall{get("fixtures", "/stock/lamps", "/"), get("venues", "/halls/main", "/")}),
 				service("venues", 5, 120, 800, 400*time.Millisecond,
 					[]kind{{"halls", "GET", 1, true}, {"schedules", "GET", 6, true}}, nil),
 				service("rig-status", 3, 45, 400, 80*time.Millisecond,
 					[]kind{{"board", "GET", 0, true}},
-					[]server.Downstream{get("venues", "/halls/main", "/")}),
+					[]server.DownstreamCall{get("venues", "/halls/main", "/")}),
 			},
 		},
 		Streams: []load.Stream{
@@ -115,14 +115,14 @@
 // queuePerSlot is how many requests may wait in a backend server for each of its slots.
 const queuePerSlot = 20
 
-func service(name string, instances, slots, connections int, took time.Duration, kinds []kind, calls []server.Downstream) fleet.Service {
+func service(name string, instances, slots, connections int, serviceTime time.Duration, kinds []kind, calls []server.DownstreamCall) fleet.Service {
 	return fleet.Service{
 		Name:        name,
 		Document:    documentOf(name, kinds),
 		Instances:   instances,
 		Slots:       slots,
 		Connections: connections,
-		Behaviour:   server.Behaviour{ServiceTime: took, Spread: 0.3, Queue: queuePerSlot * slots, Calls: calls},
+		Behaviour:   server.Behaviour{ServiceTime: serviceTime, Spread: 0.3, Queue: queuePerSlot * slots, Calls: calls},
 	}
 }
 
@@ -136,8 +136,8 @@
 	return text.String()
 }
 
-func get(service, path, prefix string) server.Downstream {
-	return server.Downstream{Service: service, Method: http.MethodGet, Path: path, Prefix: prefix}
+func get(service, path, prefix string) server.DownstreamCall {
+	return server.DownstreamCall{Service: service, Method: http.MethodGet, Path: path, Prefix: prefix}
 }
 
 func stream(name, service, method, path string, rank int, rate float64, timeout time.Duration) load.Stream {
--- a/internal/lab/scenario/ideal.go
+++ b/internal/lab/scenario/ideal.go
@@ -22,7 +22,7 @@
 		for count < len(ordered) && ordered[count].Rank == ordered[0].Rank {
 			count++
 		}
-		serveRank(d, ordered[:count], left, ideal)
+		allocateRank(d, ordered[:count], left, ideal)
 		ordered = ordered[count:]
 	}
 	return ideal
@@ -37,11 +37,11 @@
 	return left
 }
 
-// serveRank scales the streams of one rank by one factor so that they fit into what is left.
-func serveRank(d fleet.Deployment, streams []load.Stream, left, ideal map[string]float64) {
+// allocateRank scales the streams of one rank by one factor so that they fit into what is left.
+func allocateRank(d fleet.Deployment, streams []load.Stream, left, ideal map[string]float64) {
 	needed := map[string]float64{}
 	for _, s := range streams {
-		for service, slots := range slotsOf(d, s.Service, s.Path) {
+		for service, slots := range slotsPerRate(d, s.Service, s.Path) {
 			needed[service] += slots * s.Rate
 		}
 	}
@@ -76,28 +76,28 @@
 	return calls
 }
 
-// slotsOf returns how many slots of each service one request a second for the path holds, on average. A request holds
+// slotsPerRate returns how many slots of each service one request a second for the path holds, on average. A request holds
 // its slot while it waits for its calls.
-func slotsOf(d fleet.Deployment, service, path string) map[string]float64 {
+func slotsPerRate(d fleet.Deployment, service, path string) map[string]float64 {
 	slots := map[string]float64{}
-	hold(d, service, path, slots)
+	addSlotTime(d, service, path, slots)
 	return slots
 }
 
-// hold adds what a request and its calls need to slots, and returns for how many seconds it holds its own.
-func hold(d fleet.Deployment, service, path string, slots map[string]float64) float64 {
-	held := 0.0
+// addSlotTime adds what a request and its calls need to slots, and returns for how many seconds it holds its own.
+func addSlotTime(d fleet.Deployment, service, path string, slots map[string]float64) float64 {
+	holdTime := 0.0
 	for _, s := range d.Services {
 		if s.Name != service {
 			continue
 		}
-		held = s.Behaviour.ServiceTime.Seconds()
+		holdTime = s.Behaviour.ServiceTime.Seconds()
 		for _, c := range s.Behaviour.Calls {
 			if strings.HasPrefix(path, c.Prefix) {
-				held += hold(d, c.Service, c.Path, slots)
+				holdTime += addSlotTime(d, c.Service, c.Path, slots)
 			}
 		}
 	}
-	slots[service] += held
-	return held
+	slots[service] += holdTime
+	return holdTime
 }
--- a/internal/lab/scenario/measure.go
+++ b/internal/lab/scenario/measure.go
@@ -29,46 +29,46 @@
 	// Wasted is the part of all runs on backend servers that were for requests that failed in the end.
 	Wasted float64 `json:"wasted"`
 	// Amplification is the runs on backend servers over those that each sent request needs.
-	Amplification float64  `json:"amplification"`
-	Streams       []Stream `json:"streams"`
+	Amplification float64        `json:"amplification"`
+	Streams       []StreamResult `json:"streams"`
 	// Series is goodput by stream in each window of SeriesWindow.
 	Series map[string][]float64 `json:"series"`
 }
 
-// Stream is how one stream fared.
-type Stream struct {
+// StreamResult is how one stream fared.
+type StreamResult struct {
 	Name string `json:"name"`
 	Rank int    `json:"rank"`
 	// Good are the parts of the requests that were answered well in each phase, from 0 to 1.
 	GoodBefore float64 `json:"good_before"`
 	GoodDuring float64 `json:"good_during"`
 	GoodAfter  float64 `json:"good_after"`
-	// Rate is in good answers a second while the trigger is on, and Ideal what the slots allow.
-	Rate  float64 `json:"rate"`
-	Ideal float64 `json:"ideal"`
-	// KeptDuring is the part of the ordinary requests, without those that the trigger added.
-	KeptDuring float64       `json:"kept_during"`
-	Median     time.Duration `json:"median"`
-	High       time.Duration `json:"p99"`
+	// Goodput is in good answers a second while the trigger is on, and Ideal what the slots allow.
+	Goodput float64 `json:"rate"`
+	Ideal   float64 `json:"ideal"`
+	// OrdinaryGoodDuring is the part of the ordinary requests, without those that the trigger added.
+	OrdinaryGoodDuring float64       `json:"kept_during"`
+	Median             time.Duration `json:"median"`
+	P99                time.Duration `json:"p99"`
 }
 
 const (
 	// SeriesWindow is the length of one window of a series.
 	SeriesWindow = 500 * time.Millisecond
-	// lastAnswers is left out before a trigger, because it still meets the requests sent then.
-	lastAnswers = time.Second
-	// recovered is the part of the earlier goodput that counts as recovered.
-	recovered = 0.95
-	// steadyWindows is how many windows in a row must have recovered.
-	steadyWindows = 4
+	// preTriggerMargin is left out before a trigger, because it still meets the requests sent then.
+	preTriggerMargin = time.Second
+	// recoveredRatio is the part of the earlier goodput that counts as recovered.
+	recoveredRatio = 0.95
+	// requiredWindows is how many windows in a row must have recovered.
+	requiredWindows = 4
 )
 
 func measure(config Config, results []load.Result, started map[string]int) Result {
 	spans := config.Scenario.spans()
 	last := spans[len(spans)-1]
-	before := span{settle, Before - lastAnswers}
-	during := span{spans[0].start + settle, spans[0].end}
-	after := span{last.end + After/2, last.end + After}
+	before := span{settleTime, DurationBefore - preTriggerMargin}
+	during := span{spans[0].start + settleTime, spans[0].end}
+	after := span{last.end + DurationAfter/2, last.end + DurationAfter}
 	r := Result{
 		Deployment:    config.Deployment.Name,
 		Scenario:      config.Scenario.Name,
@@ -77,49 +77,49 @@
 		GoodputBefore: goodput(results, before),
 		GoodputDuring: goodput(results, during),
 		GoodputAfter:  goodput(results, after),
-		Unsent:        len(only(results, func(r load.Result) bool { return r.Reason == load.NoConnection })),
+		Unsent:        len(filter(results, func(r load.Result) bool { return r.Reason == load.NoConnection })),
 		Series:        series(results, config.Scenario.Duration()),
 	}
 	r.Recovery = recovery(results, last.end, config.Scenario.Duration())
 	r.Wasted, r.Amplification = waste(config, results, started)
-	ideal := Ideal(slowed(config), duringStreams(config))
+	ideal := Ideal(slowedDeployment(config), streamsDuringTrigger(config))
 	for _, s := range config.Deployment.Streams {
 		r.IdealDuring += ideal[s.Name]
-		r.Streams = append(r.Streams, streamOf(s, results, ideal[s.Name], before, during, after))
+		r.Streams = append(r.Streams, measureStream(s, results, ideal[s.Name], before, during, after))
 	}
 	return r
 }
 
-func streamOf(s load.Stream, results []load.Result, ideal float64, before, during, after span) Stream {
-	own := only(results, func(r load.Result) bool { return r.Stream == s.Name })
-	ordinary := only(own, func(r load.Result) bool { return !r.Added })
+func measureStream(s load.Stream, results []load.Result, ideal float64, before, during, after span) StreamResult {
+	own := filter(results, func(r load.Result) bool { return r.Stream == s.Name })
+	ordinary := filter(own, func(r load.Result) bool { return !r.Added })
 	latencies := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 	for _, r := range own {
 		if r.OK() {
-			_ = latencies.RecordValue(r.Took.Microseconds())
+			_ = latencies.RecordValue(r.Latency.Microseconds())
 		}
 	}
-	return Stream{
-		Name:       s.Name,
-		Rank:       s.Rank,
-		GoodBefore: share(own, before),
-		GoodDuring: share(own, during),
-		GoodAfter:  share(own, after),
-		Rate:       goodput(own, during),
-		Ideal:      ideal,
-		KeptDuring: share(ordinary, during),
-		Median:     time.Duration(latencies.ValueAtQuantile(50)) * time.Microsecond,
-		High:       time.Duration(latencies.ValueAtQuantile(99)) * time.Microsecond,
+	return StreamResult{
+		Name:               s.Name,
+		Rank:               s.Rank,
+		GoodBefore:         goodRatio(own, before),
+		GoodDuring:         goodRatio(own, during),
+		GoodAfter:          goodRatio(own, after),
+		Goodput:            goodput(own, during),
+		Ideal:              ideal,
+		OrdinaryGoodDuring: goodRatio(ordinary, during),
+		Median:             time.Duration(latencies.ValueAtQuantile(50)) * time.Microsecond,
+		P99:                time.Duration(latencies.ValueAtQuantile(99)) * time.Microsecond,
 	}
 }
 
-// slowed returns the deployment as it is while the first trigger is on.
-func slowed(config Config) fleet.Deployment {
+// slowedDeployment returns the deployment as it is while the first trigger is on.
+func slowedDeployment(config Config) fleet.Deployment {
 	d := config.Deployment.Fleet
 	services := slices.Clone(d.Services)
 	for i := range services {
-		if services[i].Name == config.Deployment.Deep {
-			factor := max(config.Scenario.Triggers[0].SlowDeep, 1)
+		if services[i].Name == config.Deployment.DeepService {
+			factor := max(config.Scenario.Triggers[0].Slowdown, 1)
 			services[i].Behaviour.ServiceTime = time.Duration(float64(services[i].Behaviour.ServiceTime) * factor)
 		}
 	}
@@ -127,11 +127,11 @@
 	return d
 }
 
-// duringStreams returns the load while the first trigger is on.
-func duringStreams(config Config) []load.Stream {
+// streamsDuringTrigger returns the load while the first trigger is on.
+func streamsDuringTrigger(config Config) []load.Stream {
 	var streams []load.Stream
 	for _, s := range config.Deployment.Streams {
-		s.Rate *= 1 + config.Scenario.Triggers[0].extra(config.Deployment, s)
+		s.Rate *= 1 + config.Scenario.Triggers[0].addedRatio(config.Deployment, s)
 		streams = append(streams, s)
 	}
 	return streams
@@ -141,17 +141,17 @@
 func goodput(results []load.Result, s span) float64 {
 	good := 0
 	for _, r := range results {
-		if r.OK() && s.holds(r.Sent) {
+		if r.OK() && s.contains(r.Sent) {
 			good++
 		}
 	}
 	return float64(good) / (s.end - s.start).Seconds()
 }
 
-func share(results []load.Result, s span) float64 {
+func goodRatio(results []load.Result, s span) float64 {
 	good, sent := 0, 0
 	for _, r := range results {
-		if !s.holds(r.Sent) {
+		if !s.contains(r.Sent) {
 			continue
 		}
 		sent++
@@ -162,11 +162,11 @@
 	return float64(good) / float64(max(sent, 1))
 }
 
-func (s span) holds(t time.Duration) bool {
+func (s span) contains(t time.Duration) bool {
 	return t >= s.start && t < s.end
 }
 
-func only(results []load.Result, keep func(load.Result) bool) []load.Result {
+func filter(results []load.Result, keep func(load.Result) bool) []load.Result {
 	var kept []load.Result
 	for _, r := range results {
 		if keep(r) {
@@ -193,16 +193,16 @@
 // recovery returns how long after the end of the trigger the share of good answers was back for good. Shares are
 // compared, not rates, because random arrivals make the rate of single windows waver.
 func recovery(results []load.Result, end, duration time.Duration) time.Duration {
-	wanted := recovered * share(results, span{settle, Before - lastAnswers})
-	steady := 0
+	threshold := recoveredRatio * goodRatio(results, span{settleTime, DurationBefore - preTriggerMargin})
+	recoveredWindows := 0
 	for start := end; start+SeriesWindow <= duration; start += SeriesWindow {
-		if share(results, span{start, start + SeriesWindow}) < wanted {
-			steady = 0
+		if goodRatio(results, span{start, start + SeriesWindow}) < threshold {
+			recoveredWindows = 0
 			continue
 		}
-		steady++
-		if steady == steadyWindows {
-			return start - (steadyWindows-1)*SeriesWindow - end
+		recoveredWindows++
+		if recoveredWindows == requiredWindows {
+			return start - (requiredWindows-1)*SeriesWindow - end
 		}
 	}
 	return -1
@@ -210,15 +210,15 @@
 
 // waste compares the runs on all backend servers with what the requests needed.
 func waste(config Config, results []load.Result, started map[string]int) (wasted, amplification float64) {
-	needed, runs, lost := 0.0, 0.0, 0.0
+	needed, runs, failedRuns := 0.0, 0.0, 0.0
 	for _, r := range results {
 		runs += float64(started[r.ID])
 		for _, calls := range Calls(config.Deployment.Fleet, r.Service, r.Path) {
 			needed += calls
 		}
 		if !r.OK() {
-			lost += float64(started[r.ID])
+			failedRuns += float64(started[r.ID])
 		}
 	}
-	return lost / max(runs, 1), runs / max(needed, 1)
+	return failedRuns / max(runs, 1), runs / max(needed, 1)
 }
--- a/internal/lab/scenario/run.go
+++ b/internal/lab/scenario/run.go
@@ -52,16 +52,16 @@
 	if err := f.WaitReady(ready); err != nil {
 		return Result{}, trace.Wrap(err)
 	}
-	results := drive(ctx, f, config)
-	return measure(config, results, ledgers(f)), nil
+	results := runLoad(ctx, f, config)
+	return measure(config, results, startsByRequest(f)), nil
 }
 
-// drive sends the load while the triggers change the backend servers.
-func drive(ctx context.Context, f *fleet.Fleet, config Config) []load.Result {
+// runLoad sends the load while the triggers change the backend servers.
+func runLoad(ctx context.Context, f *fleet.Fleet, config Config) []load.Result {
 	var group conc.WaitGroup
 	defer group.Wait()
 	start := time.Now()
-	group.Go(func() { slowDown(ctx, f, config, start) })
+	group.Go(func() { applySlowdowns(ctx, f, config, start) })
 	return load.Run(ctx, load.Config{
 		Streams:  config.Scenario.streams(config.Deployment),
 		Targets:  f.Callers(),
@@ -70,17 +70,17 @@
 	})
 }
 
-// slowDown changes the service time of the deep service while a trigger says so.
-func slowDown(ctx context.Context, f *fleet.Fleet, config Config, start time.Time) {
-	for i, on := range config.Scenario.spans() {
-		factor := config.Scenario.Triggers[i].SlowDeep
+// applySlowdowns changes the service time of the deep service while a trigger says so.
+func applySlowdowns(ctx context.Context, f *fleet.Fleet, config Config, start time.Time) {
+	for i, trigger := range config.Scenario.spans() {
+		factor := config.Scenario.Triggers[i].Slowdown
 		if factor <= 1 {
 			continue
 		}
-		pause.Until(ctx, start.Add(on.start))
-		scaleServiceTime(f, config.Deployment.Deep, factor)
-		pause.Until(ctx, start.Add(on.end))
-		scaleServiceTime(f, config.Deployment.Deep, 1/factor)
+		pause.Until(ctx, start.Add(trigger.start))
+		scaleServiceTime(f, config.Deployment.DeepService, factor)
+		pause.Until(ctx, start.Add(trigger.end))
+		scaleServiceTime(f, config.Deployment.DeepService, 1/factor)
 	}
 }
 
@@ -95,8 +95,8 @@
 	}
 }
 
-// ledgers sums up how often each request was started on all backend servers.
-func ledgers(f *fleet.Fleet) map[string]int {
+// startsByRequest sums up how often each request was started on all backend servers.
+func startsByRequest(f *fleet.Fleet) map[string]int {
 	started := map[string]int{}
 	for _, n := range f.Nodes {
 		for _, r := range n.Server.Ledger().Runs() {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -16,16 +16,16 @@
 
 // Phase times of every scenario.
 const (
-	// Before is the ordinary load before the trigger.
-	Before = 6 * time.Second
-	// During is how long a trigger lasts.
-	During = 8 * time.Second
-	// After is the ordinary load after the last trigger.
-	After = 12 * time.Second
-	// Between is the pause between two triggers in a row.
-	Between = 4 * time.Second
-	// settle is left out at the start of each phase's figures.
-	settle = 2 * time.Second
+	// DurationBefore is the ordinary load before the trigger.
+	DurationBefore = 6 * time.Second
+	// TriggerDuration is how long a trigger lasts.
+	TriggerDuration = 8 * time.Second
+	// DurationAfter is the ordinary load after the last trigger.
+	DurationAfter = 12 * time.Second
+	// TriggerInterval is the pause between two triggers in a row.
+	TriggerInterval = 4 * time.Second
+	// settleTime is left out at the start of each phase's figures.
+	settleTime = 2 * time.Second
 )
 
 // Trigger is what overloads a deployment for a time.
@@ -36,8 +36,8 @@
 	UrgentFlood float64
 	// Surge multiplies the rate of all streams.
 	Surge float64
-	// SlowDeep multiplies the service time of the deep service.
-	SlowDeep float64
+	// Slowdown multiplies the service time of the deep service.
+	Slowdown float64
 }
 
 // Scenario is a trigger, once or twice, with callers that send again or don't.
@@ -67,19 +67,19 @@
 	{
 		Name:     "slow_deep",
 		Text:     "the deep service slows down while demand surges and callers retry hard",
-		Triggers: []Trigger{{SlowDeep: 4, Surge: 1.5}},
+		Triggers: []Trigger{{Slowdown: 4, Surge: 1.5}},
 		Resends:  3,
 	},
 	{
 		Name:     "both_together",
 		Text:     "the deep service slows down during a flood of the least urgent work",
-		Triggers: []Trigger{{SlowDeep: 3, Flood: 15}},
+		Triggers: []Trigger{{Slowdown: 3, Flood: 15}},
 		Resends:  3,
 	},
 	{
 		Name:     "twice",
 		Text:     "the deep service slows down twice in a row",
-		Triggers: []Trigger{{SlowDeep: 4, Surge: 1.5}, {SlowDeep: 4, Surge: 1.5}},
+		Triggers: []Trigger{{Slowdown: 4, Surge: 1.5}, {Slowdown: 4, Surge: 1.5}},
 		Resends:  3,
 	},
 }
@@ -103,10 +103,10 @@
 // spans returns when each trigger is on.
 func (s Scenario) spans() []span {
 	var spans []span
-	start := Before
+	start := DurationBefore
 	for range s.Triggers {
-		spans = append(spans, span{start, start + During})
-		start += During + Between
+		spans = append(spans, span{start, start + TriggerDuration})
+		start += TriggerDuration + TriggerInterval
 	}
 	return spans
 }
@@ -114,7 +114,7 @@
 // Duration returns the length of the whole run.
 func (s Scenario) Duration() time.Duration {
 	spans := s.spans()
-	return spans[len(spans)-1].end + After
+	return spans[len(spans)-1].end + DurationAfter
 }
 
 // streams returns the ordinary load and what each trigger adds to it.
@@ -124,9 +124,9 @@
 		o.Resends = s.Resends
 		streams = append(streams, o)
 		for i, t := range s.Triggers {
-			if extra := t.extra(d, o); extra > 0 {
+			if ratio := t.addedRatio(d, o); ratio > 0 {
 				added := o
-				added.Rate = o.Rate * extra
+				added.Rate = o.Rate * ratio
 				added.Start, added.Stop = s.spans()[i].start, s.spans()[i].end
 				added.Added = true
 				streams = append(streams, added)
@@ -136,13 +136,13 @@
 	return streams
 }
 
-// extra returns how many times its ordinary rate the trigger adds to a stream.
-func (t Trigger) extra(d Deployment, s load.Stream) float64 {
+// addedRatio returns how many times its ordinary rate the trigger adds to a stream.
+func (t Trigger) addedRatio(d Deployment, s load.Stream) float64 {
 	factor := max(t.Surge, 1)
-	if s.Name == d.Least {
+	if s.Name == d.LeastUrgent {
 		factor *= max(t.Flood, 1)
 	}
-	if s.Name == d.Most {
+	if s.Name == d.MostUrgent {
 		factor *= max(t.UrgentFlood, 1)
 	}
 	return factor - 1
--- a/internal/lab/server/endpoints.go
+++ b/internal/lab/server/endpoints.go
@@ -33,8 +33,8 @@
 	Waiting int `json:"waiting"`
 }
 
-// Endpoints is how the health and load endpoints mislead. The zero value tells the truth.
-type Endpoints struct {
+// EndpointFaults is how the health and load endpoints mislead. The zero value tells the truth.
+type EndpointFaults struct {
 	// Lag is how old what they tell may be.
 	Lag time.Duration `json:"lag"`
 	// Health is told in the place of the truth; empty for the truth.
@@ -52,39 +52,39 @@
 func (s *Server) status() status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := status{health: Healthy, load: Load{Slots: s.config.Slots, Busy: len(s.slots), Waiting: s.waiting}}
+	current := status{health: Healthy, load: Load{Slots: s.config.Slots, Busy: len(s.slots), Waiting: s.waiting}}
 	if s.behaviour.FailFast {
-		now.health = Failing
+		current.health = Failing
 	}
-	return now
+	return current
 }
 
-// freshLag is the time between looks at the truth where the endpoints don't lag.
-const freshLag = 10 * time.Millisecond
+// minObserveInterval is the time between looks at the truth where the endpoints don't lag.
+const minObserveInterval = 10 * time.Millisecond
 
 // observe takes down what the endpoints tell, as often as they lag.
 func (s *Server) observe(ctx context.Context) {
 	for ctx.Err() == nil {
-		now := s.status()
+		current := s.status()
 		s.mu.Lock()
-		s.observed = now
+		s.observed = current
 		lag := s.behaviour.Endpoints.Lag
 		s.mu.Unlock()
-		pause.For(ctx, max(lag, freshLag))
+		pause.For(ctx, max(lag, minObserveInterval))
 	}
 }
 
-// ask counts a question at an endpoint and returns what was last taken down.
-func (s *Server) ask() (status, Endpoints) {
+// countQuery counts a question at an endpoint and returns what was last taken down.
+func (s *Server) countQuery() (status, EndpointFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.endpointQueries++
 	return s.observed, s.behaviour.Endpoints
 }
 
 func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	truth, endpoints := s.ask()
-	health := cmp.Or(endpoints.Health, truth.health)
+	observed, endpoints := s.countQuery()
+	health := cmp.Or(endpoints.Health, observed.health)
 	if health != Healthy {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -92,10 +92,10 @@
 }
 
 func (s *Server) handleLoad(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	truth, endpoints := s.ask()
+	observed, endpoints := s.countQuery()
 	if endpoints.Load != nil {
 		writeJSON(w, endpoints.Load)
 		return
 	}
-	writeJSON(w, truth.load)
+	writeJSON(w, observed.load)
 }
--- a/internal/lab/server/endpoints_test.go
+++ b/internal/lab/server/endpoints_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const lag = time.Second
-		s := New(Config{Slots: 1, Behaviour: Behaviour{Endpoints: Endpoints{Lag: lag}}})
+		s := New(Config{Slots: 1, Behaviour: Behaviour{Endpoints: EndpointFaults{Lag: lag}}})
 		ctx, cancel := context.WithCancel(t.Context())
 		var group conc.WaitGroup
 		defer group.Wait()
@@ -33,11 +33,11 @@
 		synctest.Wait()
 		is.Equal(get(s, HealthPath), `503 "failing"`)
 		is.Equal(get(s, LoadPath), `200 {"slots":1,"busy":0,"waiting":0}`)
-		b.Endpoints = Endpoints{Health: Healthy, Load: &Load{Slots: 1, Busy: 1, Waiting: 7}}
+		b.Endpoints = EndpointFaults{Health: Healthy, Load: &Load{Slots: 1, Busy: 1, Waiting: 7}}
 		s.SetBehaviour(b)
 		is.Equal(get(s, HealthPath), `200 "healthy"`)
 		is.Equal(get(s, LoadPath), `200 {"slots":1,"busy":1,"waiting":7}`)
-		is.Equal(s.Report().Asked, 5)
+		is.Equal(s.Report().EndpointQueries, 5)
 	})
 }
 
--- a/internal/lab/server/handle.go
+++ b/internal/lab/server/handle.go
@@ -26,8 +26,8 @@
 	// Shed counts the requests that got no slot and no place in the queue.
 	Shed            int `json:"shed"`
 	PeakConnections int `json:"peak_connections"`
-	// Asked counts the questions at the health and load endpoints.
-	Asked int `json:"asked"`
+	// EndpointQueries counts the questions at the health and load endpoints.
+	EndpointQueries int `json:"asked"`
 }
 
 // Report returns the ledger and the counters.
@@ -39,8 +39,8 @@
 		Runs:            s.ledger.Runs(),
 		Crashes:         s.crashes,
 		Shed:            s.shed,
-		PeakConnections: s.peak,
-		Asked:           s.asked,
+		PeakConnections: s.peakConnections,
+		EndpointQueries: s.endpointQueries,
 	}
 }
 
@@ -67,7 +67,7 @@
 		http.Error(w, "failing", http.StatusInternalServerError)
 		return
 	}
-	if !s.takeSlot(r.Context(), b) {
+	if !s.acquireSlot(r.Context(), b) {
 		http.Error(w, "shed", http.StatusServiceUnavailable)
 		return
 	}
@@ -81,7 +81,7 @@
 		s.crash()
 		panic(http.ErrAbortHandler)
 	}
-	pause.For(r.Context(), serviceTime(b, s.coldness(b, time.Now())))
+	pause.For(r.Context(), serviceTime(b, s.coldStartFactor(b, time.Now())))
 	if r.Context().Err() != nil {
 		return
 	}
@@ -101,16 +101,16 @@
 	_, _ = fmt.Fprintf(w, "%s ran %s %s\n", s.config.Service, r.Method, r.URL.Path)
 }
 
-func (s *Server) takeSlot(ctx context.Context, b Behaviour) bool {
+func (s *Server) acquireSlot(ctx context.Context, b Behaviour) bool {
 	select {
 	case s.slots <- struct{}{}:
 		return true
 	default:
 	}
-	if !s.wait(1, b.Queue) {
+	if !s.adjustQueue(1, b.Queue) {
 		return false
 	}
-	defer s.wait(-1, b.Queue)
+	defer s.adjustQueue(-1, b.Queue)
 	select {
 	case s.slots <- struct{}{}:
 		return true
@@ -119,10 +119,10 @@
 	}
 }
 
-func (s *Server) wait(change, bound int) bool {
+func (s *Server) adjustQueue(change, limit int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if change > 0 && s.waiting >= bound {
+	if change > 0 && s.waiting >= limit {
 		s.shed++
 		return false
 	}
@@ -140,8 +140,8 @@
 	}
 }
 
-func serviceTime(b Behaviour, coldness float64) time.Duration {
-	factor := coldness * (1 + b.Spread*(2*rand.Float64()-1))
+func serviceTime(b Behaviour, coldFactor float64) time.Duration {
+	factor := coldFactor * (1 + b.Spread*(2*rand.Float64()-1))
 	return time.Duration(float64(b.ServiceTime) * factor)
 }
 
@@ -158,7 +158,7 @@
 	return http.StatusOK
 }
 
-func (s *Server) callOne(r *http.Request, d Downstream) int {
+func (s *Server) callOne(r *http.Request, d DownstreamCall) int {
 	address := "http://" + s.config.NodeCaller + "/call/" + d.Service + d.Path
 	request, err := http.NewRequestWithContext(r.Context(), d.Method, address, http.NoBody)
 	if err != nil {
@@ -177,17 +177,17 @@
 	return response.StatusCode
 }
 
-// announceEvery is the time between announcements.
-const announceEvery = 500 * time.Millisecond
+// announceInterval is the time between announcements.
+const announceInterval = 500 * time.Millisecond
 
 // announce tells the local node again and again that the server is there.
 func (s *Server) announce(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := announceEvery
+		interval := announceInterval
 		if !s.Behaviour().Hung && s.announceOnce(ctx) != nil {
-			wait /= 5
+			interval /= 5
 		}
-		pause.For(ctx, wait)
+		pause.For(ctx, interval)
 	}
 }
 
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -50,7 +50,7 @@
 	// Queue is how many requests may wait for a slot; more are shed with 503.
 	Queue int `json:"queue"`
 	// Calls are made, one after the other, for each request.
-	Calls []Downstream `json:"calls"`
+	Calls []DownstreamCall `json:"calls"`
 	// FailFast answers every request with 500 at once.
 	FailFast bool `json:"fail_fast"`
 	// FailRate is the part of the requests, from 0 to 1, that run, make their calls and then end with 500.
@@ -66,11 +66,11 @@
 	// Leaving is announced to the node.
 	Leaving bool `json:"leaving"`
 	// Endpoints is how the health and load endpoints mislead.
-	Endpoints Endpoints `json:"endpoints"`
+	Endpoints EndpointFaults `json:"endpoints"`
 }
 
-// Downstream is a call to another service.
-type Downstream struct {
+// DownstreamCall is a call to another service.
+type DownstreamCall struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
@@ -84,18 +84,18 @@
 	slots  chan struct{}
 	client *http.Client
 
-	mu        sync.Mutex
-	behaviour Behaviour
-	started   time.Time
-	waiting   int
-	shed      int
-	crashed   chan struct{}
-	crashes   int
-	peak      int
-	open      int
-	observed  status
-	asked     int
-	ledger    *Ledger
+	mu              sync.Mutex
+	behaviour       Behaviour
+	started         time.Time
+	waiting         int
+	shed            int
+	crashed         chan struct{}
+	crashes         int
+	peakConnections int
+	openConnections int
+	observed        status
+	endpointQueries int
+	ledger          *Ledger
 }
 
 // New returns a server that does not run yet.
@@ -158,7 +158,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	s.begin(time.Now())
+	s.recordStart(time.Now())
 	server := &http.Server{Handler: s.router()}
 	ctx, stop := context.WithCancel(ctx)
 	var group conc.WaitGroup
@@ -177,31 +177,31 @@
 }
 
 const (
-	// listenWithin is how long the server waits for its port. After a crash, a process that is being started at the same moment may
+	// listenTimeout is how long the server waits for its port. After a crash, a process that is being started at the same moment may
 	// hold the port still.
-	listenWithin = time.Second
-	// listenAgain is the time between trials.
-	listenAgain = 5 * time.Millisecond
+	listenTimeout = time.Second
+	// listenRetryInterval is the time between trials.
+	listenRetryInterval = 5 * time.Millisecond
 )
 
 func (s *Server) listen(ctx context.Context) (net.Listener, error) {
-	begun := time.Now()
+	start := time.Now()
 	for {
 		l, err := net.Listen("tcp", s.config.Address)
-		if err == nil || time.Since(begun) > listenWithin || !pause.For(ctx, listenAgain) {
+		if err == nil || time.Since(start) > listenTimeout || !pause.For(ctx, listenRetryInterval) {
 			return l, trace.Wrap(err)
 		}
 	}
 }
 
-func (s *Server) begin(now time.Time) {
+func (s *Server) recordStart(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.started = now
 }
 
-// coldness returns the factor by which requests take longer now because of a recent start.
-func (s *Server) coldness(b Behaviour, now time.Time) float64 {
+// coldStartFactor returns the factor by which requests take longer now because of a recent start.
+func (s *Server) coldStartFactor(b Behaviour, now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	left := b.ColdTime - now.Sub(s.started)
@@ -255,6 +255,6 @@
 func (s *Server) countConnection(change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open += change
-	s.peak = max(s.peak, s.open)
+	s.openConnections += change
+	s.peakConnections = max(s.peakConnections, s.openConnections)
 }
--- a/internal/lab/store/http.go
+++ b/internal/lab/store/http.go
@@ -21,7 +21,7 @@
 	router.POST("/v1/lease", s.write(s.handleGrant))
 	router.PUT("/v1/lease", s.write(s.handleRenew))
 	router.PUT("/faults", s.handleFaults)
-	router.GET("/counts", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { answer(w, s.Counts()) })
+	router.GET("/counts", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { writeJSON(w, s.Counts()) })
 	return router
 }
 
@@ -29,17 +29,17 @@
 
 func (s *Store) read(f operation) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		if s.fail(w, func(c *Counts) { c.Reads++ }) {
+		if s.applyFaults(w, func(c *Counts) { c.Reads++ }) {
 			return
 		}
 		status, body := f(r)
-		reply(w, status, body)
+		writeReply(w, status, body)
 	}
 }
 
 func (s *Store) write(f operation) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-		if s.fail(w, func(c *Counts) { c.Writes++ }) {
+		if s.applyFaults(w, func(c *Counts) { c.Writes++ }) {
 			return
 		}
 		faults := s.Faults()
@@ -50,12 +50,12 @@
 		if faults.LoseAnswers {
 			panic(http.ErrAbortHandler)
 		}
-		reply(w, status, body)
+		writeReply(w, status, body)
 	}
 }
 
-// fail counts the call and makes it fail or wait as the faults say.
-func (s *Store) fail(w http.ResponseWriter, count func(*Counts)) bool {
+// applyFaults counts the call and makes it fail or wait as the faults say.
+func (s *Store) applyFaults(w http.ResponseWriter, count func(*Counts)) bool {
 	s.mu.Lock()
 	count(&s.counts)
 	faults := s.faults
@@ -76,12 +76,12 @@
 }
 
 func (s *Store) handleList(r *http.Request) (int, any) {
-	changes, _ := s.since(r.URL.Query().Get("prefix"), 0)
+	changes, _ := s.changesAfter(r.URL.Query().Get("prefix"), 0)
 	return http.StatusOK, changes
 }
 
-// lapsePoll is how often a waiting watch looks for lapsed leases.
-const lapsePoll = 100 * time.Millisecond
+// leasePollInterval is how often a waiting watch looks for lapsed leases.
+const leasePollInterval = 100 * time.Millisecond
 
 func (s *Store) handleWatch(r *http.Request) (int, any) {
 	query := r.URL.Query()
@@ -93,16 +93,16 @@
 	if err != nil {
 		return http.StatusBadRequest, nil
 	}
-	end := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
-		changes, next := s.since(query.Get("prefix"), after)
+		changes, changed := s.changesAfter(query.Get("prefix"), after)
 		restored := changes.Revision < after
-		if len(changes.Entries) > 0 || restored || !time.Now().Before(end) {
+		if len(changes.Entries) > 0 || restored || !time.Now().Before(deadline) {
 			return http.StatusOK, changes
 		}
 		select {
-		case <-next:
-		case <-time.After(lapsePoll):
+		case <-changed:
+		case <-time.After(leasePollInterval):
 		case <-r.Context().Done():
 			return http.StatusOK, changes
 		}
@@ -114,10 +114,10 @@
 	if json.NewDecoder(r.Body).Decode(&w) != nil {
 		return http.StatusBadRequest, nil
 	}
-	if len(w.Value) > maxValue {
+	if len(w.Value) > maxValueSize {
 		return http.StatusRequestEntityTooLarge, nil
 	}
-	held := s.await(w.Key)
+	held := s.awaitHold(w.Key)
 	entry, ok := s.swap(w, held)
 	if !ok {
 		return http.StatusConflict, nil
@@ -125,8 +125,8 @@
 	return http.StatusOK, entry
 }
 
-// maxValue is the largest value in bytes.
-const maxValue = 1 << 20
+// maxValueSize is the largest value in bytes.
+const maxValueSize = 1 << 20
 
 func (s *Store) handleGrant(r *http.Request) (int, any) {
 	var lease platform.Lease
@@ -156,14 +156,14 @@
 	s.SetFaults(f)
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeReply(w http.ResponseWriter, status int, body any) {
 	if status != http.StatusOK {
 		http.Error(w, http.StatusText(status), status)
 		return
 	}
-	answer(w, body)
+	writeJSON(w, body)
 }
 
-func answer(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -41,7 +41,7 @@
 // Store is the key-value service in memory.
 type Store struct {
 	mu       sync.Mutex
-	entries  map[string]stored
+	entries  map[string]storedEntry
 	deleted  map[string]uint64
 	leases   map[string]time.Time
 	revision uint64
@@ -49,21 +49,21 @@
 	changed  chan struct{}
 	faults   Faults
 	counts   Counts
-	past     []Content
+	history  []Snapshot
 	// writes are the latest swaps, and holds those that are to be held back, by key.
 	writes []Write
 	holds  map[string]*Hold
 }
 
-// Content is all keys of a store at one moment.
-type Content struct {
+// Snapshot is all keys of a store at one moment.
+type Snapshot struct {
 	at       time.Time
-	entries  map[string]stored
+	entries  map[string]storedEntry
 	deleted  map[string]uint64
 	revision uint64
 }
 
-type stored struct {
+type storedEntry struct {
 	entry platform.Entry
 	lease string
 }
@@ -71,7 +71,7 @@
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		entries: map[string]stored{},
+		entries: map[string]storedEntry{},
 		deleted: map[string]uint64{},
 		leases:  map[string]time.Time{},
 		changed: make(chan struct{}),
@@ -100,56 +100,56 @@
 	return s.counts
 }
 
-// Save returns the content as it is.
-func (s *Store) Save() Content {
+// Snapshot returns the content as it is.
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.content(time.Now())
+	return s.snapshotAt(time.Now())
 }
 
 // Restore puts older content back, as a platform does that was restored from a copy. Leases live on, and keys under
 // leases that are over stay away.
-func (s *Store) Restore(c Content) {
+func (s *Store) Restore(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entries, s.deleted, s.revision = maps.Clone(c.entries), maps.Clone(c.deleted), c.revision
-	maps.DeleteFunc(s.entries, func(_ string, found stored) bool {
+	maps.DeleteFunc(s.entries, func(_ string, found storedEntry) bool {
 		_, alive := s.leases[found.lease]
 		return found.lease != "" && !alive
 	})
-	s.wake()
+	s.recordChange()
 }
 
-// RestoredLater returns the content as it is after the given number of further writes, which left nothing behind. A
+// WithAdvancedRevision returns the content as it is after the given number of further writes, which left nothing behind. A
 // platform restored to it shows no revision that went back.
-func (c Content) RestoredLater(writes uint64) Content {
+func (c Snapshot) WithAdvancedRevision(writes uint64) Snapshot {
 	c.revision += writes
 	return c
 }
 
-func (s *Store) content(now time.Time) Content {
-	return Content{at: now, entries: maps.Clone(s.entries), deleted: maps.Clone(s.deleted), revision: s.revision}
+func (s *Store) snapshotAt(now time.Time) Snapshot {
+	return Snapshot{at: now, entries: maps.Clone(s.entries), deleted: maps.Clone(s.deleted), revision: s.revision}
 }
 
 // visible returns the content that reads show: the newest, or with the lag fault an older one.
-func (s *Store) visible(now time.Time) Content {
-	newest := Content{entries: s.entries, deleted: s.deleted, revision: s.revision}
+func (s *Store) visible(now time.Time) Snapshot {
+	newest := Snapshot{entries: s.entries, deleted: s.deleted, revision: s.revision}
 	if s.faults.Lag <= 0 {
 		return newest
 	}
-	shown := Content{}
-	for _, c := range s.past {
+	lagged := Snapshot{}
+	for _, c := range s.history {
 		if now.Sub(c.at) >= s.faults.Lag {
-			shown = c
+			lagged = c
 		}
 	}
-	return shown
+	return lagged
 }
 
 func (s *Store) get(key string) (platform.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse(time.Now())
+	s.expireLeases(time.Now())
 	found, ok := s.visible(time.Now()).entries[key]
 	return found.entry, ok
 }
@@ -158,9 +158,9 @@
 func (s *Store) swap(w platform.Swap, held bool) (platform.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse(time.Now())
+	s.expireLeases(time.Now())
 	entry, ok := s.compareAndSwap(w)
-	s.note(Write{Swap: w, Revision: entry.Revision, Held: held})
+	s.recordWrite(Write{Swap: w, Revision: entry.Revision, Held: held})
 	return entry, ok
 }
 
@@ -173,25 +173,25 @@
 	}
 	s.revision++
 	entry := platform.Entry{Key: w.Key, Value: w.Value, Revision: s.revision}
-	s.entries[w.Key] = stored{entry: entry, lease: w.Lease}
+	s.entries[w.Key] = storedEntry{entry: entry, lease: w.Lease}
 	delete(s.deleted, w.Key)
-	s.wake()
+	s.recordChange()
 	return entry, true
 }
 
-// since returns the changes under the prefix after the revision, and a channel that closes with the next change.
-func (s *Store) since(prefix string, after uint64) (platform.Changes, <-chan struct{}) {
+// changesAfter returns the changes under the prefix after the revision, and a channel that closes with the next change.
+func (s *Store) changesAfter(prefix string, after uint64) (platform.Changes, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse(time.Now())
-	shown := s.visible(time.Now())
-	changes := platform.Changes{Revision: shown.revision}
-	for key, found := range shown.entries {
+	s.expireLeases(time.Now())
+	snapshot := s.visible(time.Now())
+	changes := platform.Changes{Revision: snapshot.revision}
+	for key, found := range snapshot.entries {
 		if strings.HasPrefix(key, prefix) && found.entry.Revision > after {
 			changes.Entries = append(changes.Entries, found.entry)
 		}
 	}
-	for key, revision := range shown.deleted {
+	for key, revision := range snapshot.deleted {
 		if strings.HasPrefix(key, prefix) && revision > after {
 			changes.Entries = append(changes.Entries, platform.Entry{Key: key, Revision: revision, Deleted: true})
 		}
@@ -211,7 +211,7 @@
 func (s *Store) renew(lease platform.Lease) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse(time.Now())
+	s.expireLeases(time.Now())
 	if _, alive := s.leases[lease.ID]; !alive {
 		return false
 	}
@@ -219,8 +219,8 @@
 	return true
 }
 
-// lapse removes the leases that are over and the keys under them.
-func (s *Store) lapse(now time.Time) {
+// expireLeases removes the leases that are over and the keys under them.
+func (s *Store) expireLeases(now time.Time) {
 	for id, until := range s.leases {
 		if now.Before(until) {
 			continue
@@ -238,16 +238,16 @@
 	s.revision++
 	delete(s.entries, key)
 	s.deleted[key] = s.revision
-	s.wake()
+	s.recordChange()
 }
 
-// pastLength is how many older contents are kept for the lag fault.
-const pastLength = 256
+// maxHistory is how many older contents are kept for the lag fault.
+const maxHistory = 256
 
-// wake tells the waiting watches of a change, and keeps the content.
-func (s *Store) wake() {
-	s.past = append(s.past, s.content(time.Now()))
-	s.past = s.past[max(0, len(s.past)-pastLength):]
+// recordChange tells the waiting watches of a change, and keeps the content.
+func (s *Store) recordChange() {
+	s.history = append(s.history, s.snapshotAt(time.Now()))
+	s.history = s.history[max(0, len(s.history)-maxHistory):]
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/lab/store/writes.go
+++ b/internal/lab/store/writes.go
@@ -7,8 +7,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/platform"
 )
 
-// writesLength is how many writes are kept for Writes.
-const writesLength = 256
+// maxRecordedWrites is how many writes are kept for Writes.
+const maxRecordedWrites = 256
 
 // Write is one compare-and-swap that the stand-in carried out or refused.
 type Write struct {
@@ -32,10 +32,10 @@
 	return slices.DeleteFunc(slices.Clone(s.writes), func(w Write) bool { return w.Key != key })
 }
 
-// note keeps a swap. The caller holds the lock.
-func (s *Store) note(w Write) {
+// recordWrite keeps a swap. The caller holds the lock.
+func (s *Store) recordWrite(w Write) {
 	s.writes = append(s.writes, w)
-	s.writes = s.writes[max(0, len(s.writes)-writesLength):]
+	s.writes = s.writes[max(0, len(s.writes)-maxRecordedWrites):]
 }
 
 // Hold keeps one swap back on its way to the store, as a network does that delivers it late.
@@ -60,8 +60,8 @@
 	return h
 }
 
-// await waits where the key's next swap is held, and reports whether it was.
-func (s *Store) await(key string) bool {
+// awaitHold waits where the key's next swap is held, and reports whether it was.
+func (s *Store) awaitHold(key string) bool {
 	s.mu.Lock()
 	h, found := s.holds[key]
 	delete(s.holds, key)
--- a/internal/process/local/local.go
+++ b/internal/process/local/local.go
@@ -26,7 +26,7 @@
 	Board    *board.Loop
 	Gate     *backend.Gate
 	Client   *backend.Client
-	Presence *backend.Liveness
+	Liveness *backend.Liveness
 	Log      *events.Log
 }
 
@@ -34,8 +34,8 @@
 type Server struct {
 	config Config
 
-	mu   sync.Mutex
-	held announcement.Position
+	mu           sync.Mutex
+	lastPosition announcement.Position
 }
 
 // New returns a server that has not announced itself.
@@ -43,57 +43,57 @@
 	return &Server{config: config}
 }
 
-// Announced takes in what the backend server says of itself. It returns when the board shows it.
-func (s *Server) Announced(ctx context.Context, a backend.Announcement) {
-	if s.isLate(a) {
+// HandleAnnouncement takes in what the backend server says of itself. It returns when the board shows it.
+func (s *Server) HandleAnnouncement(ctx context.Context, a backend.Announcement) {
+	if s.isStale(a) {
 		s.config.Log.Emit(events.AnnouncementStale, events.Fields{
 			"instance": a.Instance, "started": a.Started, "sequence": a.Sequence,
 		})
 		return
 	}
-	s.config.Presence.RecordAnnouncement()
+	s.config.Liveness.RecordAnnouncement()
 	s.config.Gate.Announce(a.Slots, a.Connections)
 	s.config.Client.SetMaxConnections(a.Connections)
-	before := s.config.Board.Snapshot().Backend
+	previous := s.config.Board.Snapshot().Backend
 	s.config.Board.Do(ctx, func(b *board.Board) {
 		b.Backend = board.Backend{
-			Service:     a.Service,
-			Address:     a.Address,
-			Slots:       a.Slots,
-			Connections: a.Connections,
-			Instance:    a.Instance,
-			Leaving:     a.Leaving,
-			AnnouncedAt: time.Now(),
-			State:       cmp.Or(b.Backend.State, liveness.Alive),
+			Service:        a.Service,
+			Address:        a.Address,
+			Slots:          a.Slots,
+			MaxConnections: a.Connections,
+			Instance:       a.Instance,
+			Leaving:        a.Leaving,
+			AnnouncedAt:    time.Now(),
+			State:          cmp.Or(b.Backend.State, liveness.Alive),
 		}
 	})
-	s.log(before, a)
+	s.logChanges(previous, a)
 }
 
-func (s *Server) log(before board.Backend, a backend.Announcement) {
+func (s *Server) logChanges(previous board.Backend, a backend.Announcement) {
 	fields := events.Fields{"service": a.Service, "address": a.Address, "instance": a.Instance, "sequence": a.Sequence}
-	if before.Service != a.Service || before.Address != a.Address || before.Instance != a.Instance {
+	if previous.Service != a.Service || previous.Address != a.Address || previous.Instance != a.Instance {
 		s.config.Log.Emit(events.BackendAnnounced, fields)
 	}
-	if a.Leaving && !before.Leaving {
+	if a.Leaving && !previous.Leaving {
 		s.config.Log.Emit(events.BackendLeaving, fields)
 	}
 }
 
-// isLate reports whether a later announcement is known, and remembers the announcement where none is.
-func (s *Server) isLate(a backend.Announcement) bool {
+// isStale reports whether a later announcement is known, and remembers the announcement where none is.
+func (s *Server) isStale(a backend.Announcement) bool {
 	next := announcement.Position{Instance: a.Instance, Started: a.Started, Sequence: a.Sequence}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if announcement.IsStale(s.held, next) {
+	if announcement.IsStale(s.lastPosition, next) {
 		return true
 	}
-	s.held = next
+	s.lastPosition = next
 	return false
 }
 
-// Left takes in that the backend server with the instance name leaves. One of another name changes nothing.
-func (s *Server) Left(ctx context.Context, instance string) {
+// HandleDeparture takes in that the backend server with the instance name leaves. One of another name changes nothing.
+func (s *Server) HandleDeparture(ctx context.Context, instance string) {
 	if s.config.Board.Snapshot().Backend.Instance != instance {
 		return
 	}
@@ -105,26 +105,26 @@
 	s.config.Log.Emit(events.BackendLeaving, events.Fields{"instance": instance})
 }
 
-// lookEvery is the time between looks at whether the backend server is there.
-const lookEvery = 200 * time.Millisecond
+// livenessCheckInterval is the time between looks at whether the backend server is there.
+const livenessCheckInterval = 200 * time.Millisecond
 
 // Watch keeps the board's word on whether the backend server is there, until the context ends.
 func (s *Server) Watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		if seen := s.config.Board.Snapshot().Backend; seen.Service != "" {
-			s.note(ctx, s.config.Presence.Check(ctx, seen.Address))
+		if server := s.config.Board.Snapshot().Backend; server.Service != "" {
+			s.recordState(ctx, s.config.Liveness.Check(ctx, server.Address))
 		}
-		pause.For(ctx, lookEvery)
+		pause.For(ctx, livenessCheckInterval)
 	}
 }
 
-func (s *Server) note(ctx context.Context, state liveness.State) {
-	before := s.config.Board.Snapshot().Backend
-	if before.State == state {
+func (s *Server) recordState(ctx context.Context, state liveness.State) {
+	previous := s.config.Board.Snapshot().Backend
+	if previous.State == state {
 		return
 	}
 	s.config.Board.Do(ctx, func(b *board.Board) { b.Backend.State = state })
-	fields := events.Fields{"service": before.Service, "address": before.Address, "state": state}
+	fields := events.Fields{"service": previous.Service, "address": previous.Address, "state": state}
 	if state == liveness.Alive {
 		s.config.Log.Emit(events.BackendBack, fields)
 		return
--- a/internal/process/node/defaults.go
+++ b/internal/process/node/defaults.go
@@ -14,31 +14,31 @@
 const (
 	// controlTimeout bounds one control message.
 	controlTimeout = time.Second
-	// beatTimeout bounds one heartbeat.
-	beatTimeout = 500 * time.Millisecond
-	// drainSettle is how long a leaving node waits for others to learn of it. New work that comes later is refused.
-	drainSettle = 1500 * time.Millisecond
-	// handoverSettle is how long a node stays after its handover, while others learn who answers for its keys. Until then
+	// heartbeatTimeout bounds one heartbeat.
+	heartbeatTimeout = 500 * time.Millisecond
+	// drainPropagationDelay is how long a leaving node waits for others to learn of it. New work that comes later is refused.
+	drainPropagationDelay = 1500 * time.Millisecond
+	// handoverPropagationDelay is how long a node stays after its handover, while others learn who answers for its keys. Until then
 	// it tells them that the keys have moved; once it has gone they would take the keys for lost.
-	handoverSettle = 1500 * time.Millisecond
+	handoverPropagationDelay = 1500 * time.Millisecond
 	// drainTimeout bounds the wait for requests in flight, which all end by their deadlines.
 	drainTimeout = document.MaxDeadline + 10*time.Second
 )
 
-// keyAhead is how far the time of a key may lie in the future.
-const keyAhead = 30 * time.Second
+// maxKeyTimeAhead is how far the time of a key may lie in the future.
+const maxKeyTimeAhead = 30 * time.Second
 
-func keyTable(s *settings.Settings) outcome.TableConfig {
+func keyTableConfig(s *settings.Settings) outcome.TableConfig {
 	return outcome.TableConfig{
 		Window:   s.Keys.Window,
-		MaxAhead: keyAhead,
+		MaxAhead: maxKeyTimeAhead,
 		MaxKeys:  s.Keys.MaxKeys,
 		MaxBytes: s.Keys.MaxBytes,
 	}
 }
 
-// homesTiming gives the shards the window of the keys.
-func homesTiming(s *settings.Settings) homes.Timing {
+// ownerTiming gives the shards the window of the keys.
+func ownerTiming(s *settings.Settings) homes.Timing {
 	timing := homes.DefaultTiming
 	timing.Window = s.Keys.Window
 	return timing
--- a/internal/process/node/defaults_test.go
+++ b/internal/process/node/defaults_test.go
@@ -12,12 +12,12 @@
 )
 
 // The memory of keys and the epochs reach equally far back.
-func TestWindowOfKeysIsThatOfTheHomes(t *testing.T) {
+func TestKeyTableAndEpochsShareTheWindow(t *testing.T) {
 	is := is.New(t)
 	flags := flag.NewFlagSet("node", flag.ContinueOnError)
 	s := settings.Register(flags)
 	is.NoErr(s.Parse(flags, []string{"-keys.window", "5m", "-keys.max_keys", "2000", "-keys.max_bytes", "3000000"}))
-	want := outcome.TableConfig{Window: 5 * time.Minute, MaxAhead: keyAhead, MaxKeys: 2000, MaxBytes: 3_000_000}
-	is.Equal(keyTable(s), want)
-	is.Equal(homesTiming(s).Window, want.Window)
+	want := outcome.TableConfig{Window: 5 * time.Minute, MaxAhead: maxKeyTimeAhead, MaxKeys: 2000, MaxBytes: 3_000_000}
+	is.Equal(keyTableConfig(s), want)
+	is.Equal(ownerTiming(s).Window, want.Window)
 }
--- a/internal/process/node/drain.go
+++ b/internal/process/node/drain.go
@@ -14,21 +14,21 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/flow"
 )
 
-// work counts what is in flight from callers and between nodes, until each answer is written.
-type work struct {
+// trafficState counts what is in flight from callers and between nodes, until each answer is written.
+type trafficState struct {
 	inFlight atomic.Int64
 	// closing tells callers on open connections to make new ones elsewhere.
 	closing atomic.Bool
 }
 
-// countCalls counts the requests of callers, and makes callers leave their open connections while the node leaves.
+// countRequests counts the requests of callers, and makes callers leave their open connections while the node leaves.
 // Until its listener closes the node goes on as an entry and passes their requests on, because a refusal would only
 // cost them a second attempt.
-func (w *work) countCalls(next http.Handler) http.Handler {
+func (s *trafficState) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		w.inFlight.Add(1)
-		defer w.inFlight.Add(-1)
-		if w.closing.Load() {
+		s.inFlight.Add(1)
+		defer s.inFlight.Add(-1)
+		if s.closing.Load() {
 			rw.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(rw, r)
@@ -36,10 +36,10 @@
 }
 
 const (
-	// leavePoll is the time between looks at whether the node is to leave.
-	leavePoll = 50 * time.Millisecond
-	// quietTime is how long nothing may be in flight before the listeners close.
-	quietTime = 250 * time.Millisecond
+	// leavePollInterval is the time between looks at whether the node is to leave.
+	leavePollInterval = 50 * time.Millisecond
+	// quietPeriod is how long nothing may be in flight before the listeners close.
+	quietPeriod = 250 * time.Millisecond
 	// shutdownTimeout bounds the writing of the last answers once the node has drained.
 	shutdownTimeout = 5 * time.Second
 )
@@ -47,7 +47,7 @@
 // waitForLeave returns when the process is asked to stop, when an operator drains the node, or when the backend
 // server announces that it leaves.
 func (n *Node) waitForLeave(ctx context.Context) {
-	ticker := time.NewTicker(leavePoll)
+	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
 	for {
 		if b := n.loop.Snapshot(); b.Self.Draining || b.Backend.Leaving {
@@ -67,17 +67,17 @@
 	n.config.Log.Emit(events.DrainStarted, nil)
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	n.work.closing.Store(true)
+	n.traffic.closing.Store(true)
 	n.loop.Do(ctx, func(b *board.Board) {
 		b.Self.Draining, b.Self.Leaving = true, true
 		if successor, ok := flow.ChooseSuccessor(b); ok {
 			b.Self.Successor = successor.Node
 		}
 	})
-	pause.For(ctx, drainSettle)
+	pause.For(ctx, drainPropagationDelay)
 	n.handOver(ctx)
 	n.waitIdle(ctx)
-	n.stopCalls()
+	n.stopCallerServer()
 	n.waitQuiet(ctx)
 	n.config.Log.Emit(events.DrainFinished, nil)
 }
@@ -93,12 +93,12 @@
 		if !ok {
 			return
 		}
-		keys, result := n.home.HandOver(ctx, n.peers, successor)
+		keys, result := n.keyOwner.HandOver(ctx, n.peerClient, successor)
 		fields := events.Fields{"successor": successor.Node, "keys": keys}
 		switch result {
 		case flow.HandoverAccepted:
 			n.config.Log.Emit(events.KeysHandedOver, fields)
-			pause.For(ctx, handoverSettle)
+			pause.For(ctx, handoverPropagationDelay)
 			return
 		case flow.HandoverUnknown:
 			n.config.Log.Emit(events.KeysLost, fields)
@@ -109,41 +109,41 @@
 }
 
 // chooseSuccessor names another successor in the place of one that takes nothing.
-func (n *Node) chooseSuccessor(ctx context.Context, refused string) {
+func (n *Node) chooseSuccessor(ctx context.Context, rejecting string) {
 	n.loop.Do(ctx, func(b *board.Board) {
 		b.Self.Successor = ""
-		if next, ok := flow.ChooseSuccessor(b); ok && next.Node != refused {
+		if next, ok := flow.ChooseSuccessor(b); ok && next.Node != rejecting {
 			b.Self.Successor = next.Node
 		}
 	})
-	pause.For(ctx, leavePoll)
+	pause.For(ctx, leavePollInterval)
 }
 
 // waitIdle returns when the backend server has no request, so that no call of its own can still come.
 func (n *Node) waitIdle(ctx context.Context) {
 	for ctx.Err() == nil && n.gate.Load().InFlight > 0 {
-		pause.For(ctx, parts.GateTick)
+		pause.For(ctx, parts.GatePollInterval)
 	}
 }
 
 // waitQuiet returns when nothing has been in flight for a moment, also what came in here and runs on other nodes.
 func (n *Node) waitQuiet(ctx context.Context) {
-	quiet := time.Now()
-	for ctx.Err() == nil && time.Since(quiet) < quietTime {
-		if n.work.inFlight.Load() > 0 || n.gate.Load().InFlight > 0 {
-			quiet = time.Now()
+	lastActive := time.Now()
+	for ctx.Err() == nil && time.Since(lastActive) < quietPeriod {
+		if n.traffic.inFlight.Load() > 0 || n.gate.Load().InFlight > 0 {
+			lastActive = time.Now()
 		}
-		pause.For(ctx, parts.GateTick)
+		pause.For(ctx, parts.GatePollInterval)
 	}
 }
 
 // shutdown closes the listener, serves the connections that are open for as long as the working context lasts, and
 // then waits for the last answers to be written. The server's own Shutdown drops a request that it has just read, so
 // it comes last, when nothing is in flight.
-func shutdown(working context.Context, server *http.Server, l net.Listener) {
+func shutdown(serving context.Context, server *http.Server, l net.Listener) {
 	_ = l.Close()
-	<-working.Done()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(working), shutdownTimeout)
+	<-serving.Done()
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(serving), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		_ = server.Close()
--- a/internal/process/node/drain_test.go
+++ b/internal/process/node/drain_test.go
@@ -16,44 +16,44 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// pipe is a listener with one connection.
-type pipe struct {
+// singleConnListener is a listener with one connection.
+type singleConnListener struct {
 	net.Listener
 	conns chan net.Conn
 	once  sync.Once
 }
 
-func (p *pipe) Accept() (net.Conn, error) {
-	c, ok := <-p.conns
+func (l *singleConnListener) Accept() (net.Conn, error) {
+	c, ok := <-l.conns
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
 
-func (p *pipe) Close() error {
-	p.once.Do(func() { close(p.conns) })
+func (l *singleConnListener) Close() error {
+	l.once.Do(func() { close(l.conns) })
 	return nil
 }
 
 // A request that came in at a leaving node and runs elsewhere is not cut while the node drains, nor is one that comes
 // on a connection that is still open.
 func TestShutdownWaitsWhileTheNodeDrains(t *testing.T) {
-	const drains = 30 * time.Second
+	const drainTime = 30 * time.Second
 	for name, tc := range map[string]struct {
 		sent     time.Duration
 		takes    time.Duration
 		answered bool
 	}{
-		"ends while the node drains":   {takes: drains, answered: true},
-		"is being answered at the end": {takes: drains + shutdownTimeout/2, answered: true},
-		"comes while the node drains":  {sent: drains / 2, takes: time.Second, answered: true},
-		"goes on long after the end":   {takes: drains + 2*shutdownTimeout},
+		"ends while the node drains":   {takes: drainTime, answered: true},
+		"is being answered at the end": {takes: drainTime + shutdownTimeout/2, answered: true},
+		"comes while the node drains":  {sent: drainTime / 2, takes: time.Second, answered: true},
+		"goes on long after the end":   {takes: drainTime + 2*shutdownTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				status := statusAfterShutdown(t, tc.sent, tc.takes, drains)
+				status := statusAfterShutdown(t, tc.sent, tc.takes, drainTime)
 				is.Equal(status == http.StatusOK, tc.answered)
 			})
 		})
@@ -62,12 +62,12 @@
 
 // statusAfterShutdown returns the status of a request on a connection that was open when the server began to shut down,
 // after a second.
-func statusAfterShutdown(t *testing.T, sent, takes, drains time.Duration) int {
-	ours, theirs := net.Pipe()
-	l := &pipe{conns: make(chan net.Conn, 1)}
-	l.conns <- theirs
-	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { pause.For(r.Context(), takes) })}
-	working, stop := context.WithTimeout(t.Context(), drains)
+func statusAfterShutdown(t *testing.T, sendDelay, duration, drainTime time.Duration) int {
+	clientConn, serverConn := net.Pipe()
+	l := &singleConnListener{conns: make(chan net.Conn, 1)}
+	l.conns <- serverConn
+	server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { pause.For(r.Context(), duration) })}
+	serving, stop := context.WithTimeout(t.Context(), drainTime)
 	defer stop()
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -76,11 +76,11 @@
 	is.New(t).NoErr(err)
 	group.Go(func() {
 		time.Sleep(time.Second)
-		shutdown(working, server, l)
+		shutdown(serving, server, l)
 	})
-	time.Sleep(sent)
-	is.New(t).NoErr(request.Write(ours))
-	response, err := http.ReadResponse(bufio.NewReader(ours), request)
+	time.Sleep(sendDelay)
+	is.New(t).NoErr(request.Write(clientConn))
+	response, err := http.ReadResponse(bufio.NewReader(clientConn), request)
 	if err != nil {
 		return 0
 	}
--- a/internal/process/node/health.go
+++ b/internal/process/node/health.go
@@ -24,7 +24,7 @@
 		_, _ = w.Write([]byte("ok\n"))
 	})
 	router.GET("/readyz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-		n.ready(w)
+		n.writeReadiness(w)
 	})
 	router.GET("/dump", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		parts.WriteJSON(w, n.dump(r.Context()), n.limiter)
@@ -32,7 +32,7 @@
 	router.Handler(http.MethodGet, "/debug/vars", expvar.Handler())
 }
 
-func (n *Node) ready(w http.ResponseWriter) {
+func (n *Node) writeReadiness(w http.ResponseWriter) {
 	b := n.loop.Snapshot()
 	if b.Self.Draining || b.Backend.Service == "" || b.Backend.IsLost() || len(b.Documents.ByService) == 0 {
 		http.Error(w, "draining, no backend server or no documents", http.StatusServiceUnavailable)
@@ -43,7 +43,7 @@
 
 func (n *Node) dump(ctx context.Context) Dump {
 	byRank := n.gate.QueuedByRank()
-	state := parts.Stateful{
+	state := parts.StateSources{
 		Loop: n.loop, Gate: n.gate, Receiver: n.receiver, Sender: n.sender, Pool: n.pool, Quarantine: n.quarantine,
 	}
 	return Dump{
--- a/internal/process/node/informed_test.go
+++ b/internal/process/node/informed_test.go
@@ -11,12 +11,12 @@
 )
 
 // A node that has just started and knows only some of the others must not answer callers yet.
-func TestInformed(t *testing.T) {
-	home := outcome.Node{Name: "access_0", Incarnation: 3}
-	member := membership.Member{Node: home.Name, Incarnation: home.Incarnation}
-	restarted := membership.Member{Node: home.Name, Incarnation: 4}
-	heir := membership.Member{Node: "access_1", Incarnation: 5, AnswersFor: "access_0@3"}
-	shards := map[string]outcome.Shard{"lisbon_1": {Epochs: []outcome.Epoch{{Members: []outcome.Member{{Node: home}}}}}}
+func TestHasCompleteView(t *testing.T) {
+	owner := outcome.Node{Name: "access_0", Incarnation: 3}
+	member := membership.Member{Node: owner.Name, Incarnation: owner.Incarnation}
+	restarted := membership.Member{Node: owner.Name, Incarnation: 4}
+	successor := membership.Member{Node: "access_1", Incarnation: 5, AnswersFor: "access_0@3"}
+	shards := map[string]outcome.Shard{"lisbon_1": {Epochs: []outcome.Epoch{{Members: []outcome.Member{{Node: owner}}}}}}
 	documents := map[string]board.DocumentInForce{"access": {}}
 	for name, tc := range map[string]struct {
 		b    board.Board
@@ -26,47 +26,47 @@
 		"everything": {want: true, b: board.Board{
 			Documents: board.Documents{ByService: documents},
 			Members: board.Members{
-				ByNode:    map[string]membership.Member{home.Name: member},
+				ByNode:    map[string]membership.Member{owner.Name: member},
 				ByService: map[string][]membership.Member{"access": {member}},
 			},
-			Homes: board.Homes{Shards: shards},
+			KeyOwners: board.KeyOwners{Shards: shards},
 		}},
 		"a service without instances": {b: board.Board{
 			Documents: board.Documents{ByService: documents},
-			Members:   board.Members{ByNode: map[string]membership.Member{home.Name: member}},
-			Homes:     board.Homes{Shards: shards},
+			Members:   board.Members{ByNode: map[string]membership.Member{owner.Name: member}},
+			KeyOwners: board.KeyOwners{Shards: shards},
 		}},
 		"no shard": {b: board.Board{
 			Documents: board.Documents{ByService: documents},
 			Members: board.Members{
-				ByNode:    map[string]membership.Member{home.Name: member},
+				ByNode:    map[string]membership.Member{owner.Name: member},
 				ByService: map[string][]membership.Member{"access": {member}},
 			},
 		}},
 		"a home that has restarted": {b: board.Board{
 			Documents: board.Documents{ByService: documents},
 			Members: board.Members{
-				ByNode:    map[string]membership.Member{home.Name: restarted},
+				ByNode:    map[string]membership.Member{owner.Name: restarted},
 				ByService: map[string][]membership.Member{"access": {restarted}},
 			},
-			Homes: board.Homes{Shards: shards},
+			KeyOwners: board.KeyOwners{Shards: shards},
 		}},
 		"a home that has restarted, and its successor": {want: true, b: board.Board{
 			Documents: board.Documents{ByService: documents},
 			Members: board.Members{
-				ByNode:    map[string]membership.Member{home.Name: restarted, heir.Node: heir},
-				ByService: map[string][]membership.Member{"access": {restarted, heir}},
+				ByNode:    map[string]membership.Member{owner.Name: restarted, successor.Node: successor},
+				ByService: map[string][]membership.Member{"access": {restarted, successor}},
 			},
-			Homes: board.Homes{Shards: shards},
+			KeyOwners: board.KeyOwners{Shards: shards},
 		}},
 		"a home that is not a member": {b: board.Board{
 			Documents: board.Documents{ByService: documents},
 			Members:   board.Members{ByService: map[string][]membership.Member{"access": {member}}},
-			Homes:     board.Homes{Shards: shards},
+			KeyOwners: board.KeyOwners{Shards: shards},
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(isInformed(&tc.b, []string{"lisbon_1"}), tc.want)
+			is.New(t).Equal(hasCompleteView(&tc.b, []string{"lisbon_1"}), tc.want)
 		})
 	}
 }
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -55,30 +55,30 @@
 	client *backend.Client
 	pool   *peer.Pool
 	// controlPool is apart, so that a flood of requests takes no connection from the control plane.
-	controlPool *peer.Pool
-	receiver    *flow.Receiver
-	sender      *flow.Sender
-	local       *local.Server
-	quarantine  *flow.Quarantine
-	controller  *zone.Controller
-	platform    *platform.Client
-	chains      *call.Chains
-	home        *flow.KeyOwner
-	homes       *homes.Controller
-	keyed       *flow.KeyedSender
-	peers       *peer.Client
-	work        work
-	listeners   listeners
-	limiter     *events.Limiter
-	stop        context.CancelFunc
-	stopCalls   context.CancelFunc
+	controlPool      *peer.Pool
+	receiver         *flow.Receiver
+	sender           *flow.Sender
+	localServer      *local.Server
+	quarantine       *flow.Quarantine
+	controller       *zone.Controller
+	platform         *platform.Client
+	chains           *call.Chains
+	keyOwner         *flow.KeyOwner
+	ownerController  *homes.Controller
+	keyedSender      *flow.KeyedSender
+	peerClient       *peer.Client
+	traffic          trafficState
+	listeners        listeners
+	limiter          *events.Limiter
+	beginDrain       context.CancelFunc
+	stopCallerServer context.CancelFunc
 }
 
 // New builds a node without starting it.
 func New(config Config) *Node {
 	s := config.Settings
 	self := outcome.Node{Name: s.Node.Name, Incarnation: uint64(time.Now().UnixNano())}
-	n := &Node{config: config, chains: call.NewChains(), limiter: events.NewLimiter(config.Log, parts.LimitedEvery)}
+	n := &Node{config: config, chains: call.NewChains(), limiter: events.NewLimiter(config.Log, parts.LogLimitInterval)}
 	n.loop = board.NewLoop(board.Board{Self: board.Self{
 		Node:          s.Node.Name,
 		Zone:          s.Node.Zone,
@@ -96,16 +96,16 @@
 // buildReceiver puts together what runs requests on the local backend server.
 func (n *Node) buildReceiver(s *settings.Settings) {
 	n.gate = backend.NewGate(parts.GateConfig(s))
-	presence := backend.NewLiveness()
-	n.client = backend.NewClient(backend.ClientConfig{MaxBody: s.Caller.MaxBody, Liveness: presence}, n.chains)
-	n.local = local.New(local.Config{Board: n.loop, Gate: n.gate, Client: n.client, Presence: presence, Log: n.config.Log})
+	liveness := backend.NewLiveness()
+	n.client = backend.NewClient(backend.ClientConfig{MaxBody: s.Caller.MaxBody, Liveness: liveness}, n.chains)
+	n.localServer = local.New(local.Config{Board: n.loop, Gate: n.gate, Client: n.client, Liveness: liveness, Log: n.config.Log})
 	n.pool = peer.NewPool(parts.PoolConfig(s))
 	n.controlPool = peer.NewPool(parts.PoolConfig(s))
-	n.peers = peer.NewClient(n.pool, s.Node.Name)
+	n.peerClient = peer.NewClient(n.pool, s.Node.Name)
 	n.quarantine = flow.NewQuarantine(flow.QuarantineConfig{
 		Table: parts.QuarantineConfig(s),
 		Board: n.loop,
-		Peers: n.peers,
+		Peers: n.peerClient,
 		Log:   n.config.Log,
 	})
 	n.receiver = flow.NewReceiver(flow.ReceiverConfig{
@@ -122,28 +122,28 @@
 // buildSender puts together what decides about keys and sends requests to instances.
 func (n *Node) buildSender(s *settings.Settings, self outcome.Node) {
 	budgets := flow.NewBudgets(retryBudget)
-	n.home = flow.NewKeyOwner(flow.KeyOwnerConfig{
+	n.keyOwner = flow.NewKeyOwner(flow.KeyOwnerConfig{
 		Board:     n.loop,
 		Self:      self,
 		Zones:     s.Node.ZoneList(),
 		Local:     n.receiver,
 		Delegate:  func(ctx context.Context, r *call.Request) call.Reply { return n.sender.Delegate(ctx, r) },
-		ResolveAt: n.ask,
+		ResolveAt: n.resolveAt,
 		Budgets:   budgets,
 		Load:      n.gate.Load,
-		Table:     keyTable(s),
+		Table:     keyTableConfig(s),
 	})
 	n.sender = flow.NewSender(flow.SenderConfig{
 		Board:    n.loop,
-		Peers:    n.peers,
-		Receiver: n.home,
+		Peers:    n.peerClient,
+		Receiver: n.keyOwner,
 		Budgets:  budgets,
 		Routing:  routing.DefaultConfig(s.Node.Name, s.Node.Zone),
 		Throttle: throttle.DefaultConfig,
 		Events:   n.limiter,
 		Requests: n.limiter,
 	})
-	n.keyed = flow.NewKeyedSender(flow.KeyedSenderConfig{
+	n.keyedSender = flow.NewKeyedSender(flow.KeyedSenderConfig{
 		Board:  n.loop,
 		Sender: n.sender,
 		Zones:  s.Node.ZoneList(),
@@ -154,30 +154,30 @@
 // buildControl puts together what keeps the node in step with the others and with the platform.
 func (n *Node) buildControl(s *settings.Settings, self outcome.Node) {
 	n.platform = platform.NewClient(platformConfig(s))
-	n.homes = homes.NewController(homes.Config{
+	n.ownerController = homes.NewController(homes.Config{
 		Board:    n.loop,
 		Platform: n.platform,
 		Log:      n.config.Log,
 		Self:     self,
-		Peers:    n.peers,
+		Peers:    n.peerClient,
 		Zones:    s.Node.ZoneList(),
-		Timing:   homesTiming(s),
+		Timing:   ownerTiming(s),
 	})
 	n.controller = zone.NewController(zone.Config{
 		Board:    n.loop,
 		Platform: n.platform,
 		Peers: zone.NewClient(zone.ClientConfig{
-			Pool:        n.controlPool,
-			Node:        s.Node.Name,
-			Zone:        s.Node.Zone,
-			BeatTimeout: beatTimeout,
-			Timeout:     controlTimeout,
+			Pool:             n.controlPool,
+			Node:             s.Node.Name,
+			Zone:             s.Node.Zone,
+			HeartbeatTimeout: heartbeatTimeout,
+			Timeout:          controlTimeout,
 		}),
 		Seeds:       s.Peer.SeedList(),
 		Log:         n.config.Log,
 		Timing:      zone.DefaultTiming,
 		Incarnation: self.Incarnation,
-		Sections:    map[string]zone.Section{homes.Prefix: n.homes.Section()},
+		Sections:    map[string]zone.Section{homes.Prefix: n.ownerController.Section()},
 	})
 }
 
@@ -188,16 +188,16 @@
 		config.Log.Emit(events.NodeFailed, events.Fields{"error": err.Error()})
 		return trace.Wrap(err)
 	}
-	ctx, n.stop = context.WithCancel(ctx)
-	defer n.stop()
-	working, stop := context.WithCancel(context.WithoutCancel(ctx))
+	ctx, n.beginDrain = context.WithCancel(ctx)
+	defer n.beginDrain()
+	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group conc.WaitGroup
-	n.start(working, &group)
-	metrics.Publish(func() metrics.Values { return n.metricValues(working) })
+	n.start(serving, &group)
+	metrics.Publish(func() metrics.Values { return n.metricValues(serving) })
 	config.Log.Emit(events.NodeStarted, events.Fields{"settings": config.Settings.Node.Name})
 	n.waitForLeave(ctx)
-	n.drain(working)
+	n.drain(serving)
 	stop()
 	n.listeners.close()
 	n.pool.Close()
@@ -233,17 +233,17 @@
 func (n *Node) start(ctx context.Context, group *conc.WaitGroup) {
 	group.Go(func() { n.loop.Run(ctx) })
 	group.Go(func() { n.controller.Run(ctx) })
-	group.Go(func() { n.homes.Run(ctx, n.controller) })
-	group.Go(func() { n.home.Run(ctx) })
-	group.Go(func() { n.gate.Run(ctx, parts.GateTick) })
-	group.Go(func() { n.local.Watch(ctx) })
+	group.Go(func() { n.ownerController.Run(ctx, n.controller) })
+	group.Go(func() { n.keyOwner.Run(ctx) })
+	group.Go(func() { n.gate.Run(ctx, parts.GatePollInterval) })
+	group.Go(func() { n.localServer.Watch(ctx) })
 	group.Go(func() { n.quarantine.Run(ctx) })
 	group.Go(func() { n.servePeers(ctx) })
-	calls, stopCalls := context.WithCancel(ctx)
-	n.stopCalls = stopCalls
+	callers, stopCalls := context.WithCancel(ctx)
+	n.stopCallerServer = stopCalls
 	group.Go(func() {
-		n.waitInformed(calls)
-		n.serveHTTP(calls, ctx, n.listeners.caller, n.work.countCalls(n.callerRouter()))
+		n.waitForCompleteView(callers)
+		n.serveHTTP(callers, ctx, n.listeners.caller, n.traffic.countRequests(n.callerRouter()))
 	})
 	group.Go(func() { n.serveHTTP(ctx, ctx, n.listeners.backend, n.backendRouter(ctx)) })
 	if n.listeners.operator != nil {
@@ -255,25 +255,25 @@
 	router := httprouter.New()
 	caller.Register(router, caller.Config{
 		Board:   n.loop,
-		Sender:  n.keyed,
+		Sender:  n.keyedSender,
 		Chains:  n.chains,
 		MaxBody: n.config.Settings.Caller.MaxBody,
 
-		Rejected: n.rejected,
+		Rejected: n.logRejected,
 	})
 	return router
 }
 
 func (n *Node) backendRouter(ctx context.Context) *httprouter.Router {
 	router := httprouter.New()
-	backend.RegisterAnnouncements(router, func(a backend.Announcement) { n.local.Announced(ctx, a) })
+	backend.RegisterAnnouncements(router, func(a backend.Announcement) { n.localServer.HandleAnnouncement(ctx, a) })
 	n.registerHealth(router)
 	return router
 }
 
 func (n *Node) servePeers(ctx context.Context) {
 	mux := drpcmux.New()
-	err := peerpb.DRPCRegisterPeer(mux, peer.NewServer(n.home, n.home, n.homes))
+	err := peerpb.DRPCRegisterPeer(mux, peer.NewServer(n.keyOwner, n.keyOwner, n.ownerController))
 	if err == nil {
 		err = peerpb.DRPCRegisterQuarantine(mux, peer.NewQuarantineServer(n.quarantine))
 	}
@@ -284,24 +284,24 @@
 		n.config.Log.Emit(events.NodeFailed, events.Fields{"error": err.Error()})
 		return
 	}
-	handler := peer.NewHandler(parts.CountRPCs(&n.work.inFlight, mux), nil)
+	handler := peer.NewHandler(parts.CountRPCs(&n.traffic.inFlight, mux), nil)
 	server := drpcserver.NewWithOptions(handler, parts.PeerServerOptions(n.config.Settings, n.limiter))
 	_ = server.Serve(ctx, n.listeners.peer)
 }
 
 // serveHTTP serves until the context ends, and then finishes what is in flight for as long as the node works.
-func (n *Node) serveHTTP(ctx, working context.Context, l net.Listener, router http.Handler) {
+func (n *Node) serveHTTP(ctx, serving context.Context, l net.Listener, router http.Handler) {
 	server := &http.Server{
 		Handler:           router,
 		ReadHeaderTimeout: n.config.Settings.Caller.HeaderTimeout,
 		ReadTimeout:       n.config.Settings.Caller.BodyTimeout,
-		ErrorLog:          parts.HTTPLog(n.limiter),
+		ErrorLog:          parts.NewHTTPLogger(n.limiter),
 	}
-	caller.WatchConns(server, n.endedEarly)
+	caller.ReportIncompleteRequests(server, n.logEarlyClose)
 	ended := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(ended)
-		shutdown(working, server, l)
+		shutdown(serving, server, l)
 	})
 	_ = server.Serve(l)
 	if !stop() {
@@ -309,31 +309,31 @@
 	}
 }
 
-// informedTimeout is how long callers of a node that has just started wait for it to learn of services and homes.
-const informedTimeout = 2 * time.Second
+// completeViewTimeout is how long callers of a node that has just started wait for it to learn of services and homes.
+const completeViewTimeout = 2 * time.Second
 
-// waitInformed returns when the node can tell callers something, and at the latest after the timeout.
-func (n *Node) waitInformed(ctx context.Context) {
-	deadline := time.Now().Add(informedTimeout)
+// waitForCompleteView returns when the node can tell callers something, and at the latest after the timeout.
+func (n *Node) waitForCompleteView(ctx context.Context) {
+	deadline := time.Now().Add(completeViewTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		b := n.loop.Snapshot()
-		if isInformed(b, n.config.Settings.Node.ZoneList()) {
+		if hasCompleteView(b, n.config.Settings.Node.ZoneList()) {
 			return
 		}
-		pause.For(ctx, parts.GateTick)
+		pause.For(ctx, parts.GatePollInterval)
 	}
 }
 
-// isInformed reports whether the node knows an instance of each service that has a document, and who answers for each
+// hasCompleteView reports whether the node knows an instance of each service that has a document, and who answers for each
 // home of now, in the shards of all availability zones.
-func isInformed(b *board.Board, zones []string) bool {
+func hasCompleteView(b *board.Board, zones []string) bool {
 	for service := range b.Documents.ByService {
 		if len(b.Members.ByService[service]) == 0 {
 			return false
 		}
 	}
 	for _, zone := range zones {
-		shard, known := b.Homes.Shards[zone]
+		shard, known := b.KeyOwners.Shards[zone]
 		if !known {
 			return false
 		}
@@ -346,7 +346,7 @@
 	return len(b.Documents.ByService) > 0
 }
 
-// ask asks another node about an attempt or a key.
-func (n *Node) ask(ctx context.Context, address string, q peer.ResolveQuery) (peer.Resolution, error) {
-	return n.peers.Resolve(ctx, address, q, controlTimeout)
+// resolveAt asks another node about an attempt or a key.
+func (n *Node) resolveAt(ctx context.Context, address string, query peer.ResolveQuery) (peer.Resolution, error) {
+	return n.peerClient.Resolve(ctx, address, query, controlTimeout)
 }
--- a/internal/process/node/operator.go
+++ b/internal/process/node/operator.go
@@ -26,18 +26,18 @@
 			Records:  n.controller,
 			Log:      n.config.Log,
 		}),
-		Tokens: operator.NewTokens(byHolder(tokens)),
-		Drain:  n.stop,
+		Tokens: operator.NewTokens(secretsByIdentity(tokens)),
+		Drain:  n.beginDrain,
 		Dump:   func(w http.ResponseWriter, r *http.Request) { parts.WriteJSON(w, n.dump(r.Context()), n.limiter) },
 	})
 	return router
 }
 
-// byHolder returns the tokens of the settings by whose they are.
-func byHolder(tokens []settings.Token) map[operator.Identity]string {
-	holders := make(map[operator.Identity]string, len(tokens))
+// secretsByIdentity returns the tokens of the settings by whose they are.
+func secretsByIdentity(tokens []settings.Token) map[operator.Identity]string {
+	secrets := make(map[operator.Identity]string, len(tokens))
 	for _, t := range tokens {
-		holders[operator.Identity{Team: t.Team, Editor: t.Editor}] = t.Secret
+		secrets[operator.Identity{Team: t.Team, Editor: t.Editor}] = t.Secret
 	}
-	return holders
+	return secrets
 }
--- a/internal/process/node/reports.go
+++ b/internal/process/node/reports.go
@@ -8,8 +8,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// rejected logs a malformed request of a caller.
-func (n *Node) rejected(r *http.Request, reason call.Reason, text string) {
+// logRejected logs a malformed request of a caller.
+func (n *Node) logRejected(r *http.Request, reason call.Reason, text string) {
 	n.limiter.Emit(time.Now(), events.CallerRejected, events.Fields{
 		"remote": r.RemoteAddr,
 		"reason": string(reason),
@@ -17,8 +17,8 @@
 	})
 }
 
-// endedEarly logs a connection that ended before a whole request.
-func (n *Node) endedEarly(remote string) {
+// logEarlyClose logs a connection that ended before a whole request.
+func (n *Node) logEarlyClose(remote string) {
 	n.limiter.Emit(time.Now(), events.CallerRejected, events.Fields{
 		"remote": remote,
 		"reason": string(call.ReasonBadRequest),
--- a/internal/process/node/table.go
+++ b/internal/process/node/table.go
@@ -21,7 +21,7 @@
 	d.writeNode(t)
 	d.writeDocuments(t, now)
 	d.writeMembers(t)
-	d.writeHomes(t, now)
+	d.writeKeyOwners(t, now)
 	d.writeAdmission(t, now)
 	d.writeSheds(t, now)
 	d.writeThrottles(t, now)
@@ -38,11 +38,11 @@
 	t.Row("node", b.Self.Node)
 	t.Row("zone", b.Self.Zone)
 	t.Row("draining", b.Self.Draining)
-	t.Row("backend server", fmt.Sprintf("%s at %s, %d slots, %d connections", b.Backend.Service, b.Backend.Address, b.Backend.Slots, b.Backend.Connections))
+	t.Row("backend server", fmt.Sprintf("%s at %s, %d slots, %d connections", b.Backend.Service, b.Backend.Address, b.Backend.Slots, b.Backend.MaxConnections))
 	t.Row("role", d.Control.Role)
 	t.Row("leader", fmt.Sprintf("%s, leased %t", orNone(b.Leader.Node), b.Leader.Leased))
 	t.Row("followed", fmt.Sprintf("%s, relayed %t", orNone(d.Control.Followed), d.Control.Relayed))
-	t.Row("lease", fmt.Sprintf("term %d, %s left", d.Control.Term, milliseconds(d.Control.LeaseLeft)))
+	t.Row("lease", fmt.Sprintf("term %d, %s left", d.Control.Term, milliseconds(d.Control.LeaseRemaining)))
 	t.Row("platform", fmt.Sprintf("reachable %t", b.Platform.Reachable))
 	t.Row("records", fmt.Sprintf("%d, digest %016x", d.Control.Records, d.Control.Digest))
 }
@@ -62,7 +62,7 @@
 	t.Section("DOCUMENTS", "SERVICE", "TEAM", "REVISION", "EDITOR", "OPERATION", "IN FORCE FOR")
 	for _, service := range slices.Sorted(maps.Keys(d.Board.Documents.ByService)) {
 		in := d.Board.Documents.ByService[service]
-		t.Row(service, in.Document.Team, in.Revision, in.Editor, in.Operation, now.Sub(in.InForce).Round(time.Second))
+		t.Row(service, in.Document.Team, in.Revision, in.Editor, in.Operation, now.Sub(in.InForceSince).Round(time.Second))
 	}
 }
 
@@ -70,18 +70,18 @@
 	t.Section("MEMBERS", "NODE", "ZONE", "SERVICE", "STATE", "SLOTS", "SILENT FOR", "ADDRESS")
 	for _, node := range slices.Sorted(maps.Keys(d.Board.Members.ByNode)) {
 		m := d.Board.Members.ByNode[node]
-		t.Row(m.Node, m.Zone, orNone(m.Service), stateOf(m), m.Slots, d.silence(node), m.PeerAddress)
+		t.Row(m.Node, m.Zone, orNone(m.Service), displayState(m), m.Slots, d.silenceOf(node), m.PeerAddress)
 	}
 	for _, node := range d.Control.Down {
 		t.Row(node, "", "", "down", "", "", "")
 	}
-	for _, zone := range slices.Sorted(maps.Keys(d.Control.Lapsed)) {
-		t.Row("", zone, "", "no leader", "", milliseconds(d.Control.Lapsed[zone]), "")
+	for _, zone := range slices.Sorted(maps.Keys(d.Control.LeaderlessZones)) {
+		t.Row("", zone, "", "no leader", "", milliseconds(d.Control.LeaderlessZones[zone]), "")
 	}
 }
 
-// silence is known for the members that send heartbeats to this node.
-func (d Dump) silence(node string) string {
+// silenceOf is known for the members that send heartbeats to this node.
+func (d Dump) silenceOf(node string) string {
 	silent, known := d.Control.Silence[node]
 	if !known {
 		return "-"
@@ -89,17 +89,17 @@
 	return milliseconds(silent).String()
 }
 
-func (d Dump) writeHomes(t *terminal.Table, now time.Time) {
+func (d Dump) writeKeyOwners(t *terminal.Table, now time.Time) {
 	t.Section("HOMES", "SHARD", "KEPT BY", "FROM", "UNTIL", "MEMBERS")
-	for _, name := range slices.Sorted(maps.Keys(d.Board.Homes.Shards)) {
-		for _, e := range d.Board.Homes.Shards[name].Epochs {
-			t.Row(name, e.Zone, since(now, e.Start), since(now, e.Until), len(e.Members))
+	for _, name := range slices.Sorted(maps.Keys(d.Board.KeyOwners.Shards)) {
+		for _, e := range d.Board.KeyOwners.Shards[name].Epochs {
+			t.Row(name, e.Zone, relativeTime(now, e.Start), relativeTime(now, e.Until), len(e.Members))
 		}
 	}
 }
 
-// since shows a time in Unix milliseconds by its distance from now.
-func since(now time.Time, at int64) string {
+// relativeTime shows a time in Unix milliseconds by its distance from now.
+func relativeTime(now time.Time, at int64) string {
 	return fmt.Sprintf("%+.1fs", time.UnixMilli(at).Sub(now).Seconds())
 }
 
@@ -158,8 +158,8 @@
 	}
 }
 
-// crashesOf shows the crashes that a request is blamed for.
-func crashesOf(e quarantine.Entry, now time.Time) string {
+// formatCrashes shows the crashes that a request is blamed for.
+func formatCrashes(e quarantine.Entry, now time.Time) string {
 	var crashes []string
 	for _, v := range e.Evidence {
 		crashes = append(crashes, fmt.Sprintf("%s %s ago", v.Source, ago(now, v.At)))
@@ -186,7 +186,7 @@
 func (d Dump) writeQuarantine(t *terminal.Table, now time.Time) {
 	t.Section("QUARANTINE", "FINGERPRINT", "REASON", "CRASHES", "REFUSED FOR", "EVIDENCE")
 	for _, e := range d.Quarantine {
-		t.Row(fmt.Sprintf("%+v", e.Fingerprint), e.Reason, e.Crashes, max(0, e.Until.Sub(now)).Round(time.Second), crashesOf(e, now))
+		t.Row(fmt.Sprintf("%+v", e.Fingerprint), e.Reason, e.Crashes, max(0, e.Until.Sub(now)).Round(time.Second), formatCrashes(e, now))
 	}
 }
 
@@ -204,8 +204,8 @@
 	}
 }
 
-// stateOf returns the member's state as the table shows it.
-func stateOf(m membership.Member) string {
+// displayState returns the member's state as the table shows it.
+func displayState(m membership.Member) string {
 	if m.State == membership.Up && m.BackendLost {
 		return "backend lost"
 	}
--- a/internal/process/parts/parts.go
+++ b/internal/process/parts/parts.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// GateTick is the time between looks at the queue.
-	GateTick = 10 * time.Millisecond
-	// LimitedEvery is the time between two events of one number that strangers can cause.
-	LimitedEvery = time.Second
+	// GatePollInterval is the time between looks at the queue.
+	GatePollInterval = 10 * time.Millisecond
+	// LogLimitInterval is the time between two events of one number that strangers can cause.
+	LogLimitInterval = time.Second
 	// peerMaxIdle is how long an unused connection between nodes is trusted.
 	peerMaxIdle = 5 * time.Second
 	// peerDialTimeout bounds the making of a connection to another node.
 	peerDialTimeout = 500 * time.Millisecond
-	// firstLimit is the concurrency limit of a backend server of which nothing is known yet.
-	firstLimit = 8
-	// urgentWaits is how many times longer rank 0 may wait for a slot than the least urgent rank.
-	urgentWaits = 3
-	// highestLimit bounds the concurrency limit.
-	highestLimit = 1000
+	// initialLimit is the concurrency limit of a backend server of which nothing is known yet.
+	initialLimit = 8
+	// urgentDelayFactor is how many times longer rank 0 may wait for a slot than the least urgent rank.
+	urgentDelayFactor = 3
+	// maxLimit bounds the concurrency limit.
+	maxLimit = 1000
 )
 
 // GateConfig returns how a node admits requests to its backend server.
 func GateConfig(s *settings.Settings) admission.GateConfig {
 	return admission.GateConfig{
 		Limit: admission.LimitConfig{
-			Initial:             firstLimit,
+			Initial:             initialLimit,
 			Min:                 1,
-			Max:                 highestLimit,
+			Max:                 maxLimit,
 			Tolerance:           2,
 			LatencySlack:        5 * time.Millisecond,
 			DecreaseFactor:      0.7,
@@ -52,7 +52,7 @@
 		},
 		QueuePerSlot:        4,
 		MaxDelayLeastUrgent: s.Backend.MaxWait,
-		MaxDelayMostUrgent:  urgentWaits * s.Backend.MaxWait,
+		MaxDelayMostUrgent:  urgentDelayFactor * s.Backend.MaxWait,
 		ReserveInterval:     20 * time.Millisecond,
 		MaxRetryAfter:       3 * time.Second,
 	}
--- a/internal/process/parts/serve.go
+++ b/internal/process/parts/serve.go
@@ -50,17 +50,17 @@
 	}
 }
 
-// HTTPLog returns a log that turns the lines of an HTTP server into events.
-func HTTPLog(limiter *events.Limiter) *log.Logger {
-	return log.New(httpErrors{limiter}, "", 0)
+// NewHTTPLogger returns a log that turns the lines of an HTTP server into events.
+func NewHTTPLogger(limiter *events.Limiter) *log.Logger {
+	return log.New(httpErrorWriter{limiter}, "", 0)
 }
 
-type httpErrors struct {
+type httpErrorWriter struct {
 	limiter *events.Limiter
 }
 
 // Write logs one line.
-func (e httpErrors) Write(line []byte) (int, error) {
+func (e httpErrorWriter) Write(line []byte) (int, error) {
 	e.limiter.Emit(time.Now(), events.HTTPFailed, events.Fields{"error": strings.TrimSpace(string(line))})
 	return len(line), nil
 }
@@ -72,13 +72,13 @@
 			InactivityTimeout: s.Peer.IdleTimeout,
 			Stream:            drpcstream.Options{ManualFlush: true},
 		},
-		Log: PeerFailed(limiter),
+		Log: PeerErrorLogger(limiter),
 	}
 }
 
-// PeerFailed returns a function that logs how a connection of another node ended. That the other end closed it, or gave up a
+// PeerErrorLogger returns a function that logs how a connection of another node ended. That the other end closed it, or gave up a
 // call, is no fault.
-func PeerFailed(limiter *events.Limiter) func(error) {
+func PeerErrorLogger(limiter *events.Limiter) func(error) {
 	return func(err error) {
 		switch {
 		case drpc.ClosedError.Has(err), errors.Is(err, io.EOF), errors.Is(err, context.Canceled):
--- a/internal/process/parts/state.go
+++ b/internal/process/parts/state.go
@@ -27,8 +27,8 @@
 	Quarantine  []quarantine.Entry `json:"quarantine"`
 }
 
-// Stateful are the parts of a node that have a state to show.
-type Stateful struct {
+// StateSources are the parts of a node that have a state to show.
+type StateSources struct {
 	Loop       *board.Loop
 	Gate       *backend.Gate
 	Receiver   *flow.Receiver
@@ -38,7 +38,7 @@
 }
 
 // State returns the state at this moment.
-func (s Stateful) State() State {
+func (s StateSources) State() State {
 	return State{
 		Board:       s.Loop.Snapshot(),
 		Load:        s.Gate.Load(),
--- a/internal/process/pause/pause.go
+++ b/internal/process/pause/pause.go
@@ -36,15 +36,15 @@
 // Backoff is the wait after failures in a row: First after the first one, and twice as long after each further one, up to
 // Longest. A Backoff is not safe for concurrent use.
 type Backoff struct {
-	First, Longest time.Duration
+	Initial, Max time.Duration
 
 	next time.Duration
 }
 
 // Wait waits after a failure and reports false where the context ends before.
 func (b *Backoff) Wait(ctx context.Context) bool {
-	d := max(b.next, b.First)
-	b.next = min(2*d, b.Longest)
+	d := max(b.next, b.Initial)
+	b.next = min(2*d, b.Max)
 	return For(ctx, d)
 }
 
--- a/internal/process/pause/pause_test.go
+++ b/internal/process/pause/pause_test.go
@@ -13,17 +13,17 @@
 func TestBackoffDoublesUntilASuccess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := pause.Backoff{First: 100 * time.Millisecond, Longest: 300 * time.Millisecond}
-		took := func() time.Duration {
+		b := pause.Backoff{Initial: 100 * time.Millisecond, Max: 300 * time.Millisecond}
+		waitTime := func() time.Duration {
 			start := time.Now()
 			is.True(b.Wait(t.Context()))
 			return time.Since(start)
 		}
-		is.Equal(took(), 100*time.Millisecond)
-		is.Equal(took(), 200*time.Millisecond)
-		is.Equal(took(), 300*time.Millisecond)
-		is.Equal(took(), 300*time.Millisecond)
+		is.Equal(waitTime(), 100*time.Millisecond)
+		is.Equal(waitTime(), 200*time.Millisecond)
+		is.Equal(waitTime(), 300*time.Millisecond)
+		is.Equal(waitTime(), 300*time.Millisecond)
 		b.Reset()
-		is.Equal(took(), 100*time.Millisecond)
+		is.Equal(waitTime(), 100*time.Millisecond)
 	})
 }
--- a/internal/process/reload/reload_test.go
+++ b/internal/process/reload/reload_test.go
@@ -30,7 +30,7 @@
 	return b.buffer.Write(p)
 }
 
-func (b *lockedBuffer) holds(text string) bool {
+func (b *lockedBuffer) contains(text string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Contains(b.buffer.String(), text)
@@ -60,7 +60,7 @@
 				Arguments: []string{"-config", path}, Log: events.NewLog(out, zerolog.InfoLevel, "node_1"),
 			}).Run(ctx, &group)
 			is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP))
-			for deadline := time.Now().Add(5 * time.Second); !out.holds(test.want); time.Sleep(10 * time.Millisecond) {
+			for deadline := time.Now().Add(5 * time.Second); !out.contains(test.want); time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(deadline) {
 					t.Fatal("no " + test.want)
 				}
--- a/internal/process/routed/bench_test.go
+++ b/internal/process/routed/bench_test.go
@@ -11,7 +11,7 @@
 	f := newFleet(b, twoServices(1))
 	crew := f.add(b, "zone_1", "crew", hello)
 	f.add(b, "zone_1", "bookings", hello)
-	f.settle(b)
+	f.waitReady(b)
 	client := &http.Client{}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/process/routed/fleet_test.go
+++ b/internal/process/routed/fleet_test.go
@@ -32,7 +32,7 @@
 
 // The headers of the tests.
 var (
-	callerHeaders  = caller.RoutedHeaders{RequestID: "Request-Name", TimeLeft: "Time-Left", CallerService: "Calling-Service"}
+	callerHeaders  = caller.RoutedHeaders{RequestID: "Request-Name", Timeout: "Time-Left", CallerService: "Calling-Service"}
 	backendHeaders = backend.Headers{
 		TimeLeft: "Time-Left", Instance: "Only-Instance", RequestID: "Request-Name", Signature: "Signature", NotRun: "Not-Run",
 	}
@@ -44,16 +44,16 @@
 type fleet struct {
 	store *kv.Store
 	group conc.WaitGroup
-	nodes []*member
+	nodes []*testNode
 }
 
-// member is one node with its backend server.
-type member struct {
+// testNode is one node with its backend server.
+type testNode struct {
 	settings *settings.Settings
 	server   *httptest.Server
 	log      *syncBuffer
 	announce func(backend.Announcement)
-	left     func(instance string)
+	departed func(instance string)
 	ready    func() bool
 	stop     context.CancelFunc
 	ended    chan struct{}
@@ -89,7 +89,7 @@
 func (f *fleet) setRoutes(tb testing.TB, catalogue routes.Catalogue) {
 	value, err := json.Marshal(catalogue)
 	is.New(tb).NoErr(err)
-	f.store.Operator(routesKey, value)
+	f.store.ForcePut(routesKey, value)
 }
 
 func (f *fleet) stop() {
@@ -110,22 +110,22 @@
 }
 
 // add starts a node in the zone, beside a backend server of the service that answers with the handler.
-func (f *fleet) add(tb testing.TB, zone, service string, handler http.HandlerFunc) *member {
+func (f *fleet) add(tb testing.TB, zone, service string, handler http.HandlerFunc) *testNode {
 	flags := flag.NewFlagSet("node", flag.ContinueOnError)
 	s := settings.Register(flags)
 	is.New(tb).NoErr(s.Parse(flags, []string{
 		"-node.name", fmt.Sprintf("node_%d", len(f.nodes)+1), "-node.zone", zone, "-node.zones", zone, "-node.service", service,
 		"-caller.address", freeAddress(tb), "-peer.address", freeAddress(tb), "-backend.address", freeAddress(tb),
-		"-ready.address", freeAddress(tb), "-platform.url", "http://127.0.0.1:1", "-platform.source", settings.FromRoutes,
+		"-ready.address", freeAddress(tb), "-platform.url", "http://127.0.0.1:1", "-platform.source", settings.SourceRoutes,
 	}))
 	is.New(tb).NoErr(s.Check())
-	m := &member{settings: s, log: &syncBuffer{}, service: service, ended: make(chan struct{})}
-	m.server = httptest.NewServer(signed(handler))
+	m := &testNode{settings: s, log: &syncBuffer{}, service: service, ended: make(chan struct{})}
+	m.server = httptest.NewServer(withSignature(handler))
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
-	registered, readied := make(chan struct{}), make(chan struct{})
+	registered, readyRegistered := make(chan struct{}), make(chan struct{})
 	adapter := routed.Adapter{
-		Store:     f.store.As(s.Node.Name),
+		Store:     f.store.ForNode(s.Node.Name),
 		RoutesKey: routesKey,
 		DecodeRoutes: func(value []byte) (*routes.Table, error) {
 			var c routes.Catalogue
@@ -134,13 +134,13 @@
 			}
 			return routes.NewTable(c)
 		},
-		RegisterAnnouncements: func(_ *httprouter.Router, a routed.Announcements) {
-			m.announce, m.left = a.Announced, a.Left
+		RegisterAnnouncements: func(_ *httprouter.Router, a routed.AnnouncementHandlers) {
+			m.announce, m.departed = a.Announced, a.Departed
 			close(registered)
 		},
 		RegisterReady: func(_ *httprouter.Router, ready func() bool) {
 			m.ready = ready
-			close(readied)
+			close(readyRegistered)
 		},
 		CallerHeaders:  callerHeaders,
 		BackendHeaders: backendHeaders,
@@ -151,14 +151,14 @@
 		_ = routed.Run(ctx, routed.Config{Settings: s, Log: log, Adapter: adapter})
 	})
 	<-registered
-	<-readied
+	<-readyRegistered
 	m.heartbeat(false)
 	f.nodes = append(f.nodes, m)
 	return m
 }
 
-// signed marks the answers of a backend server as its own.
-func signed(handler http.HandlerFunc) http.HandlerFunc {
+// withSignature marks the answers of a backend server as its own.
+func withSignature(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Signature", "s")
 		w.Header().Set("Request-Name", r.Header.Get("Request-Name"))
@@ -166,15 +166,15 @@
 	}
 }
 
-func (m *member) heartbeat(leaving bool) {
+func (m *testNode) heartbeat(leaving bool) {
 	m.announce(backend.Announcement{
 		Service: m.service, Address: strings.TrimPrefix(m.server.URL, "http://"), Slots: 64, Connections: 256,
 		Instance: "i_" + m.settings.Node.Name, Started: 1, Sequence: m.sequence.Add(1), Leaving: leaving,
 	})
 }
 
-// settle waits until every node knows every other.
-func (f *fleet) settle(tb testing.TB) {
+// waitReady waits until every node knows every other.
+func (f *fleet) waitReady(tb testing.TB) {
 	deadline := time.Now().Add(10 * time.Second)
 	for _, m := range f.nodes {
 		for !strings.Contains(m.log.String(), "routes_in_force") || !m.ready() {
@@ -187,20 +187,20 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-// answer is what a caller got.
-type answer struct {
+// callResult is what a caller got.
+type callResult struct {
 	status int
 	body   string
 	header http.Header
 }
 
 // call sends one request to the node as a caller.
-func (m *member) call(tb testing.TB, client *http.Client, method, host, path string) answer {
+func (m *testNode) call(tb testing.TB, client *http.Client, method, host, path string) callResult {
 	return m.callWithin(tb, client, method, host, path, "5000")
 }
 
 // callWithin is call for a caller that waits so many milliseconds.
-func (m *member) callWithin(tb testing.TB, client *http.Client, method, host, path, left string) answer {
+func (m *testNode) callWithin(tb testing.TB, client *http.Client, method, host, path, left string) callResult {
 	r, err := http.NewRequestWithContext(tb.Context(), method, "http://"+m.settings.Caller.Address+path, http.NoBody)
 	is.New(tb).NoErr(err)
 	r.Host = host
@@ -208,14 +208,14 @@
 	r.Header.Set("Time-Left", left)
 	response, err := client.Do(r)
 	if err != nil {
-		return answer{}
+		return callResult{}
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return answer{}
+		return callResult{}
 	}
-	return answer{status: response.StatusCode, body: string(body), header: response.Header}
+	return callResult{status: response.StatusCode, body: string(body), header: response.Header}
 }
 
 var requestNumber atomic.Uint64
@@ -225,9 +225,9 @@
 	return routes.Catalogue{
 		Version: version,
 		Routes: []routes.Route{
-			{Name: "sheets", Host: "sheets.example", Prefix: "/", Idempotent: true, Timeout: 2 * time.Second, Target: time.Second, Rank: 1, Attempts: 2, Clusters: []routes.Cluster{{Service: "crew", Weight: 1}}},
-			{Name: "deposits", Host: "deposits.example", Prefix: "/", Timeout: 2 * time.Second, Target: time.Second, Rank: 2, Attempts: 2, Clusters: []routes.Cluster{{Service: "bookings", Weight: 1}}},
+			{Name: "sheets", Host: "sheets.example", Prefix: "/", Idempotent: true, Timeout: 2 * time.Second, TargetLatency: time.Second, Rank: 1, MaxAttempts: 2, Clusters: []routes.Cluster{{Service: "crew", Weight: 1}}},
+			{Name: "deposits", Host: "deposits.example", Prefix: "/", Timeout: 2 * time.Second, TargetLatency: time.Second, Rank: 2, MaxAttempts: 2, Clusters: []routes.Cluster{{Service: "bookings", Weight: 1}}},
 		},
-		Services: []routes.Service{{Name: "crew", Connections: 256}, {Name: "bookings", Connections: 256}},
+		Services: []routes.Service{{Name: "crew", MaxConnections: 256}, {Name: "bookings", MaxConnections: 256}},
 	}
 }
