--- a/internal/process/routed/routed.go
+++ b/internal/process/routed/routed.go
@@ -48,23 +48,23 @@
 	RoutesKey    string
 	DecodeRoutes func(value []byte) (*routes.Table, error)
 	// RegisterAnnouncements adds the routes by which the local backend server announces itself.
-	RegisterAnnouncements func(router *httprouter.Router, l Announcements)
+	RegisterAnnouncements func(router *httprouter.Router, l AnnouncementHandlers)
 	// RegisterReady adds the question whether the node takes new work.
 	RegisterReady  func(router *httprouter.Router, ready func() bool)
 	CallerHeaders  caller.RoutedHeaders
 	BackendHeaders backend.Headers
-	// CommonWords stand in many messages between nodes, which they make smaller.
-	CommonWords []string
+	// CommonTerms stand in many messages between nodes, which they make smaller.
+	CommonTerms []string
 }
 
-// Announcements takes what the local backend server says of itself.
-type Announcements struct {
+// AnnouncementHandlers takes what the local backend server says of itself.
+type AnnouncementHandlers struct {
 	// Announced returns when the node goes by the announcement.
 	Announced func(backend.Announcement)
-	// Left is told the name of a backend server that leaves.
-	Left func(instance string)
-	// Connections returns how many connections a backend server of the service takes.
-	Connections func(service string) int
+	// Departed is told the name of a backend server that leaves.
+	Departed func(instance string)
+	// MaxConnections returns how many connections a backend server of the service takes.
+	MaxConnections func(service string) int
 	// Rejected is told of each announcement that names nobody.
 	Rejected func(instance, fault string)
 }
@@ -78,64 +78,64 @@
 
 // Node is one node.
 type Node struct {
-	config   Config
-	loop     *board.Loop
-	gate     *backend.Gate
-	pool     *peer.Pool
-	peers    *peer.Client
-	packer   *peer.Compressor
-	local    *local.Server
-	receiver *flow.Receiver
-	fenced   *flow.FencedRunner
-	sender   *flow.Sender
-	chains   *call.Chains
-	reach    *flow.ReachabilityMonitor
-	members  *members.Controller
-	routes   *routesFollower
+	config       Config
+	loop         *board.Loop
+	gate         *backend.Gate
+	pool         *peer.Pool
+	peerClient   *peer.Client
+	compressor   *peer.Compressor
+	localServer  *local.Server
+	receiver     *flow.Receiver
+	fencedRunner *flow.FencedRunner
+	sender       *flow.Sender
+	chains       *call.Chains
+	reachability *flow.ReachabilityMonitor
+	members      *members.Controller
+	routes       *routesFollower
 	// quarantine keeps away requests that crash backend servers.
 	quarantine *flow.Quarantine
 	limiter    *events.Limiter
-	// requests logs decisions about single requests.
-	requests  *events.Limiter
-	meters    *meters
-	work      work
-	listeners listeners
+	// requestLog logs decisions about single requests.
+	requestLog   *events.Limiter
+	requestStats *requestStats
+	traffic      trafficState
+	listeners    listeners
 	// callerServer serves callers.
 	callerServer *caller.Server
 }
 
 // The lines about single requests that are written of each number: one in the time on average, and so many at once.
 const (
-	requestLogEvery = 25 * time.Millisecond
-	requestLogBurst = 100
+	requestLogInterval = 25 * time.Millisecond
+	requestLogBurst    = 100
 )
 
 // maxRefusals is how many nodes may refuse a request before it is given up.
 const maxRefusals = 2
 
-// fleetRetries is how many retries for one service all nodes together may make at once.
-const fleetRetries = 36
+// maxFleetRetries is how many retries for one service all nodes together may make at once.
+const maxFleetRetries = 36
 
 // retryBudget is that of one node for one service.
 var retryBudget = retry.BudgetConfig{EarnRatio: 0.05, Max: 3}
 
-// turnBudget bounds the further turns of what a backend server shed, as a part of the requests for it.
-var turnBudget = retry.BudgetConfig{EarnRatio: 0.08, Max: 4}
+// requeueBudget bounds the further turns of what a backend server shed, as a part of the requests for it.
+var requeueBudget = retry.BudgetConfig{EarnRatio: 0.08, Max: 4}
 
 // New builds a node without starting it.
 func New(config Config) (*Node, error) {
 	s := config.Settings
-	packer, err := peer.NewCompressor(config.Adapter.CommonWords...)
+	compressor, err := peer.NewCompressor(config.Adapter.CommonTerms...)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	n := &Node{
-		config:   config,
-		packer:   packer,
-		chains:   call.NewChains(),
-		limiter:  events.NewLimiter(config.Log, parts.LimitedEvery),
-		requests: events.NewBurstLimiter(config.Log, requestLogEvery, requestLogBurst),
-		meters:   newMeters(),
+		config:       config,
+		compressor:   compressor,
+		chains:       call.NewChains(),
+		limiter:      events.NewLimiter(config.Log, parts.LogLimitInterval),
+		requestLog:   events.NewBurstLimiter(config.Log, requestLogInterval, requestLogBurst),
+		requestStats: newRequestStats(),
 	}
 	incarnation := uint64(time.Now().UnixNano())
 	n.loop = board.NewLoop(board.Board{Self: board.Self{
@@ -154,24 +154,24 @@
 }
 
 func (n *Node) buildReceiver(s *settings.Settings, incarnation uint64) {
-	presence := backend.NewLiveness()
+	liveness := backend.NewLiveness()
 	gate := parts.GateConfig(s)
 	gate.Limit.Fixed = true
 	n.gate = backend.NewGate(gate)
 	pool := parts.PoolConfig(s)
-	pool.Compressor = n.packer
+	pool.Compressor = n.compressor
 	n.pool = peer.NewPool(pool)
-	n.peers = peer.NewClient(n.pool, s.Node.Name)
+	n.peerClient = peer.NewClient(n.pool, s.Node.Name)
 	client := backend.NewClient(backend.ClientConfig{
 		MaxBody:  s.Caller.MaxBody,
-		Liveness: presence,
+		Liveness: liveness,
 		Headers:  n.config.Adapter.BackendHeaders,
 	}, n.chains)
-	n.local = local.New(local.Config{Board: n.loop, Gate: n.gate, Client: client, Presence: presence, Log: n.config.Log})
+	n.localServer = local.New(local.Config{Board: n.loop, Gate: n.gate, Client: client, Liveness: liveness, Log: n.config.Log})
 	n.quarantine = flow.NewQuarantine(flow.QuarantineConfig{
 		Table: parts.QuarantineConfig(s),
 		Board: n.loop,
-		Peers: n.peers,
+		Peers: n.peerClient,
 		Log:   n.config.Log,
 	})
 	n.receiver = flow.NewReceiver(flow.ReceiverConfig{
@@ -181,11 +181,11 @@
 		Quarantine:     n.quarantine,
 		CallTreeLimits: flow.NewCallTreeLimits(trees.DefaultConfig),
 		RequeueShed:    true,
-		RequeueBudget:  &turnBudget,
+		RequeueBudget:  &requeueBudget,
 		Events:         n.limiter,
-		Requests:       n.requests,
+		Requests:       n.requestLog,
 	})
-	n.fenced = flow.NewFencedRunner(n.receiver, incarnation)
+	n.fencedRunner = flow.NewFencedRunner(n.receiver, incarnation)
 }
 
 // throttleConfig returns how root requests are refused at the entry. The nodes beside the backend servers bound them by what
@@ -197,21 +197,21 @@
 }
 
 func (n *Node) buildSender(s *settings.Settings) {
-	n.reach = flow.NewReachabilityMonitor(flow.ReachabilityMonitorConfig{Board: n.loop, Peers: n.peers, Log: n.limiter})
+	n.reachability = flow.NewReachabilityMonitor(flow.ReachabilityMonitorConfig{Board: n.loop, Peers: n.peerClient, Log: n.limiter})
 	n.sender = flow.NewSender(flow.SenderConfig{
 		Board:        n.loop,
-		Peers:        n.peers,
-		Receiver:     n.fenced,
+		Peers:        n.peerClient,
+		Receiver:     n.fencedRunner,
 		Budgets:      flow.NewBudgets(retryBudget),
 		Routing:      routing.DefaultConfig(s.Node.Name, s.Node.Zone),
 		Throttle:     throttleConfig(),
 		MaxRefusals:  maxRefusals,
-		Reachability: n.reach,
+		Reachability: n.reachability,
 
-		MaxFleetRetries: fleetRetries,
+		MaxFleetRetries: maxFleetRetries,
 
 		Events:   n.limiter,
-		Requests: n.requests,
+		Requests: n.requestLog,
 	})
 }
 
@@ -223,8 +223,8 @@
 	heapPercent = 60
 )
 
-// boundMemory keeps the process below the memory that it may use.
-func boundMemory(megabytes int64) {
+// setMemoryLimit keeps the process below the memory that it may use.
+func setMemoryLimit(megabytes int64) {
 	if megabytes > 0 {
 		debug.SetMemoryLimit(megabytes * megabyte * heapPercent / 100)
 	}
@@ -240,14 +240,14 @@
 		config.Log.Emit(events.NodeFailed, events.Fields{"error": err.Error()})
 		return trace.Wrap(err)
 	}
-	boundMemory(config.Settings.Process.Memory)
-	working, stop := context.WithCancel(context.WithoutCancel(ctx))
+	setMemoryLimit(config.Settings.Process.Memory)
+	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group conc.WaitGroup
-	n.start(working, &group)
+	n.start(serving, &group)
 	config.Log.Emit(events.NodeStarted, events.Fields{"service": config.Settings.Node.Service, "incarnation": n.loop.Snapshot().Self.Incarnation})
 	<-ctx.Done()
-	n.drain(working)
+	n.drain(serving)
 	stop()
 	n.listeners.close()
 	n.pool.Close()
@@ -260,51 +260,51 @@
 	group.Go(func() { n.loop.Run(ctx) })
 	group.Go(func() { n.members.Run(ctx) })
 	group.Go(func() { n.routes.run(ctx) })
-	group.Go(func() { n.gate.Run(ctx, parts.GateTick) })
-	group.Go(func() { n.local.Watch(ctx) })
+	group.Go(func() { n.gate.Run(ctx, parts.GatePollInterval) })
+	group.Go(func() { n.localServer.Watch(ctx) })
 	group.Go(func() { n.quarantine.Run(ctx) })
-	group.Go(func() { n.reach.Run(ctx) })
+	group.Go(func() { n.reachability.Run(ctx) })
 	group.Go(func() { n.servePeers(ctx) })
 	n.callerServer = n.newCallerServer()
 	group.Go(func() { n.serveCallers(ctx) })
-	group.Go(func() { serveHTTP(ctx, n.newServer(n.backendRouter(ctx)), n.listeners.backend) })
-	group.Go(func() { serveHTTP(ctx, n.newServer(n.readyRouter()), n.listeners.ready) })
+	group.Go(func() { serveHTTP(ctx, n.newHTTPServer(n.backendRouter(ctx)), n.listeners.backend) })
+	group.Go(func() { serveHTTP(ctx, n.newHTTPServer(n.readyRouter()), n.listeners.ready) })
 	if n.listeners.metrics != nil {
-		group.Go(func() { serveHTTP(ctx, n.newServer(n.stateRouter()), n.listeners.metrics) })
+		group.Go(func() { serveHTTP(ctx, n.newHTTPServer(n.stateRouter()), n.listeners.metrics) })
 	}
 }
 
-func (n *Node) callers() http.Handler {
-	return caller.NewRouted(caller.RoutedConfig{
+func (n *Node) callerHandler() http.Handler {
+	return caller.NewRoutedHandler(caller.RoutedHandlerConfig{
 		Board:    n.loop,
 		Sender:   n.sender,
 		Chains:   n.chains,
 		Headers:  n.config.Adapter.CallerHeaders,
 		Service:  n.config.Settings.Node.Service,
 		MaxBody:  n.config.Settings.Caller.MaxBody,
-		Answered: n.answered,
-		Rejected: n.rejected,
+		Answered: n.recordReply,
+		Rejected: n.logRejected,
 	})
 }
 
 func (n *Node) backendRouter(ctx context.Context) *httprouter.Router {
 	router := httprouter.New()
-	n.config.Adapter.RegisterAnnouncements(router, Announcements{
-		Announced:   func(a backend.Announcement) { n.local.Announced(ctx, a) },
-		Left:        func(instance string) { n.local.Left(ctx, instance) },
-		Connections: n.connections,
-		Rejected:    n.rejectedAnnouncement,
+	n.config.Adapter.RegisterAnnouncements(router, AnnouncementHandlers{
+		Announced:      func(a backend.Announcement) { n.localServer.HandleAnnouncement(ctx, a) },
+		Departed:       func(instance string) { n.localServer.HandleDeparture(ctx, instance) },
+		MaxConnections: n.maxConnections,
+		Rejected:       n.logRejectedAnnouncement,
 	})
 	return router
 }
 
-// connections returns how many connections a backend server of the service takes.
-func (n *Node) connections(service string) int {
+// maxConnections returns how many connections a backend server of the service takes.
+func (n *Node) maxConnections(service string) int {
 	table := n.loop.Snapshot().Routes
 	if table == nil {
 		return 0
 	}
-	return table.Connections(service)
+	return table.MaxConnections(service)
 }
 
 func (n *Node) readyRouter() *httprouter.Router {
--- a/internal/process/routed/routed_test.go
+++ b/internal/process/routed/routed_test.go
@@ -22,7 +22,7 @@
 	f := newFleet(t, twoServices(1))
 	crew := f.add(t, "zone_1", "crew", hello)
 	f.add(t, "zone_1", "bookings", hello)
-	f.settle(t)
+	f.waitReady(t)
 	client := &http.Client{}
 	is.Equal(crew.call(t, client, "GET", "sheets.example", "/a").body, "hello /a from crew to i_node_1 at sheets.example")
 	is.Equal(crew.call(t, client, "POST", "deposits.example", "/b").body, "hello /b from crew to i_node_2 at deposits.example")
@@ -35,7 +35,7 @@
 	crew := f.add(t, "zone_1", "crew", hello)
 	first := f.add(t, "zone_1", "bookings", hello)
 	f.add(t, "zone_1", "bookings", hello)
-	f.settle(t)
+	f.waitReady(t)
 	client := &http.Client{}
 	first.heartbeat(true) // returns when the node goes by it
 	for range 20 {
@@ -49,7 +49,7 @@
 	f := newFleet(t, twoServices(1))
 	crew := f.add(t, "zone_1", "crew", hello)
 	f.add(t, "zone_1", "bookings", hello)
-	f.settle(t)
+	f.waitReady(t)
 	f.store.SetFaults(kv.Faults{RefuseNodes: map[string]bool{"node_2": true}})
 	f.store.Revoke("members/node_2")
 	time.Sleep(time.Second)
@@ -66,7 +66,7 @@
 	f := newFleet(t, twoServices(1))
 	crew := f.add(t, "zone_1", "crew", hello)
 	f.add(t, "zone_1", "bookings", hello)
-	f.settle(t)
+	f.waitReady(t)
 	is.True(crew.ready())
 	crew.stop()
 	time.Sleep(100 * time.Millisecond)
@@ -97,7 +97,7 @@
 		time.Sleep(30 * time.Millisecond)
 		hello(w, r)
 	})
-	f.settle(t)
+	f.waitReady(t)
 	only.stop()
 	begin := time.Now()
 	client := &http.Client{}
@@ -121,7 +121,7 @@
 func TestCallsOfALeavingNodeGoThrough(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, twoServices(1))
-	var leaving *member
+	var leaving *testNode
 	var ran atomic.Int64
 	client := &http.Client{}
 	leaving = f.add(t, "zone_1", "crew", func(w http.ResponseWriter, r *http.Request) {
@@ -135,7 +135,7 @@
 		}
 	})
 	entry := f.add(t, "zone_1", "bookings", hello)
-	f.settle(t)
+	f.waitReady(t)
 	for range 10 { // until the calls are known as such
 		is.Equal(entry.call(t, client, "GET", "sheets.example", "/a").status, http.StatusOK)
 	}
@@ -156,7 +156,7 @@
 	is := is.New(t)
 	f := newFleet(t, twoServices(1))
 	crew := f.add(t, "zone_1", "crew", hello)
-	f.settle(t)
+	f.waitReady(t)
 	begin := time.Now()
 	got := crew.call(t, &http.Client{}, "POST", "deposits.example", "/b")
 	is.Equal(got.status, http.StatusServiceUnavailable)
--- a/internal/process/routed/serve.go
+++ b/internal/process/routed/serve.go
@@ -20,33 +20,33 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// work counts what is in flight from callers and from other nodes.
-type work struct {
-	calls   atomic.Int64
-	rpcs    atomic.Int64
-	closing atomic.Bool
+// trafficState counts what is in flight from callers and from other nodes.
+type trafficState struct {
+	callerRequests atomic.Int64
+	peerRequests   atomic.Int64
+	closing        atomic.Bool
 }
 
-// countCalls counts the requests of callers.
-func (w *work) countCalls(next http.Handler) http.Handler {
+// countRequests counts the requests of callers.
+func (s *trafficState) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		w.calls.Add(1)
-		defer w.calls.Add(-1)
+		s.callerRequests.Add(1)
+		defer s.callerRequests.Add(-1)
 		next.ServeHTTP(rw, r)
 	})
 }
 
 const (
-	// leaveTime is how long callers may still come after the node began to leave: those who look whether it is ready
+	// acceptTime is how long callers may still come after the node began to leave: those who look whether it is ready
 	// look each second, and go away after two misses. What comes last has to end before the process is killed.
-	leaveTime = 2600 * time.Millisecond
-	// callsTime is how long a backend server whose requests make calls gets work after the node began to leave. Their
+	acceptTime = 2600 * time.Millisecond
+	// backendWorkTime is how long a backend server whose requests make calls gets work after the node began to leave. Their
 	// calls need this node, and have the rest of leaveTime.
-	callsTime = 1100 * time.Millisecond
-	// quietTime is how long nothing may be in flight before the next step.
-	quietTime = 200 * time.Millisecond
-	// lastAnswersTimeout bounds the time for the last answers to callers.
-	lastAnswersTimeout = 1900 * time.Millisecond
+	backendWorkTime = 1100 * time.Millisecond
+	// quietPeriod is how long nothing may be in flight before the next step.
+	quietPeriod = 200 * time.Millisecond
+	// lastResponsesTimeout bounds the time for the last answers to callers.
+	lastResponsesTimeout = 1900 * time.Millisecond
 	// drainTimeout bounds the whole of it, below the time after which a process is killed.
 	drainTimeout = 5100 * time.Millisecond
 )
@@ -57,47 +57,47 @@
 	n.config.Log.Emit(events.DrainStarted, nil)
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	n.work.closing.Store(true)
+	n.traffic.closing.Store(true)
 	n.loop.Do(ctx, func(b *board.Board) { b.Self.Draining = true })
-	pause.For(ctx, callsTime)
+	pause.For(ctx, backendWorkTime)
 	if n.receiver.MakesCalls() {
-		n.leave(ctx)
+		n.withdrawBackend(ctx)
 	}
-	pause.For(ctx, leaveTime-callsTime)
-	n.waitCallersGone(ctx)
-	n.leave(ctx)
-	waitQuiet(ctx, func() bool { return n.work.calls.Load() == 0 && n.work.rpcs.Load() == 0 })
-	n.config.Log.Emit(events.DrainFinished, events.Fields{"calls": n.work.calls.Load(), "rpcs": n.work.rpcs.Load()})
+	pause.For(ctx, acceptTime-backendWorkTime)
+	n.stopAcceptingCallers(ctx)
+	n.withdrawBackend(ctx)
+	waitQuiet(ctx, func() bool { return n.traffic.callerRequests.Load() == 0 && n.traffic.peerRequests.Load() == 0 })
+	n.config.Log.Emit(events.DrainFinished, events.Fields{"calls": n.traffic.callerRequests.Load(), "rpcs": n.traffic.peerRequests.Load()})
 }
 
-// leave takes the backend server out of use.
-func (n *Node) leave(ctx context.Context) {
+// withdrawBackend takes the backend server out of use.
+func (n *Node) withdrawBackend(ctx context.Context) {
 	n.loop.Do(ctx, func(b *board.Board) { b.Self.Leaving = true })
 }
 
-// waitCallersGone takes no more callers in, and waits for the last answers.
-func (n *Node) waitCallersGone(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, lastAnswersTimeout)
+// stopAcceptingCallers takes no more callers in, and waits for the last answers.
+func (n *Node) stopAcceptingCallers(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, lastResponsesTimeout)
 	defer cancel()
 	_ = n.listeners.caller.Close()
 	n.callerServer.CloseIdle()
-	waitQuiet(ctx, func() bool { return n.work.calls.Load() == 0 })
+	waitQuiet(ctx, func() bool { return n.traffic.callerRequests.Load() == 0 })
 }
 
 // waitQuiet returns when nothing was in flight for quietTime, or when the context ends.
 func waitQuiet(ctx context.Context, isIdle func() bool) {
-	quiet := time.Now()
-	for ctx.Err() == nil && time.Since(quiet) < quietTime {
+	lastActive := time.Now()
+	for ctx.Err() == nil && time.Since(lastActive) < quietPeriod {
 		if !isIdle() {
-			quiet = time.Now()
+			lastActive = time.Now()
 		}
-		pause.For(ctx, parts.GateTick)
+		pause.For(ctx, parts.GatePollInterval)
 	}
 }
 
 func (n *Node) servePeers(ctx context.Context) {
 	mux := drpcmux.New()
-	err := peerpb.DRPCRegisterPeer(mux, peer.NewServer(n.fenced, n.fenced, n.fenced))
+	err := peerpb.DRPCRegisterPeer(mux, peer.NewServer(n.fencedRunner, n.fencedRunner, n.fencedRunner))
 	if err == nil {
 		err = peerpb.DRPCRegisterQuarantine(mux, peer.NewQuarantineServer(n.quarantine))
 	}
@@ -105,7 +105,7 @@
 		n.config.Log.Emit(events.NodeFailed, events.Fields{"error": err.Error()})
 		return
 	}
-	handler := peer.NewHandler(parts.CountRPCs(&n.work.rpcs, mux), n.packer)
+	handler := peer.NewHandler(parts.CountRPCs(&n.traffic.peerRequests, mux), n.compressor)
 	server := drpcserver.NewWithOptions(handler, parts.PeerServerOptions(n.config.Settings, n.limiter))
 	_ = server.Serve(ctx, n.listeners.peer)
 }
@@ -126,23 +126,23 @@
 	writeTimeout = 5 * time.Second
 	// maxPending is how many requests of one connection of a caller are worked on at once.
 	maxPending = 16
-	// maxHeader is in bytes.
-	maxHeader = 64 << 10
+	// maxHeaderBytes is in bytes.
+	maxHeaderBytes = 64 << 10
 )
 
 // newCallerServer returns the server of callers.
 func (n *Node) newCallerServer() *caller.Server {
 	s := n.config.Settings.Caller
 	return caller.NewServer(caller.ServerConfig{
-		Handler:       n.work.countCalls(n.callers()),
+		Handler:       n.traffic.countRequests(n.callerHandler()),
 		HeaderTimeout: s.HeaderTimeout,
 		BodyTimeout:   s.BodyTimeout,
 		IdleTimeout:   idleTimeout,
 		WriteTimeout:  writeTimeout,
-		MaxHeader:     maxHeader,
+		MaxHeader:     maxHeaderBytes,
 		MaxBody:       s.MaxBody,
 		MaxPending:    maxPending,
-		Closing:       n.work.closing.Load,
+		IsClosing:     n.traffic.closing.Load,
 		Failed: func(remote string, err error) {
 			n.limiter.Emit(time.Now(), events.HTTPFailed, events.Fields{"remote": remote, "error": err.Error()})
 		},
@@ -160,30 +160,30 @@
 	<-ctx.Done()
 }
 
-// newServer returns a server that is not started.
-func (n *Node) newServer(handler http.Handler) *http.Server {
+// newHTTPServer returns a server that is not started.
+func (n *Node) newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: n.config.Settings.Caller.HeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		ErrorLog:          parts.HTTPLog(n.limiter),
+		ErrorLog:          parts.NewHTTPLogger(n.limiter),
 	}
 }
 
-// rejected logs a malformed request of a caller.
-func (n *Node) rejected(r *http.Request, reason call.Reason, text string) {
+// logRejected logs a malformed request of a caller.
+func (n *Node) logRejected(r *http.Request, reason call.Reason, text string) {
 	n.limiter.Emit(time.Now(), events.CallerRejected, events.Fields{
 		"remote": r.RemoteAddr, "reason": string(reason), "text": text,
 	})
 }
 
-func (n *Node) rejectedAnnouncement(instance, fault string) {
+func (n *Node) logRejectedAnnouncement(instance, fault string) {
 	n.limiter.Emit(time.Now(), events.CallerRejected, events.Fields{"instance": instance, "text": fault})
 }
 
-// answered counts a request of a caller, and logs one that got no answer of a backend server.
-func (n *Node) answered(r *call.Request, reply *call.Reply, took time.Duration) {
-	n.meters.note(r.Kind, reply, took)
+// recordReply counts a request of a caller, and logs one that got no answer of a backend server.
+func (n *Node) recordReply(r *call.Request, reply *call.Reply, latency time.Duration) {
+	n.requestStats.record(r.Kind, reply, latency)
 	if reply.Outcome == call.Ran {
 		return
 	}
@@ -192,7 +192,7 @@
 		number = events.RequestFailed
 	}
 	b := n.loop.Snapshot()
-	n.requests.Emit(time.Now(), number, events.Fields{
+	n.requestLog.Emit(time.Now(), number, events.Fields{
 		"request":        r.Root.ID,
 		"kind":           r.Kind,
 		"service":        r.Service,
@@ -201,7 +201,7 @@
 		"outcome":        reply.Outcome.String(),
 		"reason":         string(reply.Reason),
 		"retry_after_ms": reply.RetryAfter.Milliseconds(),
-		"took_ms":        took.Milliseconds(),
+		"took_ms":        latency.Milliseconds(),
 		"routes_version": b.Routes.Version,
 		"instances":      len(b.Members.ByService[r.Service]),
 	})
--- a/internal/process/routed/state.go
+++ b/internal/process/routed/state.go
@@ -26,7 +26,7 @@
 }
 
 func (n *Node) dump() parts.State {
-	state := parts.Stateful{
+	state := parts.StateSources{
 		Loop: n.loop, Gate: n.gate, Receiver: n.receiver, Sender: n.sender, Pool: n.pool, Quarantine: n.quarantine,
 	}
 	return state.State()
@@ -34,13 +34,13 @@
 
 // Metrics are the counters of a node since its start, and the latencies of the requests of its callers.
 type Metrics struct {
-	Members           int                `json:"members"`
-	RoutesVersion     uint64             `json:"routes_version"`
-	PlatformReachable bool               `json:"platform_reachable"`
-	Load              call.Load          `json:"load"`
-	Admission         admission.Totals   `json:"admission"`
-	Receiver          flow.ReceiverStats `json:"receiver"`
-	Requests          map[string]Meter   `json:"requests"`
+	Members           int                  `json:"members"`
+	RoutesVersion     uint64               `json:"routes_version"`
+	PlatformReachable bool                 `json:"platform_reachable"`
+	Load              call.Load            `json:"load"`
+	Admission         admission.Totals     `json:"admission"`
+	Receiver          flow.ReceiverStats   `json:"receiver"`
+	Requests          map[string]KindStats `json:"requests"`
 }
 
 func (n *Node) metrics() Metrics {
@@ -51,7 +51,7 @@
 		Load:              n.gate.Load(),
 		Admission:         n.gate.Totals(),
 		Receiver:          n.receiver.Stats(),
-		Requests:          n.meters.read(),
+		Requests:          n.requestStats.snapshot(),
 	}
 	if b.Routes != nil {
 		m.RoutesVersion = b.Routes.Version
--- a/internal/process/terminal/terminal.go
+++ b/internal/process/terminal/terminal.go
@@ -17,8 +17,8 @@
 	"github.com/gravitational/trace"
 )
 
-// columnGap is the least number of spaces between columns.
-const columnGap = 2
+// columnPadding is the least number of spaces between columns.
+const columnPadding = 2
 
 // Table prints rows in columns as wide as their widest cells.
 type Table struct {
@@ -28,7 +28,7 @@
 
 // NewTable returns a table that is printed to w, with the headings as its first row; none for no such row.
 func NewTable(w io.Writer, headings ...any) *Table {
-	t := &Table{writer: tabwriter.NewWriter(w, 0, 0, columnGap, ' ', 0)}
+	t := &Table{writer: tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)}
 	if len(headings) > 0 {
 		t.Row(headings...)
 	}
--- a/internal/proof/admission/admission_test.go
+++ b/internal/proof/admission/admission_test.go
@@ -123,7 +123,7 @@
 	t.Helper()
 	for _, r := range results {
 		if r.Stream == stream && !r.OK() {
-			t.Logf("%s at %s: %s %s after %s", stream, r.Sent, r.Outcome, r.Reason, r.Took)
+			t.Logf("%s at %s: %s %s after %s", stream, r.Sent, r.Outcome, r.Reason, r.Latency)
 		}
 	}
 }
@@ -212,7 +212,7 @@
 		if err != nil || seconds < 1 {
 			is.Equal(r.RetryAfter+" for "+r.Reason, "a number of seconds")
 		}
-		is.True(r.Took < time.Second) // half of what the callers wait for
+		is.True(r.Latency < time.Second) // half of what the callers wait for
 	}
 	is.True(refused > 0)
 }
@@ -230,7 +230,7 @@
 	)
 	d := venue()
 	d.Services[0].Slots = 30 // a call of the deep service takes as long again
-	d.Services[0].Behaviour.Calls = []server.Downstream{{Service: "deep", Method: http.MethodGet, Path: "/lookups/x"}}
+	d.Services[0].Behaviour.Calls = []server.DownstreamCall{{Service: "deep", Method: http.MethodGet, Path: "/lookups/x"}}
 	deep := d.Services[0]
 	deep.Slots = 10
 	deep.Name, deep.Document, deep.Behaviour.Calls = "deep", strings.Replace(document, "venue", "deep", 1), nil
--- a/internal/proof/control/document_test.go
+++ b/internal/proof/control/document_test.go
@@ -62,10 +62,10 @@
 		harness.Eventually(t, inForceWithin, func() bool { return agree(t, f.Nodes, "lost-answer") })
 	})
 
-	t.Run("restored and lagging platform", func(t *testing.T) { testRestored(t, f, f.Store.Save, 400) })
+	t.Run("restored and lagging platform", func(t *testing.T) { testRestored(t, f, f.Store.Snapshot, 400) })
 
 	t.Run("restored platform whose revisions went on", func(t *testing.T) {
-		later := func() store.Content { return f.Store.Save().RestoredLater(writesSince) }
+		later := func() store.Snapshot { return f.Store.Snapshot().WithAdvancedRevision(writesSince) }
 		testRestored(t, f, later, 500)
 	})
 
@@ -84,7 +84,7 @@
 
 // testRestored puts the platform back to older content, and lets its reads lag, while a watch on all nodes looks for
 // one that takes the older document back. Save returns the content that is put back; edit tells the documents apart.
-func testRestored(t *testing.T, f *fleet.Fleet, save func() store.Content, edit int) {
+func testRestored(t *testing.T, f *fleet.Fleet, save func() store.Snapshot, edit int) {
 	is := is.New(t)
 	older := save()
 	stored := put(t, f.Nodes[2], edit)
--- a/internal/proof/control/editor_test.go
+++ b/internal/proof/control/editor_test.go
@@ -23,7 +23,7 @@
 	deployment.Services[0].Instances = 1
 	var log strings.Builder
 	tokens := "*:" + fleet.OperatorToken + ",access-team:" + teamToken + "," + editor + ":" + anaToken
-	f := harness.StartKilled(t, fleet.Config{Deployment: deployment, Output: &log, Settings: []string{"-operator.tokens", tokens, "-log.level", "debug"}})
+	f := harness.StartKilled(t, fleet.Config{Deployment: deployment, Output: &log, ExtraFlags: []string{"-operator.tokens", tokens, "-log.level", "debug"}})
 	n := f.Nodes[0]
 
 	ana := operator.NewClient(operator.ClientConfig{Address: n.Operator, Token: anaToken, Timeout: 10 * time.Second})
--- a/internal/proof/control/main_test.go
+++ b/internal/proof/control/main_test.go
@@ -136,7 +136,7 @@
 func takesWork(t *testing.T, nodes []*fleet.Node, member *fleet.Node) bool {
 	return slices.ContainsFunc(nodes, func(n *fleet.Node) bool {
 		d, ok := dump(t, n)
-		return !ok || d.Board.Members.TakesWork(member.Service, member.Name)
+		return !ok || d.Board.Members.AcceptsRequests(member.Service, member.Name)
 	})
 }
 
@@ -144,7 +144,7 @@
 func everyoneTakesWork(t *testing.T, nodes []*fleet.Node) bool {
 	for _, n := range nodes {
 		d, ok := dump(t, n)
-		if !ok || d.Board.Members.TakingWork() != len(nodes) {
+		if !ok || d.Board.Members.CountAcceptingRequests() != len(nodes) {
 			return false
 		}
 	}
--- a/internal/proof/control/outage_test.go
+++ b/internal/proof/control/outage_test.go
@@ -108,7 +108,7 @@
 	inside, outside := inZone(f, "lisbon_1")
 	led := settledLeader(t, inside)
 	restarted := without(inside, led)[0]
-	f.Network.SetBoth(names(inside), append(names(outside), fleet.PlatformEnd), proxy.Fault{Cut: true})
+	f.Network.SetBoth(names(inside), append(names(outside), fleet.PlatformEndpoint), proxy.Fault{Cut: true})
 
 	stored := put(t, outside[0], 700)
 	harness.Eventually(t, inForceWithin, func() bool { return agree(t, outside, stored.Operation) })
@@ -136,7 +136,7 @@
 	inside, outside := inZone(f, "lisbon_3")
 	led := settledLeader(t, inside)
 	// What the leader sends to the platform arrives; the answers do not.
-	f.Network.Set(fleet.PlatformEnd, led.Name, proxy.Fault{Cut: true})
+	f.Network.Set(fleet.PlatformEndpoint, led.Name, proxy.Fault{Cut: true})
 	harness.Eventually(t, leadWithin, func() bool {
 		now := leader(t, inside)
 		return now != nil && now != led
@@ -181,7 +181,7 @@
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	joining.Append("-peer.seeds", seed.Peer, "-node.name", "newcomer", "-peer.address", address, "-peer.advertised", address)
+	joining.AppendFlags("-peer.seeds", seed.Peer, "-node.name", "newcomer", "-peer.address", address, "-peer.advertised", address)
 	if err := joining.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proof/control/session_test.go
+++ b/internal/proof/control/session_test.go
@@ -87,7 +87,7 @@
 	deployment.Services = deployment.Services[1:]
 	deployment.Services[0].Instances = 1
 	tokens := "*:" + fleet.OperatorToken + ",access-team:" + teamToken + ",bookings-team:" + otherToken
-	f := harness.StartKilled(t, fleet.Config{Deployment: deployment, Settings: []string{"-operator.tokens", tokens}})
+	f := harness.StartKilled(t, fleet.Config{Deployment: deployment, ExtraFlags: []string{"-operator.tokens", tokens}})
 	s := &session{t: t, node: f.Nodes[0]}
 	const path = "/v1/documents/access"
 	faulty := strings.NewReplacer("rank = 2", "rank = 12", "idempotent = true", "idempotent = perhaps").Replace(string(document(900)))
--- a/internal/proof/once/outcome_test.go
+++ b/internal/proof/once/outcome_test.go
@@ -16,7 +16,7 @@
 )
 
 func book(n *fleet.Node, key, body string) once.Send {
-	return once.Post(http.DefaultClient, once.Order{
+	return once.SendRequest(http.DefaultClient, once.Request{
 		Target: n.Caller, Service: "bookings", Method: http.MethodPost, Path: "/bookings", Key: key, Body: body,
 	})
 }
@@ -41,7 +41,7 @@
 	zones := once.Deployment(len(f.Nodes)).Zones
 	for {
 		key := uuid.Must(uuid.NewV7()).String()
-		shard := dump.Board.Homes.Shards[outcome.ShardOf(zones, key)]
+		shard := dump.Board.KeyOwners.Shards[outcome.ShardOf(zones, key)]
 		if home, ok := shard.Owner("bookings", key, time.Now().UnixMilli()); ok && home.Name != n.Name {
 			return key, home.Name
 		}
--- a/internal/proof/once/renewal_test.go
+++ b/internal/proof/once/renewal_test.go
@@ -69,7 +69,7 @@
 	others := []string{f.Nodes[0].Name, f.Nodes[1].Name}
 	f.Network.SetBoth(alone, others, proxy.Fault{Cut: true})
 	defer f.Network.SetBoth(alone, others, proxy.Fault{})
-	time.Sleep(homes.DefaultTiming.Horizon + homes.DefaultTiming.TakeOver + 3*time.Second)
+	time.Sleep(homes.DefaultTiming.Horizon + homes.DefaultTiming.TakeoverDelay + 3*time.Second)
 	shards, _ := stored(t, f)
 	for name, s := range shards {
 		is.Equal(s.Last().Zone, name)
--- a/internal/proof/once/roll_test.go
+++ b/internal/proof/once/roll_test.go
@@ -24,15 +24,15 @@
 	}
 	for _, n := range f.Nodes {
 		dump, err := fleet.FetchDump(t.Context(), n.Backend)
-		if err != nil || dump.Board.Members.TakingWork() != len(f.Nodes) {
+		if err != nil || dump.Board.Members.CountAcceptingRequests() != len(f.Nodes) {
 			return false
 		}
-		for _, s := range dump.Board.Homes.Shards {
+		for _, s := range dump.Board.KeyOwners.Shards {
 			if s.Last().Until < time.Now().UnixMilli() {
 				return false
 			}
 		}
-		if len(dump.Board.Homes.Shards) < len(zones) {
+		if len(dump.Board.KeyOwners.Shards) < len(zones) {
 			return false
 		}
 	}
@@ -52,7 +52,7 @@
 	bookings := &d.Services[0]
 	bookings.Slots = 20
 	bookings.Behaviour.ServiceTime = 50 * time.Millisecond
-	bookings.Behaviour.Calls = []server.Downstream{
+	bookings.Behaviour.Calls = []server.DownstreamCall{
 		{Service: "access", Method: http.MethodGet, Path: "/windows"},
 		{Service: "deposits", Method: http.MethodPost, Path: "/bookings"},
 	}
@@ -98,7 +98,7 @@
 	var report once.Report
 	var group conc.WaitGroup
 	group.Go(func() {
-		report = once.Run(running, once.Config{Fleet: f, Service: "bookings", Duration: time.Minute, Callers: 6, Calm: true, Polite: true})
+		report = once.Run(running, once.Config{Fleet: f, Service: "bookings", Duration: time.Minute, Callers: 6, NoFaults: true, SingleSend: true})
 	})
 	for _, round := range r.rounds {
 		var replaced conc.WaitGroup
--- a/internal/proof/once/stop_test.go
+++ b/internal/proof/once/stop_test.go
@@ -59,7 +59,7 @@
 	var report once.Report
 	var group conc.WaitGroup
 	group.Go(func() {
-		report = once.Run(running, once.Config{Fleet: f, Service: "bookings", Duration: time.Minute, Callers: stopCallers, Calm: true, Polite: true})
+		report = once.Run(running, once.Config{Fleet: f, Service: "bookings", Duration: time.Minute, Callers: stopCallers, NoFaults: true, SingleSend: true})
 	})
 	leaving := f.Nodes
 	for name, begin := range stops {
--- a/internal/proof/once/zone_test.go
+++ b/internal/proof/once/zone_test.go
@@ -35,7 +35,7 @@
 	var report once.Report
 	var group conc.WaitGroup
 	group.Go(func() {
-		report = once.Run(t.Context(), once.Config{Fleet: f, Service: "bookings", Duration: cutFor, Seed: 5, Callers: 6, Polite: true, Outage: once.ZoneOutage})
+		report = once.Run(t.Context(), once.Config{Fleet: f, Service: "bookings", Duration: cutFor, Seed: 5, Callers: 6, SingleSend: true, Outage: once.ZoneOutage})
 	})
 	time.Sleep(cutFor / 2)
 	sendNamed(t, f)
@@ -43,22 +43,22 @@
 	for _, v := range report.Violations {
 		t.Error(v)
 	}
-	for name, s := range report.Shares {
+	for name, s := range report.FirstSends {
 		t.Logf("%s: %+v", name, s)
 		is.True(s.Sent > 0)
 		is.True(s.SlowestRefusal < atOnce)
 	}
 	inside := f.Nodes[0].Zone
-	minted := report.Shares[string(once.Minted)+" "+inside]
+	minted := report.FirstSends[string(once.Minted)+" "+inside]
 	is.True(minted.Sent-minted.Ran <= failuresToEject(f, inside))
 	for _, kind := range []once.KeyKind{once.Timed, once.Opaque} {
-		s := report.Shares[string(kind)+" "+inside]
+		s := report.FirstSends[string(kind)+" "+inside]
 		is.Equal(s.Ran+s.Refused, s.Sent)
 	}
 	for _, zone := range deployment.Zones[1:] {
 		is.True(lost(report, once.Minted, zone) <= lostElsewhere)
 		is.True(lost(report, once.Timed, zone) <= lostElsewhere)
-		s := report.Shares[string(once.Opaque)+" "+zone]
+		s := report.FirstSends[string(once.Opaque)+" "+zone]
 		is.Equal(s.Ran+s.Refused, s.Sent)
 		is.True(s.Ran > 0)
 	}
@@ -92,7 +92,7 @@
 
 // lost is the part of the first sends in the zone that did not run.
 func lost(report once.Report, kind once.KeyKind, zone string) float64 {
-	s := report.Shares[string(kind)+" "+zone]
+	s := report.FirstSends[string(kind)+" "+zone]
 	return float64(s.Sent-s.Ran) / float64(s.Sent)
 }
 
--- a/internal/proof/recovery/recovery_test.go
+++ b/internal/proof/recovery/recovery_test.go
@@ -74,7 +74,7 @@
 	first.Name, first.Document, first.Slots = front, document(front), 40
 	second.Name, second.Document, second.Slots = deep, document(deep), 10
 	for _, path := range []string{"/sheets/", "/lookups/", "/archive/"} {
-		call := server.Downstream{Service: deep, Method: http.MethodGet, Path: path + "x", Prefix: path}
+		call := server.DownstreamCall{Service: deep, Method: http.MethodGet, Path: path + "x", Prefix: path}
 		first.Behaviour.Calls = append(first.Behaviour.Calls, call)
 	}
 	return fleet.Deployment{Zones: []string{"lisbon_1", "lisbon_2"}, Services: []fleet.Service{first, second}}
--- a/internal/proof/routing/chain_test.go
+++ b/internal/proof/routing/chain_test.go
@@ -34,7 +34,7 @@
 		name := levelName(level)
 		b := server.Behaviour{ServiceTime: serviceTime, Queue: 10}
 		if level+1 < levels {
-			b.Calls = []server.Downstream{{Service: levelName(level + 1), Method: http.MethodGet, Path: "/look"}}
+			b.Calls = []server.DownstreamCall{{Service: levelName(level + 1), Method: http.MethodGet, Path: "/look"}}
 		}
 		d.Services = append(d.Services, fleet.Service{
 			Name:        name,
--- a/internal/proof/routing/early_test.go
+++ b/internal/proof/routing/early_test.go
@@ -31,7 +31,7 @@
 				Behaviour: server.Behaviour{
 					ServiceTime: 5 * time.Millisecond,
 					Queue:       100,
-					Calls:       []server.Downstream{{Service: "level1", Method: http.MethodGet, Path: "/look"}},
+					Calls:       []server.DownstreamCall{{Service: "level1", Method: http.MethodGet, Path: "/look"}},
 				},
 			},
 			{
--- a/internal/proof/routing/lost_test.go
+++ b/internal/proof/routing/lost_test.go
@@ -78,7 +78,7 @@
 		if err != nil {
 			t.Fatalf("dump of %s: %v", n.Name, err)
 		}
-		if dump.Board.Members.TakesWork(lost.Service, lost.Name) != takesWork {
+		if dump.Board.Members.AcceptsRequests(lost.Service, lost.Name) != takesWork {
 			return false
 		}
 	}
--- a/internal/proof/routing/silent_test.go
+++ b/internal/proof/routing/silent_test.go
@@ -63,14 +63,14 @@
 		if r.Stream != calm.Name {
 			continue
 		}
-		slowest = max(slowest, r.Took)
+		slowest = max(slowest, r.Latency)
 		if !r.OK() {
 			failed++
 		}
-		if r.Took > 250*time.Millisecond {
+		if r.Latency > 250*time.Millisecond {
 			delayed++
 		}
-		if r.Sent > silence+aftermath && r.Took > silentBound {
+		if r.Sent > silence+aftermath && r.Latency > silentBound {
 			late++
 		}
 	}
--- a/internal/proof/routing/uneven_test.go
+++ b/internal/proof/routing/uneven_test.go
@@ -80,7 +80,7 @@
 	f := harness.Start(t, fleet.Config{Deployment: plain(3)})
 	failing, slow, good := f.Nodes[0], f.Nodes[1], f.Nodes[2]
 	idle, full := &server.Load{Slots: unevenSlots}, &server.Load{Slots: unevenSlots, Busy: unevenSlots, Waiting: unevenSlots}
-	for n, e := range map[*fleet.Node]server.Endpoints{
+	for n, e := range map[*fleet.Node]server.EndpointFaults{
 		failing: {Health: server.Healthy, Load: idle},
 		slow:    {Health: server.Healthy, Load: idle},
 		good:    {Health: server.Failing, Load: full},
@@ -113,7 +113,7 @@
 	is.True(10*failed < len(results)) // an equal part would be a third
 	for _, n := range f.Nodes {
 		is.Equal(n.Server.Report().Shed, 0)
-		is.Equal(n.Server.Report().Asked, 0)
+		is.Equal(n.Server.Report().EndpointQueries, 0)
 	}
 	var health server.Health
 	ask(t, failing, server.HealthPath, &health)
--- a/internal/proof/shell/answers_test.go
+++ b/internal/proof/shell/answers_test.go
@@ -37,8 +37,8 @@
 // linkFaults are what can happen to the bytes between two nodes.
 var linkFaults = map[string]proxy.Fault{
 	"none":      {},
-	"late":      {Delay: 5 * time.Millisecond, Spread: 60 * time.Millisecond},
-	"crossed":   {Cross: true},
+	"late":      {Delay: 5 * time.Millisecond, Jitter: 60 * time.Millisecond},
+	"crossed":   {SwapChunks: true},
 	"doubled":   {Duplicate: true},
 	"truncated": {TruncateAfter: 20 << 10},
 	"corrupted": {Corrupt: true},
--- a/internal/proof/shell/damage_test.go
+++ b/internal/proof/shell/damage_test.go
@@ -46,7 +46,7 @@
 	for _, direction := range [][2]string{{"access_0", "bookings_0"}, {"bookings_0", "access_0"}} {
 		t.Run(direction[0]+" to "+direction[1], func(t *testing.T) {
 			f.Network.Clear()
-			f.Network.Set(direction[0], direction[1], proxy.Fault{Scatter: true})
+			f.Network.Set(direction[0], direction[1], proxy.Fault{CorruptRandomly: true})
 			answers := make([]answer, damagedRequests)
 			for i := range answers {
 				answers[i] = answer{id: fmt.Sprintf("%s-%d", direction[0], i), path: bookingPath, deadline: damagedDeadline, body: bytes.Repeat([]byte("x"), i%longestSmallBody)}
--- a/internal/proof/shell/input_test.go
+++ b/internal/proof/shell/input_test.go
@@ -23,7 +23,7 @@
 	f := harness.StartKilled(t, fleet.Config{
 		Deployment: deployment(1),
 		Output:     l,
-		Settings:   []string{"-caller.max_body", "1024", "-caller.header_timeout", "500ms", "-caller.body_timeout", "1s"},
+		ExtraFlags: []string{"-caller.max_body", "1024", "-caller.header_timeout", "500ms", "-caller.body_timeout", "1s"},
 	})
 	pid := f.Nodes[0].PID()
 	for name, c := range map[string]struct {
@@ -99,7 +99,7 @@
 	f := harness.StartKilled(t, fleet.Config{
 		Deployment: deployment(1),
 		Output:     l,
-		Settings:   []string{"-peer.idle_timeout", "1s", "-log.level", "debug"},
+		ExtraFlags: []string{"-peer.idle_timeout", "1s", "-log.level", "debug"},
 	})
 	entry := f.Nodes[0]
 	pid := entry.PID()
--- a/internal/proof/shell/session_test.go
+++ b/internal/proof/shell/session_test.go
@@ -70,7 +70,7 @@
 
 // once damages one long message and leaves the control messages on the link alone.
 func once(f proxy.Fault) proxy.Fault {
-	f.AtLeast, f.Times = len(long)/4, 1
+	f.MinChunkSize, f.MaxDamagedChunks = len(long)/4, 1
 	return f
 }
 
--- a/internal/traffic/backend/client.go
+++ b/internal/traffic/backend/client.go
@@ -112,7 +112,7 @@
 	// ConnectionBroken reports whether the connection broke after the request was sent.
 	ConnectionBroken bool
 	// Downstream summarizes the calls that the backend server made for the request.
-	Downstream call.Below
+	Downstream call.DownstreamSummary
 }
 
 // Target identifies the backend server that runs a request.
@@ -131,14 +131,14 @@
 	reply, err := c.exchange(ctx, target, r, token)
 	end := time.Now()
 	childTime := chain.ChildTime(end)
-	result := Result{Reply: reply, ServiceTime: end.Sub(start) - childTime, HoldTime: end.Sub(start), Downstream: chain.Below(end)}
+	result := Result{Reply: reply, ServiceTime: end.Sub(start) - childTime, HoldTime: end.Sub(start), Downstream: chain.Downstream(end)}
 	if err != nil {
 		result.Reply = failedReply(ctx, err)
 		result.ConnectionBroken = ctx.Err() == nil && err.sent && !errors.Is(err.cause, errResponseTooLarge)
 	}
 	result.Overloaded = err == nil && isOverloaded(&result.Reply) && childTime == 0
-	chain.Settle(&result.Reply)
-	result.Reply.Waited, result.Reply.FarBytes = result.Downstream.Waited, result.Downstream.FarBytes
+	chain.CompleteReply(&result.Reply)
+	result.Reply.QueueingDelay, result.Reply.CrossZoneBytes = result.Downstream.QueueingDelay, result.Downstream.CrossZoneBytes
 	return result
 }
 
--- a/internal/traffic/call/attempts_test.go
+++ b/internal/traffic/call/attempts_test.go
@@ -12,8 +12,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// tree is one root request with random calls, failures, lost replies and early answers.
-type tree struct {
+// callTree is one root request with random calls, failures, lost replies and early answers.
+type callTree struct {
 	t       *rapid.T
 	depth   int
 	calls   int
@@ -21,12 +21,12 @@
 	runs    []int
 }
 
-func (w *tree) draw(what string) bool {
-	return rapid.IntRange(0, 2).Draw(w.t, what) == 0
+func (w *callTree) draw(label string) bool {
+	return rapid.IntRange(0, 2).Draw(w.t, label) == 0
 }
 
 // send sends one request to the level until it succeeds or may not be tried again.
-func (w *tree) send(pool *call.Attempts, level int) (failed bool) {
+func (w *callTree) send(pool *call.Attempts, level int) (failed bool) {
 	for {
 		lent := pool.Lend()
 		reply := w.run(level, lent)
@@ -39,7 +39,7 @@
 		}
 		attempt := retry.Attempt{
 			Idempotent:       true,
-			FailedDownstream: reply.Deeper != call.ReasonNone,
+			FailedDownstream: reply.DownstreamFailure != call.ReasonNone,
 			AttemptsLeft:     pool.Left(),
 			TimeLeft:         retry.MinTimeLeft,
 			Candidates:       1,
@@ -54,7 +54,7 @@
 
 // run is one run on a backend server of the level, which may make one call beside the others and answer before that
 // one has ended.
-func (w *tree) run(level, lent int) call.Reply {
+func (w *callTree) run(level, lent int) call.Reply {
 	w.runs[level]++
 	chain := call.NewChains().Begin(w.t.Context(), "token", &call.Request{AttemptsLeft: lent})
 	reply := call.Reply{Outcome: call.Ran, Status: 200}
@@ -64,30 +64,30 @@
 	if level+1 == w.depth {
 		return reply
 	}
-	early, parallel := 0, w.draw("parallel")
+	parallelLent, parallel := 0, w.draw("parallel")
 	if parallel {
-		early = chain.Attempts.Lend()
+		parallelLent = chain.Attempts.Lend()
 	}
 	for range w.calls {
 		if w.send(chain.Attempts, level+1) {
 			refused := call.Refused(call.NotRun, call.ReasonOverload, 0)
-			chain.NoteReply(&refused)
+			chain.RecordReply(&refused)
 			reply.Status = 503
 		}
 	}
 	if parallel && !w.draw("answered early") {
-		w.late(chain.Attempts, early, level+1)
+		w.finishLentCall(chain.Attempts, parallelLent, level+1)
 		parallel = false
 	}
-	chain.Settle(&reply)
+	chain.CompleteReply(&reply)
 	if parallel {
-		w.late(chain.Attempts, early, level+1)
+		w.finishLentCall(chain.Attempts, parallelLent, level+1)
 	}
 	return reply
 }
 
-// late runs a call to which attempts were lent before and returns them, perhaps after the pool is closed.
-func (w *tree) late(pool *call.Attempts, lent, level int) {
+// finishLentCall runs a call to which attempts were lent before and returns them, perhaps after the pool is closed.
+func (w *callTree) finishLentCall(pool *call.Attempts, lent, level int) {
 	reply := w.run(level, lent)
 	pool.Return(lent, reply.AttemptsUsed)
 }
@@ -97,7 +97,7 @@
 	is.NoErr(flag.Set("rapid.checks", "3000"))
 	is.NoErr(flag.Set("rapid.seed", "1"))
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &tree{
+		w := &callTree{
 			t:     rt,
 			depth: rapid.IntRange(1, 6).Draw(rt, "depth"),
 			calls: rapid.IntRange(1, 2).Draw(rt, "calls"),
--- a/internal/traffic/call/call.go
+++ b/internal/traffic/call/call.go
@@ -71,10 +71,10 @@
 	// KeyMinted says that the entry node made the key for this very request.
 	KeyMinted bool
 	Deadline  time.Time
-	// CallerWaits is until when the caller waits, which may be longer; it is not passed on.
-	CallerWaits time.Time
-	// Target is the time within which an answer is worth most, 0 for none; it is not passed on.
-	Target time.Duration
+	// CallerDeadline is until when the caller waits, which may be longer; it is not passed on.
+	CallerDeadline time.Time
+	// TargetLatency is the time within which an answer is worth most, 0 for none; it is not passed on.
+	TargetLatency time.Duration
 	// AttemptsLeft is how many further attempts the whole chain below may spend.
 	AttemptsLeft int
 	// Attempts is the pool that AttemptsLeft comes from on the node that sends the request; it is not passed on.
@@ -84,8 +84,8 @@
 	// NewConnection says that an earlier attempt went out on a connection that was silent, so that no kept one is
 	// trusted; it is not passed on.
 	NewConnection bool
-	// IsFar says that the attempt goes to another availability zone; it is not passed on.
-	IsFar bool
+	// IsCrossZone says that the attempt goes to another availability zone; it is not passed on.
+	IsCrossZone bool
 	// Spilled says that the sender's own zone has instances of the service, and that the attempt goes to another zone.
 	Spilled bool
 	// Crashes is how many backend servers crashed, as far as the sender knows, while they ran the request.
@@ -94,10 +94,10 @@
 	SourceNode string
 	// Delegated says that the key's home passed the request on to be run.
 	Delegated bool
-	// Entered is when the sending node took the request, by this node's clock and without the time on the way.
-	Entered time.Time
-	// Confirm is the token of the challenge that this copy answers.
-	Confirm string
+	// ReceivedAt is when the sending node took the request, by this node's clock and without the time on the way.
+	ReceivedAt time.Time
+	// ChallengeToken is the token of the challenge that this copy answers.
+	ChallengeToken string
 	// Resent says that an earlier copy was sent whose fate is open.
 	Resent bool
 	// TargetIncarnation is the process that the attempt is meant for; 0 for any.
@@ -125,17 +125,17 @@
 	AttemptsUsed int
 	// Final forbids further attempts by anybody up the chain.
 	Final bool
-	// Deeper is why a call further down the chain failed, where that made this reply a failure. Only the node next
+	// DownstreamFailure is why a call further down the chain failed, where that made this reply a failure. Only the node next
 	// to a failure may try again, so such a reply is passed up.
-	Deeper Reason
-	Load   Load
-	// Waited is how long the request, and the calls down its chain, stood in queues.
-	Waited time.Duration
-	// FarBytes is how many bytes the request, where it came from another availability zone, and the calls down its chain sent
+	DownstreamFailure Reason
+	Load              Load
+	// QueueingDelay is how long the request, and the calls down its chain, stood in queues.
+	QueueingDelay time.Duration
+	// CrossZoneBytes is how many bytes the request, where it came from another availability zone, and the calls down its chain sent
 	// between zones. A node reports those of the calls; its sender adds the request's own.
-	FarBytes int64
-	// Confirm is the token of a challenge: the request runs only if it is sent again with it.
-	Confirm string
+	CrossZoneBytes int64
+	// ChallengeToken is the token of a challenge: the request runs only if it is sent again with it.
+	ChallengeToken string
 }
 
 // Failure returns why the reply is no good answer, or ReasonNone. An answer of the backend server is judged by its
@@ -168,8 +168,8 @@
 // Cause returns the failure that the reply goes back to: that of a call further down, else its own.
 func (r *Reply) Cause() Reason {
 	failure := r.Failure()
-	if failure != ReasonNone && r.Deeper != ReasonNone {
-		return r.Deeper
+	if failure != ReasonNone && r.DownstreamFailure != ReasonNone {
+		return r.DownstreamFailure
 	}
 	return failure
 }
--- a/internal/traffic/call/chain.go
+++ b/internal/traffic/call/chain.go
@@ -16,107 +16,107 @@
 	Kind     string
 	Started  time.Time
 	Deadline time.Time
-	// Running ends with the request, so that its calls end too.
-	Running context.Context
+	// Context ends with the request, so that its calls end too.
+	Context context.Context
 
 	// Attempts are what the calls down the chain may spend together.
 	Attempts *Attempts
 
 	mu      sync.Mutex
 	failure Reason
-	// open are the calls down the chain that have not ended.
-	open       map[*Child]bool
-	childStart time.Time
-	childEnd   time.Time
-	childTime  time.Duration
-	// guessed says that it is a guess which calls are those of the request. A failure after some of them is then taken
+	// openCalls are the calls down the chain that have not ended.
+	openCalls    map[*Child]bool
+	openSince    time.Time
+	lastChildEnd time.Time
+	childTime    time.Duration
+	// callsInferred says that it is a guess which calls are those of the request. A failure after some of them is then taken
 	// for one of a call.
-	guessed bool
-	// calls counts the calls down the chain, and waited is how long they stood in queues.
-	calls  int
-	waited time.Duration
-	// farBytes is how many bytes they sent between availability zones.
-	farBytes int64
+	callsInferred bool
+	// endedCalls counts the calls down the chain, and waited is how long they stood in queues.
+	endedCalls    int
+	queueingDelay time.Duration
+	// crossZoneBytes is how many bytes they sent between availability zones.
+	crossZoneBytes int64
 }
 
-// Below is what the calls of a request came to.
-type Below struct {
+// DownstreamSummary is what the calls of a request came to.
+type DownstreamSummary struct {
 	Calls int
-	// Waited is how long they, and those below them, stood in queues.
-	Waited time.Duration
-	// FarBytes is how many bytes they sent between availability zones.
-	FarBytes int64
+	// QueueingDelay is how long they, and those below them, stood in queues.
+	QueueingDelay time.Duration
+	// CrossZoneBytes is how many bytes they sent between availability zones.
+	CrossZoneBytes int64
 	// Failure is why one of them failed, or ReasonNone.
 	Failure Reason
 }
 
-// Below returns what the calls have come to. What one that hasn't ended takes longer than is usual counts as waiting.
-func (c *Chain) Below(now time.Time) Below {
+// Downstream returns what the calls have come to. What one that hasn't ended takes longer than is usual counts as waiting.
+func (c *Chain) Downstream(now time.Time) DownstreamSummary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	below := Below{Calls: c.calls + len(c.open), Waited: c.waited, FarBytes: c.farBytes, Failure: c.failure}
-	for child := range c.open {
-		below.Waited += max(now.Sub(child.start)-child.usual, 0)
+	summary := DownstreamSummary{Calls: c.endedCalls + len(c.openCalls), QueueingDelay: c.queueingDelay, CrossZoneBytes: c.crossZoneBytes, Failure: c.failure}
+	for child := range c.openCalls {
+		summary.QueueingDelay += max(now.Sub(child.start)-child.typicalDuration, 0)
 	}
-	return below
+	return summary
 }
 
-// NoteReply takes in the reply to a call down the chain.
-func (c *Chain) NoteReply(reply *Reply) {
+// RecordReply takes in the reply to a call down the chain.
+func (c *Chain) RecordReply(reply *Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls++
-	c.waited += reply.Waited
-	c.farBytes += reply.FarBytes
+	c.endedCalls++
+	c.queueingDelay += reply.QueueingDelay
+	c.crossZoneBytes += reply.CrossZoneBytes
 	if cause := reply.Cause(); cause != ReasonNone {
 		c.failure = cause
 	}
 }
 
-// Settle completes the reply to the request: the attempts that were spent below, and whether its failure came from
+// CompleteReply completes the reply to the request: the attempts that were spent below, and whether its failure came from
 // further down.
-func (c *Chain) Settle(reply *Reply) {
+func (c *Chain) CompleteReply(reply *Reply) {
 	reply.AttemptsUsed = c.Attempts.Close()
 	if reply.Failure() == ReasonNone {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	reply.Deeper = c.failure
-	if c.failure == ReasonNone && c.calls > 0 && c.guessed {
-		reply.Deeper = ReasonBackendFailed
+	reply.DownstreamFailure = c.failure
+	if c.failure == ReasonNone && c.endedCalls > 0 && c.callsInferred {
+		reply.DownstreamFailure = ReasonBackendFailed
 	}
 }
 
-func (c *Chain) markGuessed() {
+func (c *Chain) markCallsInferred() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.guessed = true
+	c.callsInferred = true
 }
 
-func (c *Chain) asRunning() lineage.RunningRequest {
+func (c *Chain) runningRequest() lineage.RunningRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return lineage.RunningRequest{Kind: c.Kind, Started: c.Started, Deadline: c.Deadline, HasOpenCall: len(c.open) > 0, LastCallEnd: c.childEnd}
+	return lineage.RunningRequest{Kind: c.Kind, Started: c.Started, Deadline: c.Deadline, HasOpenCall: len(c.openCalls) > 0, LastCallEnd: c.lastChildEnd}
 }
 
 // Child is a call down the chain that has not ended.
 type Child struct {
 	start time.Time
-	// usual is how long calls of its kind take without what they wait.
-	usual time.Duration
+	// typicalDuration is how long calls of its kind take without what they wait.
+	typicalDuration time.Duration
 }
 
 // BeginChild marks the start of a call down the chain, of a kind that usually takes so long without what it waits.
-func (c *Chain) BeginChild(now time.Time, usual time.Duration) *Child {
-	child := &Child{start: now, usual: usual}
+func (c *Chain) BeginChild(now time.Time, typicalDuration time.Duration) *Child {
+	child := &Child{start: now, typicalDuration: typicalDuration}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open) == 0 {
-		c.open = map[*Child]bool{}
-		c.childStart = now
+	if len(c.openCalls) == 0 {
+		c.openCalls = map[*Child]bool{}
+		c.openSince = now
 	}
-	c.open[child] = true
+	c.openCalls[child] = true
 	return child
 }
 
@@ -124,10 +124,10 @@
 func (c *Chain) EndChild(now time.Time, child *Child) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, child)
-	c.childEnd = now
-	if len(c.open) == 0 {
-		c.childTime += now.Sub(c.childStart)
+	delete(c.openCalls, child)
+	c.lastChildEnd = now
+	if len(c.openCalls) == 0 {
+		c.childTime += now.Sub(c.openSince)
 	}
 }
 
@@ -136,8 +136,8 @@
 func (c *Chain) ChildTime(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open) > 0 {
-		return c.childTime + now.Sub(c.childStart)
+	if len(c.openCalls) > 0 {
+		return c.childTime + now.Sub(c.openSince)
 	}
 	return c.childTime
 }
@@ -151,13 +151,13 @@
 	canceled      map[string]bool
 	canceledOrder []string
 	// matcher finds the requests of calls without a token, among candidates, which are the same as running.
-	matcher    *lineage.Matcher
-	candidates []*Chain
-	running    []lineage.RunningRequest
+	matcher         *lineage.Matcher
+	candidates      []*Chain
+	runningRequests []lineage.RunningRequest
 }
 
-// maxCanceled is how many tokens of canceled requests are remembered.
-const maxCanceled = 4096
+// maxCanceledTokens is how many tokens of canceled requests are remembered.
+const maxCanceledTokens = 4096
 
 // NewChains returns an empty table.
 func NewChains() *Chains {
@@ -165,14 +165,14 @@
 }
 
 // Begin enters a request under the token and returns its chain.
-func (t *Chains) Begin(running context.Context, token string, r *Request) *Chain {
+func (t *Chains) Begin(ctx context.Context, token string, r *Request) *Chain {
 	c := &Chain{
 		Root:     r.Root,
 		Depth:    r.Depth,
 		Kind:     r.Kind,
 		Started:  time.Now(),
 		Deadline: r.Deadline,
-		Running:  running,
+		Context:  ctx,
 		Attempts: NewAttempts(r.AttemptsLeft),
 	}
 	t.mu.Lock()
@@ -191,7 +191,7 @@
 		return
 	}
 	delete(t.byToken, token)
-	if c.Running.Err() != nil {
+	if c.Context.Err() != nil {
 		t.rememberCanceled(token)
 	}
 }
@@ -199,7 +199,7 @@
 func (t *Chains) rememberCanceled(token string) {
 	t.canceled[token] = true
 	t.canceledOrder = append(t.canceledOrder, token)
-	if len(t.canceledOrder) > maxCanceled {
+	if len(t.canceledOrder) > maxCanceledTokens {
 		delete(t.canceled, t.canceledOrder[0])
 		t.canceledOrder = t.canceledOrder[1:]
 	}
@@ -217,16 +217,16 @@
 func (t *Chains) Parent(now time.Time, c lineage.Call) (*Chain, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.candidates, t.running = t.candidates[:0], t.running[:0]
+	t.candidates, t.runningRequests = t.candidates[:0], t.runningRequests[:0]
 	for _, chain := range t.byToken {
 		t.candidates = append(t.candidates, chain)
-		t.running = append(t.running, chain.asRunning())
+		t.runningRequests = append(t.runningRequests, chain.runningRequest())
 	}
-	index, isCall := t.matcher.Match(now, c, t.running)
+	index, isCall := t.matcher.Match(now, c, t.runningRequests)
 	if index == lineage.Unknown {
 		return nil, isCall
 	}
-	t.candidates[index].markGuessed()
+	t.candidates[index].markCallsInferred()
 	return t.candidates[index], isCall
 }
 
--- a/internal/traffic/call/chain_test.go
+++ b/internal/traffic/call/chain_test.go
@@ -33,10 +33,10 @@
 	chain := &call.Chain{}
 	ended := chain.BeginChild(start, 50*time.Millisecond)
 	chain.EndChild(start.Add(80*time.Millisecond), ended)
-	chain.NoteReply(&call.Reply{Outcome: call.Ran, Status: 200, Waited: 30 * time.Millisecond})
+	chain.RecordReply(&call.Reply{Outcome: call.Ran, Status: 200, QueueingDelay: 30 * time.Millisecond})
 	chain.BeginChild(start.Add(80*time.Millisecond), 50*time.Millisecond)
-	is.Equal(chain.Below(start.Add(100*time.Millisecond)), call.Below{Calls: 2, Waited: 30 * time.Millisecond})
-	is.Equal(chain.Below(start.Add(480*time.Millisecond)), call.Below{Calls: 2, Waited: 380 * time.Millisecond})
+	is.Equal(chain.Downstream(start.Add(100*time.Millisecond)), call.DownstreamSummary{Calls: 2, QueueingDelay: 30 * time.Millisecond})
+	is.Equal(chain.Downstream(start.Add(480*time.Millisecond)), call.DownstreamSummary{Calls: 2, QueueingDelay: 380 * time.Millisecond})
 }
 
 // Where it is a guess which calls are whose, a request that fails after calls isn't held against its backend server: the
@@ -62,11 +62,11 @@
 				found, isCall := chains.Parent(now.Add(100*time.Millisecond), lineage.Call{Kind: "keys", Expires: now.Add(time.Second)})
 				is.True(isCall)
 				is.Equal(found, chain)
-				chain.NoteReply(&call.Reply{Outcome: call.Ran, Status: 200})
+				chain.RecordReply(&call.Reply{Outcome: call.Ran, Status: 200})
 			}
 			reply := call.Reply{Outcome: call.Ran, Status: 500}
-			chain.Settle(&reply)
-			is.Equal(reply.Deeper, test.want)
+			chain.CompleteReply(&reply)
+			is.Equal(reply.DownstreamFailure, test.want)
 		})
 	}
 }
--- a/internal/traffic/call/usual.go
+++ b/internal/traffic/call/usual.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// usualWeight is the weight of one time in the mean of its kind.
-const usualWeight = 0.1
+// averageWeight is the weight of one time in the mean of its kind.
+const averageWeight = 0.1
 
-// UsualTimes are the mean times of requests by their kind. It is safe for concurrent use.
-type UsualTimes[K comparable] struct {
-	// most bounds the kinds that are known.
-	most int
+// TypicalDurations are the mean times of requests by their kind. It is safe for concurrent use.
+type TypicalDurations[K comparable] struct {
+	// maxKinds bounds the kinds that are known.
+	maxKinds int
 
 	mu     sync.Mutex
 	byKind map[K]time.Duration
 }
 
-// NewUsualTimes returns the times of so many kinds at most; 0 for no bound.
-func NewUsualTimes[K comparable](most int) *UsualTimes[K] {
-	return &UsualTimes[K]{most: most, byKind: map[K]time.Duration{}}
+// NewTypicalDurations returns the times of so many kinds at most; 0 for no bound.
+func NewTypicalDurations[K comparable](maxKinds int) *TypicalDurations[K] {
+	return &TypicalDurations[K]{maxKinds: maxKinds, byKind: map[K]time.Duration{}}
 }
 
 // Of returns the usual time of the kind; 0 where none is known.
-func (u *UsualTimes[K]) Of(kind K) time.Duration {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.byKind[kind]
+func (d *TypicalDurations[K]) Of(kind K) time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.byKind[kind]
 }
 
-// Learn takes in the time of one request.
-func (u *UsualTimes[K]) Learn(kind K, took time.Duration) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	usual, known := u.byKind[kind]
+// Observe takes in the time of one request.
+func (d *TypicalDurations[K]) Observe(kind K, duration time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	average, known := d.byKind[kind]
 	if !known {
-		if u.most > 0 && len(u.byKind) >= u.most {
+		if d.maxKinds > 0 && len(d.byKind) >= d.maxKinds {
 			return
 		}
-		usual = took
+		average = duration
 	}
-	u.byKind[kind] = usual + time.Duration(usualWeight*float64(took-usual))
+	d.byKind[kind] = average + time.Duration(averageWeight*float64(duration-average))
 }
--- a/internal/traffic/caller/conns.go
+++ b/internal/traffic/caller/conns.go
@@ -7,18 +7,18 @@
 	"sync"
 )
 
-// WatchConns makes the server tell of each connection that sent something and ended before it had sent a whole
+// ReportIncompleteRequests makes the server tell of each connection that sent something and ended before it had sent a whole
 // request head: a slow caller cut off by the header timeout, or bytes that are no HTTP. It is called before Serve.
-func WatchConns(server *http.Server, ended func(remote string)) {
-	w := &connWatch{ended: ended, served: map[net.Conn]bool{}}
+func ReportIncompleteRequests(server *http.Server, report func(remote string)) {
+	w := &connTracker{report: report, handled: map[net.Conn]bool{}}
 	handler := server.Handler
 	server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, conn)
 	}
-	server.ConnState = w.changed
+	server.ConnState = w.stateChanged
 	server.Handler = http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if conn, ok := r.Context().Value(connKey{}).(net.Conn); ok {
-			w.mark(conn)
+			w.markHandled(conn)
 		}
 		handler.ServeHTTP(rw, r)
 	})
@@ -26,46 +26,46 @@
 
 type connKey struct{}
 
-// connWatch holds, for each connection that is in the middle of a request, whether its handler was reached.
-type connWatch struct {
-	ended func(remote string)
+// connTracker holds, for each connection that is in the middle of a request, whether its handler was reached.
+type connTracker struct {
+	report func(remote string)
 
-	mu     sync.Mutex
-	served map[net.Conn]bool
+	mu      sync.Mutex
+	handled map[net.Conn]bool
 }
 
-func (w *connWatch) mark(conn net.Conn) {
+func (w *connTracker) markHandled(conn net.Conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.served[conn] = true
+	w.handled[conn] = true
 }
 
-func (w *connWatch) changed(conn net.Conn, state http.ConnState) {
+func (w *connTracker) stateChanged(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateActive:
 		w.begin(conn)
 	case http.StateIdle:
-		w.end(conn)
+		w.forget(conn)
 	case http.StateClosed, http.StateHijacked:
-		if w.end(conn) {
-			w.ended(conn.RemoteAddr().String())
+		if w.forget(conn) {
+			w.report(conn.RemoteAddr().String())
 		}
 	}
 }
 
-func (w *connWatch) begin(conn net.Conn) {
+func (w *connTracker) begin(conn net.Conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, stands := w.served[conn]; !stands {
-		w.served[conn] = false
+	if _, tracked := w.handled[conn]; !tracked {
+		w.handled[conn] = false
 	}
 }
 
-// end forgets the connection and reports whether it sent something but no whole request head.
-func (w *connWatch) end(conn net.Conn) bool {
+// forget forgets the connection and reports whether it sent something but no whole request head.
+func (w *connTracker) forget(conn net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	served, stands := w.served[conn]
-	delete(w.served, conn)
-	return stands && !served
+	handled, tracked := w.handled[conn]
+	delete(w.handled, conn)
+	return tracked && !handled
 }
--- a/internal/traffic/caller/handler.go
+++ b/internal/traffic/caller/handler.go
@@ -79,7 +79,7 @@
 }
 
 func (h *handler) serve(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	request, chain, refused := h.request(r, p)
+	request, chain, refused := h.buildRequest(r, p)
 	if refused != nil {
 		h.reject(w, r, refused)
 		return
@@ -87,24 +87,24 @@
 	ctx, cancel := context.WithDeadline(r.Context(), request.Deadline)
 	defer cancel()
 	if chain != nil {
-		stop := context.AfterFunc(chain.Running, cancel)
+		stop := context.AfterFunc(chain.Context, cancel)
 		defer stop()
 	}
-	h.write(w, request, h.send(ctx, request, chain))
+	h.writeReply(w, request, h.send(ctx, request, chain))
 }
 
 func (h *handler) reject(w http.ResponseWriter, r *http.Request, refused *rejection) {
 	if h.config.Rejected != nil {
 		h.config.Rejected(r, refused.reason, refused.text)
 	}
-	reply := call.Refused(refusedOutcome(r), refused.reason, 0)
+	reply := call.Refused(rejectionOutcome(r), refused.reason, 0)
 	reply.Body = []byte(refused.text + "\n")
-	h.write(w, nil, reply)
+	h.writeReply(w, nil, reply)
 }
 
-// refusedOutcome returns the outcome of a request that was sent nowhere. Under a caller's key, an earlier attempt may
+// rejectionOutcome returns the outcome of a request that was sent nowhere. Under a caller's key, an earlier attempt may
 // have run.
-func refusedOutcome(r *http.Request) call.Outcome {
+func rejectionOutcome(r *http.Request) call.Outcome {
 	if r.Header.Get(backend.KeyHeader) != "" {
 		return call.NotAdmitted
 	}
@@ -121,31 +121,31 @@
 	child := chain.BeginChild(time.Now(), 0)
 	reply := h.config.Sender.Send(ctx, request)
 	chain.EndChild(time.Now(), child)
-	chain.NoteReply(&reply)
+	chain.RecordReply(&reply)
 	return reply
 }
 
-func (h *handler) request(r *http.Request, p httprouter.Params) (*call.Request, *call.Chain, *rejection) {
-	accepted, kind, refused := h.match(r, p)
+func (h *handler) buildRequest(r *http.Request, p httprouter.Params) (*call.Request, *call.Chain, *rejection) {
+	accepted, kind, refused := h.matchKind(r, p)
 	if refused != nil {
 		return nil, nil, refused
 	}
-	request, refused := h.read(r, p, kind)
+	request, refused := h.readRequest(r, p, kind)
 	if refused != nil {
 		return nil, nil, refused
 	}
-	request.AttemptsLeft = accepted.Attempts
+	request.AttemptsLeft = accepted.AttemptAllowance
 	token := r.Header.Get(backend.ChainHeader)
 	if h.config.Chains.IsCanceled(token) {
 		return nil, nil, &rejection{call.ReasonCanceled, backend.ChainHeader + " names a request that was canceled"}
 	}
 	chain := h.config.Chains.Find(token)
-	inherit(request, r, kind, chain)
+	inheritRoot(request, r, kind, chain)
 	return request, chain, nil
 }
 
-// match finds the document and the kind that the request belongs to.
-func (h *handler) match(r *http.Request, p httprouter.Params) (*document.Document, document.Kind, *rejection) {
+// matchKind finds the document and the kind that the request belongs to.
+func (h *handler) matchKind(r *http.Request, p httprouter.Params) (*document.Document, document.Kind, *rejection) {
 	service := p.ByName("service")
 	accepted, ok := h.config.Board.Snapshot().Documents.ByService[service]
 	if !ok {
@@ -162,8 +162,8 @@
 	return accepted.Document, kind, nil
 }
 
-// read takes the request in as its caller sent it.
-func (h *handler) read(r *http.Request, p httprouter.Params, kind document.Kind) (*call.Request, *rejection) {
+// readRequest takes the request in as its caller sent it.
+func (h *handler) readRequest(r *http.Request, p httprouter.Params, kind document.Kind) (*call.Request, *rejection) {
 	path, refused := pathOf(r, p)
 	if refused != nil {
 		return nil, refused
@@ -185,7 +185,7 @@
 		Kind:       kind.Name,
 		Method:     r.Method,
 		Path:       path,
-		Header:     forwarded(r.Header),
+		Header:     forwardedHeaders(r.Header),
 		Body:       body,
 		Idempotent: kind.Idempotent,
 		Key:        r.Header.Get(backend.KeyHeader),
@@ -194,8 +194,8 @@
 	}, nil
 }
 
-// inherit takes the root from the chain, or starts one.
-func inherit(request *call.Request, r *http.Request, kind document.Kind, chain *call.Chain) {
+// inheritRoot takes the root from the chain, or starts one.
+func inheritRoot(request *call.Request, r *http.Request, kind document.Kind, chain *call.Chain) {
 	if chain == nil {
 		request.Root = call.Root{ID: uuid.NewString(), Start: time.Now(), Rank: kind.Rank, Caller: callerOf(r)}
 		return
@@ -208,8 +208,8 @@
 }
 
 // readBody returns the whole body, which must not be longer than most, in bytes.
-func readBody(r *http.Request, most int64) ([]byte, *rejection) {
-	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, most))
+func readBody(r *http.Request, limit int64) ([]byte, *rejection) {
+	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, &rejection{call.ReasonBodyTooLarge, "body is larger than " + strconv.FormatInt(tooLarge.Limit, 10) + " bytes"}
@@ -221,8 +221,8 @@
 }
 
 const (
-	// highestStatus is the highest status that HTTP has.
-	highestStatus = 999
+	// maxStatus is the highest status that HTTP has.
+	maxStatus = 999
 	// defaultRetryAfter is when to come back where nobody down the way said.
 	defaultRetryAfter = time.Second
 )
@@ -230,8 +230,8 @@
 // retryAfterMsHeader gives the time of Retry-After exactly, which has whole seconds only.
 const retryAfterMsHeader = "Comfreyhoist-Retry-After-Ms"
 
-func (h *handler) write(w http.ResponseWriter, request *call.Request, reply call.Reply) {
-	if reply.Status < http.StatusOK || reply.Status > highestStatus || !wellFormed(reply.Header) {
+func (h *handler) writeReply(w http.ResponseWriter, request *call.Request, reply call.Reply) {
+	if reply.Status < http.StatusOK || reply.Status > maxStatus || !areHeadersValid(reply.Header) {
 		reply = call.Refused(call.Unknown, call.ReasonCorrupt, 0)
 	}
 	if reply.Outcome != call.Ran && reply.Status >= http.StatusInternalServerError && reply.RetryAfter <= 0 {
@@ -242,7 +242,7 @@
 	}
 	header := w.Header()
 	for name, values := range reply.Header {
-		if !strings.HasPrefix(name, ownPrefix) {
+		if !strings.HasPrefix(name, ownHeaderPrefix) {
 			header[name] = values
 		}
 	}
--- a/internal/traffic/caller/handler_test.go
+++ b/internal/traffic/caller/handler_test.go
@@ -28,7 +28,7 @@
 	return s.reply
 }
 
-func serve(t *testing.T, s *fixedSender, r *http.Request) *httptest.ResponseRecorder {
+func serveRequest(t *testing.T, s *fixedSender, r *http.Request) *httptest.ResponseRecorder {
 	t.Helper()
 	d, err := document.Parse([]byte("[service]\nname = access\nteam = a\n[kind any]\npath = /*\nrank = 1\nidempotent = true\n"))
 	is.New(t).NoErr(err)
@@ -78,7 +78,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := serve(t, &fixedSender{reply: c.reply}, httptest.NewRequest(http.MethodGet, "/call/access/x", http.NoBody))
+			w := serveRequest(t, &fixedSender{reply: c.reply}, httptest.NewRequest(http.MethodGet, "/call/access/x", http.NoBody))
 			is.Equal(w.Code, c.status)
 			is.Equal(w.Header().Get("Comfreyhoist-Outcome"), c.outcome)
 			is.Equal(w.Header().Get("Comfreyhoist-Reason"), c.reason)
@@ -95,7 +95,7 @@
 	r.Header.Set("Comfreyhoist-Caller", "crew")
 	r.Header.Set("Comfreyhoist-Rank", "0")
 	r.Header.Set("Accept", "text/plain")
-	serve(t, s, r)
+	serveRequest(t, s, r)
 	is.Equal(s.sent.Path, "/a%2Fb%20c/d?q=%26") // escaped as it came
 	is.Equal(s.sent.Root.Caller, "crew")
 	is.Equal(s.sent.Root.Rank, 1) // the document's, not the caller's
@@ -120,7 +120,7 @@
 			s := &fixedSender{reply: call.Reply{Outcome: call.Ran, Status: 200}}
 			r := httptest.NewRequest(http.MethodGet, "/call/access/x", http.NoBody)
 			r.Header[caller.ResendHeader] = c.header
-			w := serve(t, s, r)
+			w := serveRequest(t, s, r)
 			is.Equal(w.Code, c.status)
 			if c.status == 200 {
 				is.Equal(s.sent.Resends, c.want)
--- a/internal/traffic/caller/headers.go
+++ b/internal/traffic/caller/headers.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// ownPrefix begins the names of this system's own headers.
-	ownPrefix = "Comfreyhoist-"
+	// ownHeaderPrefix begins the names of this system's own headers.
+	ownHeaderPrefix = "Comfreyhoist-"
 	// maxCallerName is in bytes.
 	maxCallerName = 128
 	// maxDeadlineMs bounds the number in DeadlineHeader; the kind's own deadline is far below it.
@@ -30,26 +30,26 @@
 func checkHeaders(h http.Header) *rejection {
 	for _, name := range callerHeaders {
 		if len(h.Values(name)) > 1 {
-			return &rejection{reasonOfHeader(name), name + " stands more than once"}
+			return &rejection{malformedHeaderReason(name), name + " stands more than once"}
 		}
 	}
 	if h.Values(backend.KeyHeader) != nil && h.Get(backend.KeyHeader) == "" {
 		return &rejection{call.ReasonBadKey, backend.KeyHeader + " is empty"}
 	}
-	if name := h.Get(CallerHeader); len(name) > maxCallerName || strings.ContainsFunc(name, isInvisible) {
+	if name := h.Get(CallerHeader); len(name) > maxCallerName || strings.ContainsFunc(name, isNotVisibleASCII) {
 		return &rejection{call.ReasonBadRequest, CallerHeader + " is not at most " + strconv.Itoa(maxCallerName) + " visible ASCII characters"}
 	}
 	return nil
 }
 
-func reasonOfHeader(name string) call.Reason {
+func malformedHeaderReason(name string) call.Reason {
 	if name == backend.KeyHeader {
 		return call.ReasonBadKey
 	}
 	return call.ReasonBadRequest
 }
 
-func isInvisible(c rune) bool {
+func isNotVisibleASCII(c rune) bool {
 	return c <= ' ' || c > '~'
 }
 
@@ -64,8 +64,8 @@
 		text := DeadlineHeader + " is not a number of milliseconds from 0 to " + strconv.Itoa(maxDeadlineMs)
 		return now, &rejection{call.ReasonBadRequest, text}
 	}
-	asked := time.Duration(milliseconds) * time.Millisecond
-	return now.Add(min(asked, kind.Deadline)), nil
+	requested := time.Duration(milliseconds) * time.Millisecond
+	return now.Add(min(requested, kind.Deadline)), nil
 }
 
 // callerOf names the caller: what it calls itself, else its IP.
@@ -80,15 +80,15 @@
 	return host
 }
 
-// forwarded returns the headers that the backend server gets, without this system's own.
-func forwarded(h http.Header) http.Header {
-	kept := backend.EndToEnd(h)
-	for name := range kept {
-		if strings.HasPrefix(name, ownPrefix) {
-			kept.Del(name)
+// forwardedHeaders returns the headers that the backend server gets, without this system's own.
+func forwardedHeaders(h http.Header) http.Header {
+	result := backend.EndToEnd(h)
+	for name := range result {
+		if strings.HasPrefix(name, ownHeaderPrefix) {
+			result.Del(name)
 		}
 	}
-	return kept
+	return result
 }
 
 // pathOf returns the path below the service and the query, escaped as the caller sent them. Dot segments are refused:
@@ -121,10 +121,10 @@
 	return int(resends), nil
 }
 
-// wellFormed reports whether HTTP can carry the headers. A damaged one would break the caller's connection.
-func wellFormed(h http.Header) bool {
+// areHeadersValid reports whether HTTP can carry the headers. A damaged one would break the caller's connection.
+func areHeadersValid(h http.Header) bool {
 	for name, values := range h {
-		if name == "" || strings.ContainsFunc(name, isInvisible) || strings.Contains(name, ":") {
+		if name == "" || strings.ContainsFunc(name, isNotVisibleASCII) || strings.Contains(name, ":") {
 			return false
 		}
 		for _, value := range values {
--- a/internal/traffic/caller/routed.go
+++ b/internal/traffic/caller/routed.go
@@ -21,14 +21,14 @@
 type RoutedHeaders struct {
 	// RequestID is the request's own name.
 	RequestID string
-	// TimeLeft is how many milliseconds the caller waits.
-	TimeLeft string
+	// Timeout is how many milliseconds the caller waits.
+	Timeout string
 	// CallerService is the service of the instance where the request began. The node sets it.
 	CallerService string
 }
 
-// RoutedConfig sets a Routed up.
-type RoutedConfig struct {
+// RoutedHandlerConfig sets a Routed up.
+type RoutedHandlerConfig struct {
 	Board  *board.Loop
 	Sender Sender
 	Chains *call.Chains
@@ -44,37 +44,37 @@
 	Rejected func(r *http.Request, reason call.Reason, text string)
 }
 
-// Routed serves requests whose host and path choose the service.
-type Routed struct {
-	config RoutedConfig
+// RoutedHandler serves requests whose host and path choose the service.
+type RoutedHandler struct {
+	config RoutedHandlerConfig
 
-	// usual are the times that calls of each kind take without what they wait.
-	usual *call.UsualTimes[string]
+	// typicalDurations are the times that calls of each kind take without what they wait.
+	typicalDurations *call.TypicalDurations[string]
 
-	mu      sync.Mutex
-	numbers map[string]*atomic.Uint64
+	mu            sync.Mutex
+	requestCounts map[string]*atomic.Uint64
 }
 
-// maxUsual bounds the kinds whose usual time is known.
-const maxUsual = 1024
+// maxTypicalDurations bounds the kinds whose usual time is known.
+const maxTypicalDurations = 1024
 
-// NewRouted returns a handler.
-func NewRouted(config RoutedConfig) *Routed {
-	return &Routed{config: config, usual: call.NewUsualTimes[string](maxUsual), numbers: map[string]*atomic.Uint64{}}
+// NewRoutedHandler returns a handler.
+func NewRoutedHandler(config RoutedHandlerConfig) *RoutedHandler {
+	return &RoutedHandler{config: config, typicalDurations: call.NewTypicalDurations[string](maxTypicalDurations), requestCounts: map[string]*atomic.Uint64{}}
 }
 
-// answerGrace is how long the answer of another node is waited for after the deadline. That node gives up the request at the
+// replyGracePeriod is how long the answer of another node is waited for after the deadline. That node gives up the request at the
 // deadline, and only its answer tells whether the request ran.
-const answerGrace = 30 * time.Millisecond
+const replyGracePeriod = 30 * time.Millisecond
 
-// startRetry is when to come back to a node that knows no routes yet.
-const startRetry = 300 * time.Millisecond
+// noRoutesRetryAfter is when to come back to a node that knows no routes yet.
+const noRoutesRetryAfter = 300 * time.Millisecond
 
 // ServeHTTP answers one request.
-func (h *Routed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *RoutedHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	table := h.config.Board.Snapshot().Routes
 	if table == nil {
-		h.write(w, call.Refused(call.NotRun, call.ReasonNoRoutes, startRetry))
+		h.writeReply(w, call.Refused(call.NotRun, call.ReasonNoRoutes, noRoutesRetryAfter))
 		return
 	}
 	route, ok := table.Match(r.Host, r.URL.Path)
@@ -82,28 +82,28 @@
 		h.reject(w, r, &rejection{call.ReasonUnknownKind, "no route for host " + strconv.Quote(r.Host) + " and this path"})
 		return
 	}
-	request, refused := h.request(r, route)
+	request, refused := h.buildRequest(r, route)
 	if refused != nil {
 		h.reject(w, r, refused)
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), request.Deadline.Add(answerGrace))
+	ctx, cancel := context.WithDeadline(r.Context(), request.Deadline.Add(replyGracePeriod))
 	defer cancel()
 	reply := h.send(ctx, request)
-	h.config.Answered(request, &reply, time.Since(request.Entered))
-	h.write(w, reply)
+	h.config.Answered(request, &reply, time.Since(request.ReceivedAt))
+	h.writeReply(w, reply)
 }
 
-func (h *Routed) reject(w http.ResponseWriter, r *http.Request, refused *rejection) {
+func (h *RoutedHandler) reject(w http.ResponseWriter, r *http.Request, refused *rejection) {
 	h.config.Rejected(r, refused.reason, refused.text)
 	reply := call.Refused(call.NotRun, refused.reason, 0)
 	reply.Body = []byte(refused.text + "\n")
-	h.write(w, reply)
+	h.writeReply(w, reply)
 }
 
 // send sends the request on. A call of the local backend server waits on behalf of the request that it is made for.
-func (h *Routed) send(ctx context.Context, request *call.Request) call.Reply {
-	parent, isCall := h.config.Chains.Parent(request.Entered, lineage.Call{Kind: request.Kind, Expires: request.CallerWaits})
+func (h *RoutedHandler) send(ctx context.Context, request *call.Request) call.Reply {
+	parent, isCall := h.config.Chains.Parent(request.ReceivedAt, lineage.Call{Kind: request.Kind, Expires: request.CallerDeadline})
 	if isCall {
 		request.Depth = 1
 	}
@@ -111,26 +111,26 @@
 		request.Attempts = call.NewAttempts(request.AttemptsLeft)
 		return h.config.Sender.Send(ctx, request)
 	}
-	inheritFrom(request, parent)
+	inheritParent(request, parent)
 	request.Attempts = call.NewAttempts(request.AttemptsLeft)
-	child := parent.BeginChild(time.Now(), h.usual.Of(request.Kind))
+	child := parent.BeginChild(time.Now(), h.typicalDurations.Of(request.Kind))
 	reply := h.config.Sender.Send(ctx, request)
 	parent.EndChild(time.Now(), child)
-	parent.NoteReply(&reply)
+	parent.RecordReply(&reply)
 	if reply.Failure() == call.ReasonNone {
-		h.usual.Learn(request.Kind, time.Since(request.Entered)-reply.Waited)
+		h.typicalDurations.Observe(request.Kind, time.Since(request.ReceivedAt)-reply.QueueingDelay)
 	}
 	return reply
 }
 
-func inheritFrom(request *call.Request, parent *call.Chain) {
+func inheritParent(request *call.Request, parent *call.Chain) {
 	request.Root = parent.Root
 	request.Depth = parent.Depth + 1
 }
 
-func (h *Routed) request(r *http.Request, route *routes.Route) (*call.Request, *rejection) {
+func (h *RoutedHandler) buildRequest(r *http.Request, route *routes.Route) (*call.Request, *rejection) {
 	now := time.Now()
-	asked, refused := h.timeLeft(r, route)
+	callerTimeout, refused := h.callerTimeout(r, route)
 	if refused != nil {
 		return nil, refused
 	}
@@ -143,70 +143,70 @@
 		id = uuid.NewString()
 	}
 	return &call.Request{
-		Root:         call.Root{ID: id, Start: now, Rank: route.Rank, Caller: callerOf(r)},
-		Service:      route.Service(h.number(route)),
-		Kind:         route.Name,
-		Method:       r.Method,
-		Path:         r.URL.RequestURI(),
-		Header:       h.forwarded(r),
-		Body:         body,
-		Idempotent:   route.Idempotent,
-		Deadline:     now.Add(min(asked, route.Timeout)),
-		CallerWaits:  now.Add(asked),
-		AttemptsLeft: route.Attempts - 1,
-		Target:       route.Target,
-		Entered:      now,
+		Root:           call.Root{ID: id, Start: now, Rank: route.Rank, Caller: callerOf(r)},
+		Service:        route.Service(h.nextRequestNumber(route)),
+		Kind:           route.Name,
+		Method:         r.Method,
+		Path:           r.URL.RequestURI(),
+		Header:         h.forwardedHeaders(r),
+		Body:           body,
+		Idempotent:     route.Idempotent,
+		Deadline:       now.Add(min(callerTimeout, route.Timeout)),
+		CallerDeadline: now.Add(callerTimeout),
+		AttemptsLeft:   route.MaxAttempts - 1,
+		TargetLatency:  route.TargetLatency,
+		ReceivedAt:     now,
 	}, nil
 }
 
-// number counts the requests of a route.
-func (h *Routed) number(route *routes.Route) uint64 {
+// nextRequestNumber counts the requests of a route.
+func (h *RoutedHandler) nextRequestNumber(route *routes.Route) uint64 {
 	if len(route.Clusters) == 1 {
 		return 0
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n, ok := h.numbers[route.Name]
+	n, ok := h.requestCounts[route.Name]
 	if !ok {
 		n = &atomic.Uint64{}
-		h.numbers[route.Name] = n
+		h.requestCounts[route.Name] = n
 	}
 	return n.Add(1)
 }
 
-// timeLeft returns how long the caller waits.
-func (h *Routed) timeLeft(r *http.Request, route *routes.Route) (time.Duration, *rejection) {
-	text := r.Header.Get(h.config.Headers.TimeLeft)
+// callerTimeout returns how long the caller waits.
+func (h *RoutedHandler) callerTimeout(r *http.Request, route *routes.Route) (time.Duration, *rejection) {
+	text := r.Header.Get(h.config.Headers.Timeout)
 	if text == "" {
 		return route.Timeout, nil
 	}
 	milliseconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || milliseconds < 0 || milliseconds > maxDeadlineMs {
-		return 0, &rejection{call.ReasonBadRequest, h.config.Headers.TimeLeft + " is not a number of milliseconds"}
+		return 0, &rejection{call.ReasonBadRequest, h.config.Headers.Timeout + " is not a number of milliseconds"}
 	}
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// forwarded returns the headers for the backend server, with the host that the caller asked for.
-func (h *Routed) forwarded(r *http.Request) http.Header {
-	header := forwarded(r.Header)
-	header.Del(h.config.Headers.TimeLeft)
+// forwardedHeaders returns the headers for the backend server, with the host that the caller asked for.
+func (h *RoutedHandler) forwardedHeaders(r *http.Request) http.Header {
+	header := forwardedHeaders(r.Header)
+	header.Del(h.config.Headers.Timeout)
 	header.Set("Host", r.Host)
 	header.Set(h.config.Headers.CallerService, h.config.Service)
 	return header
 }
 
-// write answers. What was refused before it ran gets a status that says so, and when to come back.
-func (h *Routed) write(w http.ResponseWriter, reply call.Reply) {
-	if reply.Outcome == call.Ran && (reply.Status < http.StatusOK || reply.Status > highestStatus || !wellFormed(reply.Header)) {
+// writeReply answers. What was refused before it ran gets a status that says so, and when to come back.
+func (h *RoutedHandler) writeReply(w http.ResponseWriter, reply call.Reply) {
+	if reply.Outcome == call.Ran && (reply.Status < http.StatusOK || reply.Status > maxStatus || !areHeadersValid(reply.Header)) {
 		reply = call.Refused(call.Unknown, call.ReasonCorrupt, 0)
 	}
 	header := w.Header()
 	if reply.Outcome != call.Ran {
-		refusalHeaders(header, &reply)
+		setRefusalHeaders(header, &reply)
 	}
 	for name, values := range reply.Header {
-		if !strings.HasPrefix(name, ownPrefix) {
+		if !strings.HasPrefix(name, ownHeaderPrefix) {
 			header[name] = values
 		}
 	}
@@ -215,15 +215,15 @@
 	_, _ = w.Write(reply.Body)
 }
 
-// leastRetryAfter keeps callers from coming back at once.
-const leastRetryAfter = 50 * time.Millisecond
+// minRetryAfter keeps callers from coming back at once.
+const minRetryAfter = 50 * time.Millisecond
 
-func refusalHeaders(header http.Header, reply *call.Reply) {
+func setRefusalHeaders(header http.Header, reply *call.Reply) {
 	reply.Status = refusalStatus(reply)
 	header.Set(ReasonHeader, string(reply.Reason))
 	header.Set(OutcomeHeader, reply.Outcome.String())
 	if reply.Status == http.StatusServiceUnavailable {
-		after := max(reply.RetryAfter, leastRetryAfter)
+		after := max(reply.RetryAfter, minRetryAfter)
 		header.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
 	if len(reply.Body) == 0 {
--- a/internal/traffic/caller/routed_test.go
+++ b/internal/traffic/caller/routed_test.go
@@ -15,29 +15,29 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/caller"
 )
 
-// sender answers with a function.
-type sender func(ctx context.Context, r *call.Request) call.Reply
+// senderFunc answers with a function.
+type senderFunc func(ctx context.Context, r *call.Request) call.Reply
 
-func (s sender) Send(ctx context.Context, r *call.Request) call.Reply {
+func (s senderFunc) Send(ctx context.Context, r *call.Request) call.Reply {
 	return s(ctx, r)
 }
 
-func routed(t *testing.T, send sender) http.Handler {
+func newRoutedHandler(t *testing.T, send senderFunc) http.Handler {
 	t.Helper()
 	table, err := routes.NewTable(routes.Catalogue{
 		Version: 1,
 		Routes: []routes.Route{{
-			Name: "deposits", Host: "deposits.example", Prefix: "/", Timeout: 100 * time.Millisecond, Attempts: 2,
+			Name: "deposits", Host: "deposits.example", Prefix: "/", Timeout: 100 * time.Millisecond, MaxAttempts: 2,
 			Clusters: []routes.Cluster{{Service: "bookings", Weight: 1}},
 		}},
 		Services: []routes.Service{{Name: "bookings"}},
 	})
 	is.New(t).NoErr(err)
-	return caller.NewRouted(caller.RoutedConfig{
+	return caller.NewRoutedHandler(caller.RoutedHandlerConfig{
 		Board:    board.NewLoop(board.Board{Routes: table}),
 		Sender:   send,
 		Chains:   call.NewChains(),
-		Headers:  caller.RoutedHeaders{RequestID: "Request-Name", TimeLeft: "Time-Left", CallerService: "Calling-Service"},
+		Headers:  caller.RoutedHeaders{RequestID: "Request-Name", Timeout: "Time-Left", CallerService: "Calling-Service"},
 		Service:  "crew",
 		MaxBody:  100,
 		Answered: func(*call.Request, *call.Reply, time.Duration) {},
@@ -45,7 +45,7 @@
 	})
 }
 
-func ask(handler http.Handler, header http.Header) *httptest.ResponseRecorder {
+func postRequest(handler http.Handler, header http.Header) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "http://deposits.example/x?y=1", http.NoBody)
 	r.Header = header
 	w := httptest.NewRecorder()
@@ -57,7 +57,7 @@
 // that the request has not run, so that its caller may send it again.
 func TestRefusalAtTheDeadlineIsWaitedFor(t *testing.T) {
 	is := is.New(t)
-	w := ask(routed(t, func(ctx context.Context, r *call.Request) call.Reply {
+	w := postRequest(newRoutedHandler(t, func(ctx context.Context, r *call.Request) call.Reply {
 		select {
 		case <-ctx.Done():
 			return call.Refused(call.Unknown, call.ReasonPeerSilent, 0)
@@ -85,7 +85,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := ask(routed(t, func(context.Context, *call.Request) call.Reply { return test.reply }), http.Header{})
+			w := postRequest(newRoutedHandler(t, func(context.Context, *call.Request) call.Reply { return test.reply }), http.Header{})
 			is.Equal(w.Code, test.want)
 			is.Equal(w.Header().Get("Retry-After") != "", test.want == 503)
 		})
@@ -98,7 +98,7 @@
 	is := is.New(t)
 	var got *call.Request
 	begin := time.Now()
-	_ = ask(routed(t, func(_ context.Context, r *call.Request) call.Reply {
+	_ = postRequest(newRoutedHandler(t, func(_ context.Context, r *call.Request) call.Reply {
 		got = r
 		return call.Reply{Outcome: call.Ran, Status: 200}
 	}), http.Header{"Calling-Service": {"forged"}, "Request-Name": {"r1"}, "Time-Left": {"5000"}, "Other": {"kept"}, "Te": {"dropped"}})
--- a/internal/traffic/caller/server.go
+++ b/internal/traffic/caller/server.go
@@ -31,8 +31,8 @@
 	MaxHeader, MaxBody int64
 	// MaxPending is how many requests of one connection are worked on at once.
 	MaxPending int
-	// Closing says that the next request on each connection is the last.
-	Closing func() bool
+	// IsClosing says that the next request on each connection is the last.
+	IsClosing func() bool
 	// Failed is told of each connection that ended in the middle of a request, or sent something else.
 	Failed func(remote string, err error)
 }
@@ -63,7 +63,7 @@
 		}
 		if err != nil {
 			s.config.Failed("", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		c := newServerConn(s, conn)
@@ -75,8 +75,8 @@
 	}
 }
 
-// acceptPause keeps a lack of descriptors from using up the processor.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay keeps a lack of descriptors from using up the processor.
+const acceptRetryDelay = 10 * time.Millisecond
 
 // CloseIdle closes the connections on which nothing is being worked on.
 func (s *Server) CloseIdle() {
@@ -108,26 +108,26 @@
 
 // serverConn is one connection of a caller.
 type serverConn struct {
-	server *Server
-	conn   net.Conn
-	head   *io.LimitedReader
-	reader *bufio.Reader
-	writer *bufio.Writer
+	server        *Server
+	conn          net.Conn
+	limitedReader *io.LimitedReader
+	reader        *bufio.Reader
+	writer        *bufio.Writer
 	// pending holds the requests that are worked on, in the order of their answers.
-	pending chan *exchanged
+	pending chan *exchange
 
 	mu sync.Mutex
-	// open counts the requests of which the first byte was read and that are not answered.
-	open int
+	// openRequests counts the requests of which the first byte was read and that are not answered.
+	openRequests int
 	// closed says that no further request is begun.
 	closed bool
 }
 
-// exchanged is a request and its answer.
-type exchanged struct {
-	request *http.Request
-	answer  recorder
-	done    chan struct{}
+// exchange is a request and its answer.
+type exchange struct {
+	request  *http.Request
+	response responseRecorder
+	done     chan struct{}
 	// last says that the connection closes after the answer.
 	last bool
 	// isOnly says that none before it was unanswered when it came.
@@ -135,14 +135,14 @@
 }
 
 func newServerConn(s *Server, conn net.Conn) *serverConn {
-	head := &io.LimitedReader{R: conn, N: s.config.MaxHeader}
+	limitedReader := &io.LimitedReader{R: conn, N: s.config.MaxHeader}
 	return &serverConn{
-		server:  s,
-		conn:    conn,
-		head:    head,
-		reader:  bufio.NewReader(head),
-		writer:  bufio.NewWriter(conn),
-		pending: make(chan *exchanged, s.config.MaxPending),
+		server:        s,
+		conn:          conn,
+		limitedReader: limitedReader,
+		reader:        bufio.NewReader(limitedReader),
+		writer:        bufio.NewWriter(conn),
+		pending:       make(chan *exchange, s.config.MaxPending),
 	}
 }
 
@@ -150,28 +150,28 @@
 func (c *serverConn) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == 0 {
+	if c.openRequests == 0 {
 		c.closed = true
 		_ = c.conn.Close()
 	}
 }
 
-// begin counts a request of which the first byte was read, and reports false where the connection was closed before.
-func (c *serverConn) begin() bool {
+// beginRequest counts a request of which the first byte was read, and reports false where the connection was closed before.
+func (c *serverConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return false
 	}
-	c.open++
+	c.openRequests++
 	return true
 }
 
-// end counts a request that was answered, or that broke off.
-func (c *serverConn) end() {
+// endRequest counts a request that was answered, or that broke off.
+func (c *serverConn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open--
+	c.openRequests--
 }
 
 // serve reads requests until the caller leaves, and then ends what is still worked on for it.
@@ -184,7 +184,7 @@
 	group.Go(func() { c.write(cancel) })
 	err := c.read(ctx, &group)
 	close(c.pending)
-	if err != nil && !errors.Is(err, io.EOF) && ctx.Err() == nil && !isReset(err) {
+	if err != nil && !errors.Is(err, io.EOF) && ctx.Err() == nil && !isConnectionError(err) {
 		c.server.config.Failed(c.conn.RemoteAddr().String(), err)
 	}
 	if err == nil {
@@ -192,24 +192,24 @@
 	}
 }
 
-// isReset reports whether the connection was closed by either end, or was idle for too long.
-func isReset(err error) bool {
-	var failure net.Error
-	return errors.Is(err, net.ErrClosed) || errors.As(err, &failure)
+// isConnectionError reports whether the connection was closed by either end, or was idle for too long.
+func isConnectionError(err error) bool {
+	var netErr net.Error
+	return errors.Is(err, net.ErrClosed) || errors.As(err, &netErr)
 }
 
 // read hands requests on until the last one, which it reports as no error.
 func (c *serverConn) read(ctx context.Context, group *conc.WaitGroup) error {
 	for {
-		x, err := c.next(ctx)
+		x, err := c.nextExchange(ctx)
 		if err != nil {
 			return err
 		}
-		alone := !isRepeatable(x.request.Method)
-		if alone {
-			c.waitAnswered(ctx)
+		exclusive := !isSafeMethod(x.request.Method)
+		if exclusive {
+			c.waitForEarlierAnswers(ctx)
 		}
-		x.isOnly = c.isOnly()
+		x.isOnly = c.hasAtMostOneOpen()
 		c.pending <- x
 		if !x.isOnly {
 			group.Go(func() { c.handle(x) })
@@ -217,7 +217,7 @@
 		if x.last {
 			return nil
 		}
-		if alone {
+		if exclusive {
 			select {
 			case <-x.done:
 			case <-ctx.Done():
@@ -227,22 +227,22 @@
 }
 
 // handle makes the answer. A fault of the handler costs one request and not the process.
-func (c *serverConn) handle(x *exchanged) {
+func (c *serverConn) handle(x *exchange) {
 	defer close(x.done)
-	fault := panics.Try(func() { c.server.config.Handler.ServeHTTP(&x.answer, x.request) })
+	fault := panics.Try(func() { c.server.config.Handler.ServeHTTP(&x.response, x.request) })
 	if fault == nil {
 		return
 	}
 	c.server.config.Failed(c.conn.RemoteAddr().String(), fault.AsError())
-	x.answer = recorder{header: http.Header{}, status: http.StatusBadGateway}
+	x.response = responseRecorder{header: http.Header{}, status: http.StatusBadGateway}
 }
 
-// waitAnswered returns when all requests before are answered, so that none of them closes the connection ahead of one
+// waitForEarlierAnswers returns when all requests before are answered, so that none of them closes the connection ahead of one
 // that must not be sent again.
-func (c *serverConn) waitAnswered(ctx context.Context) {
-	ticker := time.NewTicker(answeredTick)
+func (c *serverConn) waitForEarlierAnswers(ctx context.Context) {
+	ticker := time.NewTicker(answeredPollInterval)
 	defer ticker.Stop()
-	for ctx.Err() == nil && !c.isOnly() {
+	for ctx.Err() == nil && !c.hasAtMostOneOpen() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -250,64 +250,64 @@
 	}
 }
 
-const answeredTick = time.Millisecond
+const answeredPollInterval = time.Millisecond
 
-// isOnly reports whether no request but the newest is open.
-func (c *serverConn) isOnly() bool {
+// hasAtMostOneOpen reports whether no request but the newest is open.
+func (c *serverConn) hasAtMostOneOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open <= 1
+	return c.openRequests <= 1
 }
 
-func isRepeatable(method string) bool {
+func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead
 }
 
-// next reads one whole request.
-func (c *serverConn) next(ctx context.Context) (*exchanged, error) {
+// nextExchange reads one whole request.
+func (c *serverConn) nextExchange(ctx context.Context) (*exchange, error) {
 	config := &c.server.config
-	c.head.N = config.MaxHeader
+	c.limitedReader.N = config.MaxHeader
 	_ = c.conn.SetReadDeadline(time.Now().Add(config.IdleTimeout))
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, err
 	}
-	if !c.begin() {
+	if !c.beginRequest() {
 		return nil, net.ErrClosed
 	}
 	x, err := c.readRequest(ctx)
 	if err != nil {
-		c.end()
+		c.endRequest()
 	}
 	return x, err
 }
 
 // readRequest reads a request that has begun.
-func (c *serverConn) readRequest(ctx context.Context) (*exchanged, error) {
+func (c *serverConn) readRequest(ctx context.Context) (*exchange, error) {
 	config := &c.server.config
 	_ = c.conn.SetReadDeadline(time.Now().Add(config.HeaderTimeout))
 	request, err := http.ReadRequest(c.reader)
 	if err != nil {
-		c.refuse(err)
+		c.writeErrorResponse(err)
 		return nil, err
 	}
-	c.head.N = config.MaxBody + config.MaxHeader
+	c.limitedReader.N = config.MaxBody + config.MaxHeader
 	_ = c.conn.SetReadDeadline(time.Now().Add(config.BodyTimeout))
-	whole, err := c.readBody(request)
+	complete, err := c.readBody(request)
 	if err != nil {
 		return nil, err
 	}
 	request.RemoteAddr = c.conn.RemoteAddr().String()
-	return &exchanged{
-		request: request.WithContext(ctx),
-		answer:  recorder{header: http.Header{}},
-		done:    make(chan struct{}),
-		last:    request.Close || !whole || config.Closing(),
+	return &exchange{
+		request:  request.WithContext(ctx),
+		response: responseRecorder{header: http.Header{}},
+		done:     make(chan struct{}),
+		last:     request.Close || !complete || config.IsClosing(),
 	}, nil
 }
 
 // readBody takes the body in, so that the next request can be read. It reports false where the body is longer than the
 // bound; the handler then sees one byte more than that.
-func (c *serverConn) readBody(request *http.Request) (whole bool, err error) {
+func (c *serverConn) readBody(request *http.Request) (complete bool, err error) {
 	if request.Header.Get("Expect") == "100-continue" {
 		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return false, err
@@ -324,13 +324,13 @@
 	return int64(len(body)) <= c.server.config.MaxBody, nil
 }
 
-// refuse answers what is no request, where nothing else is being answered.
-func (c *serverConn) refuse(err error) {
-	if !c.isOnly() || errors.Is(err, io.EOF) || isReset(err) {
+// writeErrorResponse answers what is no request, where nothing else is being answered.
+func (c *serverConn) writeErrorResponse(err error) {
+	if !c.hasAtMostOneOpen() || errors.Is(err, io.EOF) || isConnectionError(err) {
 		return
 	}
 	status := http.StatusBadRequest
-	if c.head.N <= 0 {
+	if c.limitedReader.N <= 0 {
 		status = http.StatusRequestHeaderFieldsTooLarge
 	}
 	_, _ = io.WriteString(c.conn, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+
@@ -353,23 +353,23 @@
 			cancel()
 			_ = c.conn.Close()
 		}
-		c.end()
+		c.endRequest()
 	}
 }
 
-func (c *serverConn) send(x *exchanged) error {
+func (c *serverConn) send(x *exchange) error {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(c.server.config.WriteTimeout))
 	if x.request.Context().Err() != nil {
 		return x.request.Context().Err()
 	}
 	response := http.Response{
-		StatusCode:    x.answer.status,
+		StatusCode:    x.response.status,
 		ProtoMajor:    1,
 		ProtoMinor:    1,
 		Request:       x.request,
-		Header:        x.answer.header,
-		Body:          io.NopCloser(bytes.NewReader(x.answer.body)),
-		ContentLength: int64(len(x.answer.body)),
+		Header:        x.response.header,
+		Body:          io.NopCloser(bytes.NewReader(x.response.body)),
+		ContentLength: int64(len(x.response.body)),
 		Close:         x.last,
 	}
 	if err := response.Write(c.writer); err != nil {
@@ -378,25 +378,25 @@
 	return c.writer.Flush()
 }
 
-// recorder keeps an answer until it is its turn.
-type recorder struct {
+// responseRecorder keeps an answer until it is its turn.
+type responseRecorder struct {
 	header http.Header
 	status int
 	body   []byte
 }
 
 // Header returns the headers of the answer.
-func (r *recorder) Header() http.Header {
+func (r *responseRecorder) Header() http.Header {
 	return r.header
 }
 
 // WriteHeader sets the status.
-func (r *recorder) WriteHeader(status int) {
+func (r *responseRecorder) WriteHeader(status int) {
 	r.status = status
 }
 
 // Write adds to the body.
-func (r *recorder) Write(p []byte) (int, error) {
+func (r *responseRecorder) Write(p []byte) (int, error) {
 	if r.status == 0 {
 		r.status = http.StatusOK
 	}
--- a/internal/traffic/caller/server_test.go
+++ b/internal/traffic/caller/server_test.go
@@ -17,15 +17,15 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/caller"
 )
 
-// serving starts a server and returns a connection to it.
-func serving(t *testing.T, closing *atomic.Bool, handler http.HandlerFunc) (net.Conn, *bufio.Reader, *caller.Server) {
+// startServer starts a server and returns a connection to it.
+func startServer(t *testing.T, closing *atomic.Bool, handler http.HandlerFunc) (net.Conn, *bufio.Reader, *caller.Server) {
 	t.Helper()
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	s := caller.NewServer(caller.ServerConfig{
 		Handler: handler, HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: 5 * time.Second, WriteTimeout: time.Second,
-		MaxHeader: 4096, MaxBody: 1 << 16, MaxPending: 8, Closing: closing.Load, Failed: func(string, error) {},
+		MaxHeader: 4096, MaxBody: 1 << 16, MaxPending: 8, IsClosing: closing.Load, Failed: func(string, error) {},
 	})
 	var group conc.WaitGroup
 	group.Go(func() { s.Serve(context.Background(), l) })
@@ -46,7 +46,7 @@
 	is.New(t).NoErr(err)
 }
 
-func get(path string) string {
+func getRequest(path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: a.example\r\n\r\n"
 }
 
@@ -62,14 +62,14 @@
 // Requests that come before the first is answered run side by side, and are answered in order.
 func TestRequestsOnOneConnectionRunSideBySide(t *testing.T) {
 	is := is.New(t)
-	conn, r, _ := serving(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
+	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			time.Sleep(200 * time.Millisecond)
 		}
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
 	begin := time.Now()
-	send(t, conn, get("/slow"), get("/b"), get("/slow"))
+	send(t, conn, getRequest("/slow"), getRequest("/b"), getRequest("/slow"))
 	for _, want := range []string{"/slow", "/b", "/slow"} {
 		body, _ := receive(t, r)
 		is.Equal(body, want)
@@ -80,31 +80,31 @@
 // A request that must not run twice waits until all before it are answered: one of those could close the connection.
 func TestOtherMethodsRunAlone(t *testing.T) {
 	is := is.New(t)
-	var running, most atomic.Int32
-	conn, r, _ := serving(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
-		most.Store(max(most.Load(), running.Add(1)))
+	var running, maxRunning atomic.Int32
+	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
+		maxRunning.Store(max(maxRunning.Load(), running.Add(1)))
 		time.Sleep(30 * time.Millisecond)
 		running.Add(-1)
 		body, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(body)
 	})
 	post := "POST /p HTTP/1.1\r\nHost: a.example\r\nContent-Length: 3\r\n\r\nabc"
-	send(t, conn, post, get("/a"), post)
+	send(t, conn, post, getRequest("/a"), post)
 	for _, want := range []string{"abc", "", "abc"} {
 		body, _ := receive(t, r)
 		is.Equal(body, want)
 	}
-	is.Equal(most.Load(), int32(1))
+	is.Equal(maxRunning.Load(), int32(1))
 }
 
 // The work for a caller that leaves ends, also where it has sent further requests.
 func TestCallerThatLeavesIsSeen(t *testing.T) {
 	var ended atomic.Int32
-	conn, _, _ := serving(t, &atomic.Bool{}, func(_ http.ResponseWriter, r *http.Request) {
+	conn, _, _ := startServer(t, &atomic.Bool{}, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		ended.Add(1)
 	})
-	send(t, conn, get("/a"), get("/b"), get("/c"))
+	send(t, conn, getRequest("/a"), getRequest("/b"), getRequest("/c"))
 	time.Sleep(50 * time.Millisecond)
 	is.New(t).NoErr(conn.Close())
 	for deadline := time.Now().Add(5 * time.Second); ended.Load() < 3; time.Sleep(time.Millisecond) {
@@ -118,14 +118,14 @@
 func TestLastAnswerSaysThatItCloses(t *testing.T) {
 	is := is.New(t)
 	var closing atomic.Bool
-	conn, r, _ := serving(t, &closing, func(w http.ResponseWriter, r *http.Request) {
+	conn, r, _ := startServer(t, &closing, func(w http.ResponseWriter, r *http.Request) {
 		closing.Store(true)
 		time.Sleep(50 * time.Millisecond)
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
-	send(t, conn, get("/a"))
+	send(t, conn, getRequest("/a"))
 	time.Sleep(20 * time.Millisecond)
-	send(t, conn, get("/b"), get("/never_read"))
+	send(t, conn, getRequest("/b"), getRequest("/never_read"))
 	body, response := receive(t, r)
 	is.Equal(body, "/a")
 	is.True(!response.Close)
@@ -146,7 +146,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			conn, r, _ := serving(t, &atomic.Bool{}, func(http.ResponseWriter, *http.Request) {})
+			conn, r, _ := startServer(t, &atomic.Bool{}, func(http.ResponseWriter, *http.Request) {})
 			send(t, conn, test.sent)
 			_, response := receive(t, r)
 			is.Equal(response.StatusCode, test.want)
@@ -157,13 +157,13 @@
 // What stands behind a body that is too long must not be taken for a request.
 func TestTooLongBodyEndsTheConnection(t *testing.T) {
 	is := is.New(t)
-	conn, r, _ := serving(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
+	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if len(body) > 1<<16 {
 			w.WriteHeader(http.StatusRequestEntityTooLarge)
 		}
 	})
-	send(t, conn, "POST /p HTTP/1.1\r\nHost: a.example\r\nContent-Length: 70000\r\n\r\n", strings.Repeat("a", 1<<16), get("/smuggled"))
+	send(t, conn, "POST /p HTTP/1.1\r\nHost: a.example\r\nContent-Length: 70000\r\n\r\n", strings.Repeat("a", 1<<16), getRequest("/smuggled"))
 	_, response := receive(t, r)
 	is.Equal(response.StatusCode, http.StatusRequestEntityTooLarge)
 	is.True(response.Close)
@@ -171,13 +171,13 @@
 
 func TestFaultOfTheHandlerCostsOneRequest(t *testing.T) {
 	is := is.New(t)
-	conn, r, _ := serving(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
+	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fault" {
 			panic("fault")
 		}
 		_, _ = io.WriteString(w, "well")
 	})
-	send(t, conn, get("/fault"), get("/a"))
+	send(t, conn, getRequest("/fault"), getRequest("/a"))
 	_, response := receive(t, r)
 	is.Equal(response.StatusCode, http.StatusBadGateway)
 	body, _ := receive(t, r)
@@ -186,8 +186,8 @@
 
 func TestIdleConnectionsClose(t *testing.T) {
 	is := is.New(t)
-	conn, r, s := serving(t, &atomic.Bool{}, func(http.ResponseWriter, *http.Request) {})
-	send(t, conn, get("/a"))
+	conn, r, s := startServer(t, &atomic.Bool{}, func(http.ResponseWriter, *http.Request) {})
+	send(t, conn, getRequest("/a"))
 	_, _ = receive(t, r)
 	time.Sleep(20 * time.Millisecond)
 	s.CloseIdle()
@@ -198,12 +198,12 @@
 // A request that has begun to come in is answered, also where idle connections are closed meanwhile.
 func TestRequestThatHasBegunIsAnswered(t *testing.T) {
 	is := is.New(t)
-	conn, r, s := serving(t, &atomic.Bool{}, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "well") })
-	whole := get("/a")
-	send(t, conn, whole[:10])
+	conn, r, s := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "well") })
+	complete := getRequest("/a")
+	send(t, conn, complete[:10])
 	time.Sleep(50 * time.Millisecond)
 	s.CloseIdle()
-	send(t, conn, whole[10:])
+	send(t, conn, complete[10:])
 	body, _ := receive(t, r)
 	is.Equal(body, "well")
 }
--- a/internal/traffic/flow/exchange.go
+++ b/internal/traffic/flow/exchange.go
@@ -52,13 +52,13 @@
 func (x *exchange) callKeyed(ctx context.Context, target membership.Member, attempt *call.Request) (call.Reply, error) {
 	attempt.AttemptID = newAttemptID()
 	attempt.TargetIncarnation = target.Incarnation
-	attempt.Confirm = ""
+	attempt.ChallengeToken = ""
 	for range maxChallenges {
 		reply, err := x.sendUntilAnswered(ctx, target, attempt)
-		if err != nil || reply.Confirm == "" {
+		if err != nil || reply.ChallengeToken == "" {
 			return reply, err
 		}
-		attempt.Confirm = reply.Confirm
+		attempt.ChallengeToken = reply.ChallengeToken
 	}
 	return call.Refused(call.NotAdmitted, call.ReasonOverload, ownerRetryAfter), nil
 }
@@ -77,7 +77,7 @@
 		var failure *peer.Error
 		if errors.As(err, &failure) && failure.Sent {
 			attempt.Resent = true
-			attempt.Confirm = ""
+			attempt.ChallengeToken = ""
 		}
 		if !attempt.Resent || sends == maxSends || errors.Is(err, errOutcomeUnresolvable) || !pause.For(ctx, backoff) {
 			return call.Reply{}, &peer.Error{Address: target.PeerAddress, Sent: attempt.Resent, Reason: failureReason(err), Cause: err}
@@ -274,7 +274,7 @@
 	notRunning := &peer.Error{Address: address, Sent: true, Reason: call.ReasonPeerSilent, Cause: errNotRunning}
 	switch {
 	case !r.Known:
-		return attemptResult{err: &peer.Error{Address: address, Sent: true, Reason: call.ReasonHomeUnknown, Cause: errOutcomeUnresolvable}}, true
+		return attemptResult{err: &peer.Error{Address: address, Sent: true, Reason: call.ReasonOwnerUnknown, Cause: errOutcomeUnresolvable}}, true
 	case r.State == outcome.Running:
 		return attemptResult{}, false
 	case r.State == outcome.Done:
--- a/internal/traffic/flow/home.go
+++ b/internal/traffic/flow/home.go
@@ -119,7 +119,7 @@
 		return call.Refused(call.NotAdmitted, call.ReasonBadKey, 0)
 	}
 	if r.TargetIncarnation != 0 && r.TargetIncarnation != o.config.Self.Incarnation {
-		return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, ownerRetryAfter)
+		return call.Refused(call.NotAdmitted, call.ReasonOwnerUnknown, ownerRetryAfter)
 	}
 	if r.Delegated {
 		return o.handleCopy(ctx, r, o.delegated, copyDetails(r, key, r.AttemptID), o.config.Local.Receive)
@@ -141,7 +141,7 @@
 		}
 		_, ok = o.ownsKey(r.Service, key)
 	}
-	return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, ownerRetryAfter), ok
+	return call.Refused(call.NotAdmitted, call.ReasonOwnerUnknown, ownerRetryAfter), ok
 }
 
 // ownsKey reports whether this node may run the key. It may if it is the owner according to the key or the agreed epochs,
@@ -168,7 +168,7 @@
 	if !key.Owner.IsZero() {
 		return key.Owner, nil, true
 	}
-	shard := b.Homes.Shards[outcome.ShardOf(zones, key.Text)]
+	shard := b.KeyOwners.Shards[outcome.ShardOf(zones, key.Text)]
 	if key.Timed {
 		owner, ok := shard.Owner(service, key.Text, key.UnixMillis)
 		return owner, nil, ok
@@ -187,8 +187,8 @@
 		UnixMillis:  key.UnixMillis,
 		Timed:       key.Timed,
 		Fingerprint: contentHash(r),
-		Confirm:     r.Confirm,
-		Age:         time.Since(r.Entered),
+		Confirm:     r.ChallengeToken,
+		Age:         time.Since(r.ReceivedAt),
 		Token:       uuid.NewString(),
 		OnlyCopy:    r.KeyMinted && !r.Resent,
 	}
@@ -232,7 +232,7 @@
 		return refusalReplies[outcome.RefuseNotRun]
 	}
 	reply := call.Refused(call.NotAdmitted, call.ReasonOverload, ownerRetryAfter)
-	reply.Confirm = token
+	reply.ChallengeToken = token
 	return reply
 }
 
@@ -319,7 +319,7 @@
 		return true
 	}
 	verdict := o.config.Budgets.decide(r.Service, retry.Attempt{
-		FailedDownstream: reply.Deeper != call.ReasonNone,
+		FailedDownstream: reply.DownstreamFailure != call.ReasonNone,
 		AttemptsLeft:     r.AttemptsLeft,
 		TimeLeft:         time.Until(r.Deadline),
 		Candidates:       1, // the sender chooses the instance
--- a/internal/traffic/flow/home_test.go
+++ b/internal/traffic/flow/home_test.go
@@ -76,7 +76,7 @@
 		Key:          outcome.Mint(selfNode, uuidOf(time.Now())),
 		Deadline:     time.Now().Add(time.Minute),
 		AttemptsLeft: 1,
-		Entered:      entered,
+		ReceivedAt:   entered,
 	}
 }
 
@@ -155,7 +155,7 @@
 	is.Equal(local.runs, 1)
 	time.Sleep(time.Millisecond)
 	resend := *first
-	resend.Entered = time.Now()
+	resend.ReceivedAt = time.Now()
 	reply, err = x.callKeyed(t.Context(), selfMember, &resend)
 	is.NoErr(err)
 	is.Equal(reply.Outcome, call.Ran)
@@ -193,7 +193,7 @@
 	until := now + epochLength.Milliseconds()
 	return board.Board{
 		Members: board.Members{ByNode: map[string]membership.Member{earlier.Name: {Node: earlier.Name, Incarnation: earlier.Incarnation}}},
-		Homes: board.Homes{Shards: map[string]outcome.Shard{"lisbon": {Epochs: []outcome.Epoch{
+		KeyOwners: board.KeyOwners{Shards: map[string]outcome.Shard{"lisbon": {Epochs: []outcome.Epoch{
 			{Start: now - 1000, Until: now, Members: []outcome.Member{{Node: earlier}}},
 			{Start: now, Until: until, Members: []outcome.Member{{Node: selfNode}}},
 		}}}},
@@ -239,7 +239,7 @@
 		want    call.Reason
 	}{
 		"leaving":               {leaving: true, want: call.ReasonDraining},
-		"earlier owner is gone": {want: call.ReasonHomeUnreachable},
+		"earlier owner is gone": {want: call.ReasonOwnerUnreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/traffic/flow/keyed.go
+++ b/internal/traffic/flow/keyed.go
@@ -44,7 +44,7 @@
 	if r.Idempotent {
 		return k.config.Sender.Send(ctx, r)
 	}
-	r.Entered = time.Now()
+	r.ReceivedAt = time.Now()
 	if r.Key == "" {
 		r.KeyMinted = true
 		return k.config.Sender.Send(ctx, r)
@@ -86,7 +86,7 @@
 			return unknownIfResent(refusal, attempt.Resent)
 		}
 		if !k.silentNodes.isResponsive(ctx, target.PeerAddress) {
-			return unknownIfResent(call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, ownerRetryAfter), attempt.Resent)
+			return unknownIfResent(call.Refused(call.NotAdmitted, call.ReasonOwnerUnreachable, ownerRetryAfter), attempt.Resent)
 		}
 		reply, err := k.config.Sender.callOwner(ctx, target.Member, attempt)
 		k.silentNodes.observe(target.PeerAddress, err)
@@ -121,7 +121,7 @@
 
 // isNotOwnerReply reports whether the node refused because it does not own the key, or is handing its keys over.
 func isNotOwnerReply(r call.Reply) bool {
-	return r.Outcome == call.NotAdmitted && (r.Reason == call.ReasonDraining || r.Reason == call.ReasonHomeUnknown)
+	return r.Outcome == call.NotAdmitted && (r.Reason == call.ReasonDraining || r.Reason == call.ReasonOwnerUnknown)
 }
 
 // unknownIfResent changes the outcome of a refusal to unknown if an earlier copy was sent whose outcome is unknown.
@@ -140,7 +140,7 @@
 	if errors.As(err, &failure) && failure.Sent {
 		return call.Refused(call.Unknown, failure.Reason, 0)
 	}
-	return call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, ownerRetryAfter)
+	return call.Refused(call.NotAdmitted, call.ReasonOwnerUnreachable, ownerRetryAfter)
 }
 
 // keyLocation is the node that answers for a key.
@@ -163,7 +163,7 @@
 	}
 	refusal := noOwnerReply(key, time.Now(), k.config.Window)
 	owner, presumed := presumedOwner(b, k.config.Zones, service, key)
-	if !presumed || refusal.Reason != call.ReasonHomeUnknown {
+	if !presumed || refusal.Reason != call.ReasonOwnerUnknown {
 		return keyLocation{}, refusal, false
 	}
 	m, _, ok := memberFor(b, owner, useSuccessor)
@@ -173,9 +173,9 @@
 // presumedOwner returns the node to ask about a key whose owner is not agreed here. It returns none if the availability
 // zone of the last epoch is unreachable, because the outcome of the request would then be reported as unknown.
 func presumedOwner(b *board.Board, zones []string, service string, key outcome.Key) (outcome.Node, bool) {
-	shard := b.Homes.Shards[outcome.ShardOf(zones, key.Text)]
+	shard := b.KeyOwners.Shards[outcome.ShardOf(zones, key.Text)]
 	zone := shard.Last().Zone
-	_, unreached := b.Reach.Unreached[zone]
+	_, unreached := b.ZoneReachability.UnreachableSince[zone]
 	if unreached {
 		return outcome.Node{}, false
 	}
@@ -196,9 +196,9 @@
 	}
 	m, restarted := b.Members.ByNode[owner.Name]
 	if restarted {
-		return m, call.Refused(call.Unknown, call.ReasonHomeUnknown, 0), false
+		return m, call.Refused(call.Unknown, call.ReasonOwnerUnknown, 0), false
 	}
-	return m, call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, ownerRetryAfter), false
+	return m, call.Refused(call.NotAdmitted, call.ReasonOwnerUnreachable, ownerRetryAfter), false
 }
 
 // noOwnerReply returns the reply for a key without an agreed owner. A key whose time is outside the accepted range is
@@ -208,7 +208,7 @@
 	if key.Timed && (ahead < -window || ahead > maxKeyTimeAhead) {
 		return call.Refused(call.NotAdmitted, call.ReasonKeyTime, 0)
 	}
-	return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, ownerRetryAfter)
+	return call.Refused(call.NotAdmitted, call.ReasonOwnerUnknown, ownerRetryAfter)
 }
 
 // maxKeyTimeAhead is how far the time of a key may be ahead of the clock of this node before the key is refused for good.
@@ -320,7 +320,7 @@
 	}
 	refusal := call.Refused(call.NotRun, reply.Reason, reply.RetryAfter)
 	if reply.Reason == call.ReasonKeyTime {
-		refusal = call.Refused(call.NotRun, call.ReasonHomeUnknown, ownerRetryAfter)
+		refusal = call.Refused(call.NotRun, call.ReasonOwnerUnknown, ownerRetryAfter)
 	}
 	return refusal
 }
--- a/internal/traffic/flow/move.go
+++ b/internal/traffic/flow/move.go
@@ -40,7 +40,7 @@
 		case o.isLeaving():
 			return refusalReplies[outcome.RefuseClosed], false
 		case err != nil || !resolution.Known:
-			return call.Refused(call.NotAdmitted, call.ReasonHomeUnreachable, ownerRetryAfter), false
+			return call.Refused(call.NotAdmitted, call.ReasonOwnerUnreachable, ownerRetryAfter), false
 		case resolution.Fingerprint != 0 && resolution.Fingerprint != contentHash(r):
 			return refusalReplies[outcome.RefuseReused], false
 		case resolution.State == outcome.Moved:
@@ -49,7 +49,7 @@
 			return resolution.Reply, false
 		}
 		if !pause.For(ctx, ownerPollInterval) {
-			return call.Refused(call.NotAdmitted, call.ReasonHomeUnknown, ownerRetryAfter), false
+			return call.Refused(call.NotAdmitted, call.ReasonOwnerUnknown, ownerRetryAfter), false
 		}
 	}
 	return call.Reply{}, true
--- a/internal/traffic/flow/pace.go
+++ b/internal/traffic/flow/pace.go
@@ -25,16 +25,16 @@
 // typicalDurations tracks the typical duration of each kind of request, so that slow kinds are not queried at every
 // attempt.
 type typicalDurations struct {
-	byKind *call.UsualTimes[workKind]
+	byKind *call.TypicalDurations[workKind]
 }
 
 func newTypicalDurations() *typicalDurations {
-	return &typicalDurations{byKind: call.NewUsualTimes[workKind](0)} // the documents and routes limit the number of kinds
+	return &typicalDurations{byKind: call.NewTypicalDurations[workKind](0)} // the documents and routes limit the number of kinds
 }
 
 // observe adds the duration of one successful attempt.
 func (d *typicalDurations) observe(k workKind, duration time.Duration) {
-	d.byKind.Learn(k, duration)
+	d.byKind.Observe(k, duration)
 }
 
 // checkDelay returns how long a reply may take before the other node is queried.
--- a/internal/traffic/flow/presumed_test.go
+++ b/internal/traffic/flow/presumed_test.go
@@ -29,8 +29,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := &board.Board{
-				Homes: board.Homes{Shards: map[string]outcome.Shard{"lisbon_2": shard}},
-				Reach: board.Reach{Unreached: map[string]time.Time{test.unreached: {}}},
+				KeyOwners:        board.KeyOwners{Shards: map[string]outcome.Shard{"lisbon_2": shard}},
+				ZoneReachability: board.ZoneReachability{UnreachableSince: map[string]time.Time{test.unreached: {}}},
 			}
 			got, found := presumedOwner(b, []string{"lisbon_2"}, "bookings", test.key)
 			is.Equal(found, test.found)
--- a/internal/traffic/flow/receiver.go
+++ b/internal/traffic/flow/receiver.go
@@ -120,7 +120,7 @@
 	if !admitted {
 		v.config.CallTreeLimits.cancel(r, started)
 		v.counters.notStarted.Add(1)
-		refusal.Waited = time.Since(enqueued)
+		refusal.QueueingDelay = time.Since(enqueued)
 		return refusal
 	}
 	queueingDelay := time.Since(enqueued)
@@ -166,7 +166,7 @@
 	if !allowed || !v.requeueBudget.spend(!v.config.Gate.IsMoreUrgentPresent(r.Root.Rank)) {
 		return false
 	}
-	v.config.Requests.Emit(time.Now(), events.RequestWaitsAgain, events.Fields{
+	v.config.Requests.Emit(time.Now(), events.RequestRequeued, events.Fields{
 		"request":       r.Root.ID,
 		"attempt":       r.AttemptID,
 		"kind":          r.Kind,
@@ -181,7 +181,7 @@
 // finish records the end of a request that ran or that the backend server shed.
 func (v *Receiver) finish(r *call.Request, started trees.Start, queueingDelay time.Duration, result *backend.Result) {
 	v.config.CallTreeLimits.end(r, started, queueingDelay, *result)
-	result.Reply.Waited += queueingDelay
+	result.Reply.QueueingDelay += queueingDelay
 	v.counters.count(*result)
 	if result.ConnectionBroken {
 		v.config.Events.Emit(time.Now(), events.BackendFailed, events.Fields{"service": r.Service, "kind": r.Kind})
--- a/internal/traffic/flow/sender.go
+++ b/internal/traffic/flow/sender.go
@@ -158,8 +158,8 @@
 	s.tried = append(s.tried, node)
 	s.lastReply = reply
 	s.attemptsUsed += reply.AttemptsUsed
-	s.queueingDelay += reply.Waited
-	s.crossZoneBytes += reply.FarBytes
+	s.queueingDelay += reply.QueueingDelay
+	s.crossZoneBytes += reply.CrossZoneBytes
 	if isFreeRefusal(&reply) {
 		s.freeRefusals++
 	}
@@ -171,7 +171,7 @@
 // finalReply returns the reply for all attempts. If an earlier attempt may have run, a later refusal does not make the
 // outcome not_run.
 func (s *sendState) finalReply(reply call.Reply) call.Reply {
-	reply.AttemptsUsed, reply.Waited, reply.FarBytes = s.attemptsUsed, s.queueingDelay, s.crossZoneBytes
+	reply.AttemptsUsed, reply.QueueingDelay, reply.CrossZoneBytes = s.attemptsUsed, s.queueingDelay, s.crossZoneBytes
 	if s.mayHaveRun && reply.Outcome != call.Ran {
 		reply.Outcome = call.Unknown
 	}
@@ -184,7 +184,7 @@
 func (s *Sender) choose(r *call.Request, tried []string) (membership.Member, bool) {
 	b := s.config.Board.Snapshot()
 	members := b.Members.ByService[r.Service]
-	chosen, ok := s.views.choose(r.Service, members, time.Now(), routing.Request{Rank: r.Root.Rank, Kind: r.Kind, IsCall: r.Depth > 0, Target: r.Target, Tried: tried})
+	chosen, ok := s.views.choose(r.Service, members, time.Now(), routing.Request{Rank: r.Root.Rank, Kind: r.Kind, IsCall: r.Depth > 0, Target: r.TargetLatency, Tried: tried})
 	if !ok {
 		return membership.Member{}, false
 	}
@@ -196,7 +196,7 @@
 	attempt := *r
 	attempt.AttemptID = newAttemptID()
 	attempt.AttemptsLeft = max(attemptsLeft, 0)
-	attempt.IsFar = target.Zone != s.config.Board.Snapshot().Self.Zone
+	attempt.IsCrossZone = target.Zone != s.config.Board.Snapshot().Self.Zone
 	if r.KeyMinted {
 		mintKey(&attempt, target)
 		r.Key = attempt.Key
@@ -207,8 +207,8 @@
 	reply := s.transmit(ctx, target, &attempt)
 	s.views.end(target.Node, start, time.Now(), r, reply)
 	s.config.Reachability.observe(target.Node, &reply, time.Since(start))
-	if attempt.IsFar {
-		reply.FarBytes += exchangedBytes(r, &reply)
+	if attempt.IsCrossZone {
+		reply.CrossZoneBytes += exchangedBytes(r, &reply)
 	}
 	return reply
 }
@@ -276,7 +276,7 @@
 		Idempotent:       r.Idempotent,
 		Started:          reply.Outcome == call.Ran || reply.Outcome == call.Unknown,
 		Final:            reply.Final,
-		FailedDownstream: reply.Deeper != call.ReasonNone,
+		FailedDownstream: reply.DownstreamFailure != call.ReasonNone,
 		AttemptsLeft:     r.Attempts.Left(),
 		TimeLeft:         time.Until(r.Deadline),
 		Candidates:       candidates,
--- a/internal/traffic/flow/sender_test.go
+++ b/internal/traffic/flow/sender_test.go
@@ -38,12 +38,12 @@
 func TestFinalReplySumsQueueingDelay(t *testing.T) {
 	is := is.New(t)
 	refused := call.Refused(call.NotRun, call.ReasonQueueTimeout, 0)
-	refused.Waited = 300 * time.Millisecond
-	ran := call.Reply{Outcome: call.Ran, Status: 200, Waited: 20 * time.Millisecond, FarBytes: 800}
+	refused.QueueingDelay = 300 * time.Millisecond
+	ran := call.Reply{Outcome: call.Ran, Status: 200, QueueingDelay: 20 * time.Millisecond, CrossZoneBytes: 800}
 	var state sendState
 	state.record("near", refused)
 	state.record("far", ran)
 	final := state.finalReply(ran)
-	is.Equal(final.Waited, 320*time.Millisecond)
-	is.Equal(final.FarBytes, int64(800))
+	is.Equal(final.QueueingDelay, 320*time.Millisecond)
+	is.Equal(final.CrossZoneBytes, int64(800))
 }
--- a/internal/traffic/flow/trees.go
+++ b/internal/traffic/flow/trees.go
@@ -65,7 +65,7 @@
 	defer l.mu.Unlock()
 	l.limits.End(time.Now(), start, trees.Sample{
 		Duration:      queueingDelay + result.HoldTime,
-		QueueingDelay: queueingDelay + result.Downstream.Waited,
+		QueueingDelay: queueingDelay + result.Downstream.QueueingDelay,
 		Calls:         result.Downstream.Calls,
 		Refused:       isOverload(result.Downstream.Failure),
 	})
--- a/internal/traffic/flow/trees_test.go
+++ b/internal/traffic/flow/trees_test.go
@@ -22,7 +22,7 @@
 			for start, _, ok := limits.begin(r, 36); ok; start, _, ok = limits.begin(r, 36) {
 				running = append(running, start)
 			}
-			limits.end(r, running[0], queueingDelay, backend.Result{HoldTime: 500 * time.Millisecond, Downstream: call.Below{Calls: 2}})
+			limits.end(r, running[0], queueingDelay, backend.Result{HoldTime: 500 * time.Millisecond, Downstream: call.DownstreamSummary{Calls: 2}})
 			running = running[1:]
 		}
 		value, _ := limits.limit("sheet")
--- a/internal/traffic/flow/views.go
+++ b/internal/traffic/flow/views.go
@@ -99,7 +99,7 @@
 		AllShed: acceptsNoWork(&reply),
 
 		Bytes:                    exchangedBytes(r, &reply),
-		DownstreamCrossZoneBytes: reply.FarBytes,
+		DownstreamCrossZoneBytes: reply.CrossZoneBytes,
 	})
 }
 
@@ -110,7 +110,7 @@
 // routingResult returns what a reply shows about the instance. Failures further down the call chain are not attributed to
 // it.
 func routingResult(reply *call.Reply, elapsed time.Duration) routing.Result {
-	if reply.Deeper != call.ReasonNone {
+	if reply.DownstreamFailure != call.ReasonNone {
 		return routing.Neutral
 	}
 	switch reply.Failure() {
--- a/internal/traffic/flow/views_test.go
+++ b/internal/traffic/flow/views_test.go
@@ -20,7 +20,7 @@
 	}{
 		"successful reply":                {call.Reply{Outcome: call.Ran, Status: 404}, 0, routing.Good},
 		"server error":                    {call.Reply{Outcome: call.Ran, Status: 500}, 0, routing.Failed},
-		"server error from downstream":    {call.Reply{Outcome: call.Ran, Status: 500, Deeper: call.ReasonOverload}, 0, routing.Neutral},
+		"server error from downstream":    {call.Reply{Outcome: call.Ran, Status: 500, DownstreamFailure: call.ReasonOverload}, 0, routing.Neutral},
 		"shed":                            {call.Refused(call.NotRun, call.ReasonOverload, 0), 0, routing.Shed},
 		"leaving":                         {call.Refused(call.NotRun, call.ReasonDraining, 0), 0, routing.Shed},
 		"node is unreachable":             {call.Refused(call.NotRun, call.ReasonPeerUnreachable, 0), 0, routing.Failed},
--- a/internal/traffic/peer/client.go
+++ b/internal/traffic/peer/client.go
@@ -58,7 +58,7 @@
 	if r.NewConnection {
 		return c.pool.UseNew(ctx, address, f)
 	}
-	return c.pool.UseFor(ctx, UseOptions{Address: address, Rank: r.Root.Rank, Compress: r.IsFar}, f)
+	return c.pool.UseFor(ctx, UseOptions{Address: address, Rank: r.Root.Rank, Compress: r.IsCrossZone}, f)
 }
 
 // Call sends one attempt to the node at the address and returns its reply.
