--- a/internal/traffic/call/attempts.go
+++ b/internal/traffic/call/attempts.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Attempts is the pool of further attempts that one request may spend, together with all calls below it. Every unit
-// is in exactly one place: left in the pool, lent to a call, or used. So the attempts spent below a root request
-// never exceed what its first pool held.
+// Attempts is the attempt allowance that a request shares with all calls below it in the call tree. Each attempt in it
+// is in exactly one state: left, lent to a call, or used. The attempts used below a root request therefore never exceed
+// the allowance of the root request.
 type Attempts struct {
 	mu     sync.Mutex
 	left   int
@@ -13,12 +13,12 @@
 	closed bool
 }
 
-// NewAttempts returns a pool of so many attempts.
+// NewAttempts returns an allowance of the given number of attempts. A negative number counts as 0.
 func NewAttempts(allowed int) *Attempts {
 	return &Attempts{left: max(allowed, 0)}
 }
 
-// Take spends one attempt and reports whether there was one.
+// Take uses one attempt and reports whether one was left.
 func (a *Attempts) Take() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -30,8 +30,8 @@
 	return true
 }
 
-// Lend hands the larger half of what is left to one call. The rest stays for calls in parallel, and for another
-// attempt where the reply that would tell what the call has used is lost.
+// Lend lends half of the attempts left, rounded up, to one call and returns their number. The rest stays for parallel
+// calls, and for a retry if the reply that reports the attempts used by the call is lost.
 func (a *Attempts) Lend() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -41,7 +41,7 @@
 	return lent
 }
 
-// Return takes back what a call did not use of the attempts lent to it.
+// Return takes back the unused attempts of those lent to a call. It does nothing after Close.
 func (a *Attempts) Return(lent, used int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -54,8 +54,8 @@
 	a.used += used
 }
 
-// Close empties the pool and returns how many attempts were spent. Calls that have not ended count as if they had
-// spent all that was lent to them, and what they return later is void.
+// Close ends the allowance and returns the number of attempts used. A call that has not ended counts as having used all
+// attempts lent to it; attempts that it returns later are ignored.
 func (a *Attempts) Close() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,7 +65,7 @@
 	return a.used
 }
 
-// Left returns how many attempts are neither lent nor used.
+// Left returns the number of attempts that are neither lent nor used.
 func (a *Attempts) Left() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/traffic/call/attempts_test.go
+++ b/internal/traffic/call/attempts_test.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// callTree is one root request with random calls, failures, lost replies and early answers.
+// callTree simulates one root request with random calls, failures, lost replies and replies sent before all calls ended.
 type callTree struct {
 	t       *rapid.T
 	depth   int
@@ -25,7 +25,8 @@
 	return rapid.IntRange(0, 2).Draw(w.t, label) == 0
 }
 
-// send sends one request to the level until it succeeds or may not be tried again.
+// send sends one request to a backend server at the given level of the tree, and retries it until it succeeds or no retry
+// is allowed.
 func (w *callTree) send(pool *call.Attempts, level int) (failed bool) {
 	for {
 		lent := pool.Lend()
@@ -52,8 +53,8 @@
 	}
 }
 
-// run is one run on a backend server of the level, which may make one call beside the others and answer before that
-// one has ended.
+// run executes a request on a backend server at the given level. Besides its sequential calls, the backend server may make
+// one parallel call, and may reply before that call has ended.
 func (w *callTree) run(level, lent int) call.Reply {
 	w.runs[level]++
 	chain := call.NewChains().Begin(w.t.Context(), "token", &call.Request{AttemptsLeft: lent})
@@ -86,7 +87,8 @@
 	return reply
 }
 
-// finishLentCall runs a call to which attempts were lent before and returns them, perhaps after the pool is closed.
+// finishLentCall executes a call to which attempts were lent earlier and returns the unused ones to the pool, which may be
+// closed by then.
 func (w *callTree) finishLentCall(pool *call.Attempts, lent, level int) {
 	reply := w.run(level, lent)
 	pool.Return(lent, reply.AttemptsUsed)
@@ -123,9 +125,9 @@
 	pool := call.NewAttempts(3)
 	first, second := pool.Lend(), pool.Lend()
 	is.Equal(first, 2)
-	is.Equal(second, 1) // a call in parallel gets a part
+	is.Equal(second, 1) // the rest stays for a parallel call
 	pool.Return(first, 0)
-	is.Equal(pool.Close(), 1) // what is still lent counts as used
+	is.Equal(pool.Close(), 1) // attempts that are still lent count as used
 	pool.Return(second, 0)
 	is.Equal(pool.Left(), 0)
 	is.True(!pool.Take())
@@ -136,12 +138,12 @@
 		reply call.Reply
 		want  call.Reason
 	}{
-		"good answer":     {call.Reply{Outcome: call.Ran, Status: 200}, call.ReasonNone},
-		"not found":       {call.Reply{Outcome: call.Ran, Status: 404}, call.ReasonNone},
-		"shed by server":  {call.Reply{Outcome: call.Ran, Status: 503}, call.ReasonOverload},
-		"server's fault":  {call.Reply{Outcome: call.Ran, Status: 500}, call.ReasonBackendFailed},
-		"refused":         {call.Refused(call.NotRun, call.ReasonDraining, 0), call.ReasonDraining},
-		"without a cause": {call.Reply{Outcome: call.Unknown}, call.ReasonBackendFailed},
+		"successful reply": {call.Reply{Outcome: call.Ran, Status: 200}, call.ReasonNone},
+		"not found":        {call.Reply{Outcome: call.Ran, Status: 404}, call.ReasonNone},
+		"shed by server":   {call.Reply{Outcome: call.Ran, Status: 503}, call.ReasonOverload},
+		"server error":     {call.Reply{Outcome: call.Ran, Status: 500}, call.ReasonBackendFailed},
+		"refused":          {call.Refused(call.NotRun, call.ReasonDraining, 0), call.ReasonDraining},
+		"without a reason": {call.Reply{Outcome: call.Unknown}, call.ReasonBackendFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is.New(t).Equal(test.reply.Failure(), test.want)
--- a/internal/traffic/call/call.go
+++ b/internal/traffic/call/call.go
@@ -1,9 +1,10 @@
-// Package call holds the messages of the traffic side: a request on its way to a backend server, the reply that
-// comes back, and the outcome and reason that a caller is told.
+// Package call defines the messages that the traffic packages exchange: a request on its way to a backend server, its
+// reply, and the outcome and reason that are reported to the caller. It also holds the state of the requests that run
+// on the local backend server and of the calls that they make.
 //
 // # Usage
 //
-// The caller side builds a Request from HTTP, the flow passes it on, and every layer answers with a Reply:
+// Package caller builds a Request from an HTTP request, package flow forwards it, and every layer returns a Reply:
 //
 //	reply := call.Refused(call.NotRun, call.ReasonOverload, 250*time.Millisecond)
 package call
@@ -13,18 +14,18 @@
 	"time"
 )
 
-// Outcome says what a caller may rely on about its request.
+// Outcome tells a caller whether its request ran or may have run.
 type Outcome int
 
-// The outcomes, from docs/CALLERS.md.
+// The outcomes that docs/CALLERS.md defines.
 const (
-	// Unknown means that the request may have run; nobody will run it again.
+	// Unknown means that the request may have run. No node will run it again.
 	Unknown Outcome = iota
-	// Ran means that the reply is the backend server's own whole answer.
+	// Ran means that the reply is the complete response of the backend server.
 	Ran
-	// NotRun means that the request under its key has not run and that no late copy can still run.
+	// NotRun means that the request has not run under its key, and that no delayed copy of it can still run.
 	NotRun
-	// NotAdmitted means that this attempt started nothing; an earlier attempt under the same key may have.
+	// NotAdmitted means that this attempt did not run. An earlier attempt under the same key may have run.
 	NotAdmitted
 )
 
@@ -35,29 +36,29 @@
 	NotAdmitted: "not_admitted",
 }
 
-// String returns the name that the outcome header carries.
+// String returns the name of the outcome as sent in the outcome header.
 func (o Outcome) String() string {
 	return outcomeNames[o]
 }
 
-// Root identifies the request of a caller from which a chain of calls grew. Every call of the chain carries it.
+// Root describes the root request of a call tree. Every call in the tree carries it.
 type Root struct {
 	// ID is unique to the root request.
 	ID string
-	// Start is when the entry node took the root request.
+	// Start is the time at which the entry node received the root request.
 	Start time.Time
-	// Rank is the rank of the root's kind; 0 is the most urgent.
+	// Rank is the rank of the root request's kind; 0 is the most urgent.
 	Rank int
-	// Caller names who sent the root request, for fairness between callers.
+	// Caller is the name of the sender of the root request. It is used to share capacity fairly between callers.
 	Caller string
 }
 
-// Request is one request on its way to a backend server.
+// Request is an attempt to run a request on a backend server.
 type Request struct {
-	// AttemptID is unique to this attempt to run the request.
+	// AttemptID is unique to this attempt.
 	AttemptID string
 	Root      Root
-	// Depth is 0 for a root request and grows by one for each call down the chain.
+	// Depth is the number of calls between the root request and this one; 0 for a root request.
 	Depth      int
 	Service    string
 	Kind       string
@@ -66,54 +67,56 @@
 	Header     http.Header
 	Body       []byte
 	Idempotent bool
-	// Key names a non-idempotent request for all of its attempts.
+	// Key is the idempotency key that all attempts of a non-idempotent request share.
 	Key string
-	// KeyMinted says that the entry node made the key for this very request.
+	// KeyMinted is whether the entry node generated the key for this request.
 	KeyMinted bool
 	Deadline  time.Time
-	// CallerDeadline is until when the caller waits, which may be longer; it is not passed on.
+	// CallerDeadline is the time until which the caller waits; it may be later than Deadline. It is not sent to other nodes.
 	CallerDeadline time.Time
-	// TargetLatency is the time within which an answer is worth most, 0 for none; it is not passed on.
+	// TargetLatency is the latency up to which a response has its full value; 0 for none. It is not sent to other nodes.
 	TargetLatency time.Duration
-	// AttemptsLeft is how many further attempts the whole chain below may spend.
+	// AttemptsLeft is the attempt allowance of the request and of all calls below it.
 	AttemptsLeft int
-	// Attempts is the pool that AttemptsLeft comes from on the node that sends the request; it is not passed on.
+	// Attempts is the allowance on the sending node from which AttemptsLeft is lent. It is not sent to other nodes.
 	Attempts *Attempts
-	// Resends is how often the caller says that it has sent the request before.
+	// Resends is the number of times that the caller has sent the request before, as reported by the caller.
 	Resends int
-	// NewConnection says that an earlier attempt went out on a connection that was silent, so that no kept one is
-	// trusted; it is not passed on.
+	// NewConnection is whether the attempt has to use a new connection, because an earlier attempt got no response on its
+	// connection and no persistent one is trusted after that. It is not sent to other nodes.
 	NewConnection bool
-	// IsCrossZone says that the attempt goes to another availability zone; it is not passed on.
+	// IsCrossZone is whether the attempt goes to another availability zone. It is not sent to other nodes.
 	IsCrossZone bool
-	// Spilled says that the sender's own zone has instances of the service, and that the attempt goes to another zone.
+	// Spilled is whether the attempt goes to another availability zone although the sender's zone has instances of the
+	// service.
 	Spilled bool
-	// Crashes is how many backend servers crashed, as far as the sender knows, while they ran the request.
+	// Crashes is the number of backend servers that crashed while they ran the request, as far as the sender knows.
 	Crashes int
-	// SourceNode is the node that sent the request here; empty at the entry.
+	// SourceNode is the node that sent the request to this node; empty on the entry node.
 	SourceNode string
-	// Delegated says that the key's home passed the request on to be run.
+	// Delegated is whether the key owner forwarded the request to this node to run it.
 	Delegated bool
-	// ReceivedAt is when the sending node took the request, by this node's clock and without the time on the way.
+	// ReceivedAt is the time at which the sending node received the request, converted to this node's clock. The
+	// conversion ignores the transit time between the nodes.
 	ReceivedAt time.Time
-	// ChallengeToken is the token of the challenge that this copy answers.
+	// ChallengeToken is the token of the challenge that this copy of the request responds to.
 	ChallengeToken string
-	// Resent says that an earlier copy was sent whose fate is open.
+	// Resent is whether an earlier copy was sent whose outcome is unknown.
 	Resent bool
-	// TargetIncarnation is the process that the attempt is meant for; 0 for any.
+	// TargetIncarnation is the incarnation of the node that the attempt is meant for; 0 for any.
 	TargetIncarnation uint64
 }
 
-// Load is what a node reports about its own backend server with each reply.
+// Load is the load of a node's backend server, which the node reports with each reply.
 type Load struct {
 	InFlight int `json:"in_flight"`
 	Queued   int `json:"queued"`
 	Limit    int `json:"limit"`
-	// SheddingRank is the most urgent rank that is being shed; 0 for none.
+	// SheddingRank is the most urgent rank of which requests are being shed; 0 for none.
 	SheddingRank int `json:"shedding_rank"`
 }
 
-// Reply is the answer to one Request.
+// Reply is the reply to a Request.
 type Reply struct {
 	Outcome    Outcome
 	Reason     Reason
@@ -121,25 +124,25 @@
 	Status     int
 	Header     http.Header
 	Body       []byte
-	// AttemptsUsed is how much of AttemptsLeft was spent below.
+	// AttemptsUsed is the number of attempts used of the request's AttemptsLeft.
 	AttemptsUsed int
-	// Final forbids further attempts by anybody up the chain.
+	// Final is whether no node up the call chain may retry the request.
 	Final bool
-	// DownstreamFailure is why a call further down the chain failed, where that made this reply a failure. Only the node next
-	// to a failure may try again, so such a reply is passed up.
+	// DownstreamFailure is the reason of the downstream failure that caused this one, or ReasonNone. Only the node next to
+	// a failure may retry, so the nodes above return such a reply to their callers.
 	DownstreamFailure Reason
 	Load              Load
-	// QueueingDelay is how long the request, and the calls down its chain, stood in queues.
+	// QueueingDelay is the total queueing delay of the request and of the calls below it.
 	QueueingDelay time.Duration
-	// CrossZoneBytes is how many bytes the request, where it came from another availability zone, and the calls down its chain sent
-	// between zones. A node reports those of the calls; its sender adds the request's own.
+	// CrossZoneBytes is the number of bytes sent between availability zones for the request and for the calls below it. The
+	// node that runs the request reports the bytes of the calls; the sender adds those of the request itself.
 	CrossZoneBytes int64
-	// ChallengeToken is the token of a challenge: the request runs only if it is sent again with it.
+	// ChallengeToken is the token of a challenge: the request runs only if it is sent again with this token.
 	ChallengeToken string
 }
 
-// Failure returns why the reply is no good answer, or ReasonNone. An answer of the backend server is judged by its
-// status.
+// Failure returns the reason why the reply counts as a failure, or ReasonNone for a success. A response of the backend
+// server is classified by its status.
 func (r *Reply) Failure() Reason {
 	switch {
 	case r.Outcome != Ran && r.Reason != ReasonNone:
@@ -154,7 +157,7 @@
 	return ReasonNone
 }
 
-// Refused returns the reply to a request that was given up for the reason.
+// Refused returns the reply to a request that was refused or abandoned for the given reason.
 func Refused(outcome Outcome, reason Reason, retryAfter time.Duration) Reply {
 	return Reply{
 		Outcome:    outcome,
@@ -165,7 +168,8 @@
 	}
 }
 
-// Cause returns the failure that the reply goes back to: that of a call further down, else its own.
+// Cause returns the original failure behind the reply: the downstream failure if there is one, otherwise the reply's own.
+// It returns ReasonNone for a success.
 func (r *Reply) Cause() Reason {
 	failure := r.Failure()
 	if failure != ReasonNone && r.DownstreamFailure != ReasonNone {
--- a/internal/traffic/call/chain.go
+++ b/internal/traffic/call/chain.go
@@ -8,49 +8,55 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/lineage"
 )
 
-// Chain is a request that runs on the local backend server. Calls that the backend server makes for it inherit its
-// root, its deadline and its attempts, whatever their headers say.
+// Chain is the state of a request that runs on the local backend server. Calls that carry its token inherit its root, its
+// deadline and its attempt allowance, regardless of their headers. Calls that are assigned to it by inference inherit only
+// its root.
 type Chain struct {
 	Root     Root
 	Depth    int
 	Kind     string
 	Started  time.Time
 	Deadline time.Time
-	// Context ends with the request, so that its calls end too.
+	// Context is canceled when the request ends, which also ends its calls.
 	Context context.Context
 
-	// Attempts are what the calls down the chain may spend together.
+	// Attempts is the attempt allowance that all calls below the request share.
 	Attempts *Attempts
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// failure is the cause of the most recent failure of a call, or ReasonNone.
 	failure Reason
-	// openCalls are the calls down the chain that have not ended.
-	openCalls    map[*Child]bool
+	// openCalls holds the calls that have not ended.
+	openCalls map[*Child]bool
+	// openSince is the time since which at least one call has been open. It is valid only while openCalls is not empty.
 	openSince    time.Time
 	lastChildEnd time.Time
-	childTime    time.Duration
-	// callsInferred says that it is a guess which calls are those of the request. A failure after some of them is then taken
-	// for one of a call.
+	// childTime is the total time during which at least one call was open, without the current period.
+	childTime time.Duration
+	// callsInferred is whether calls were assigned to the request by inference. If the request then fails after any
+	// calls, the failure is attributed to a call.
 	callsInferred bool
-	// endedCalls counts the calls down the chain, and waited is how long they stood in queues.
+	// endedCalls is the number of calls that have ended, and queueingDelay their total queueing delay.
 	endedCalls    int
 	queueingDelay time.Duration
-	// crossZoneBytes is how many bytes they sent between availability zones.
+	// crossZoneBytes is the number of bytes that the ended calls sent between availability zones.
 	crossZoneBytes int64
 }
 
-// DownstreamSummary is what the calls of a request came to.
+// DownstreamSummary sums up the calls that a request has made.
 type DownstreamSummary struct {
+	// Calls is the number of calls that the request made itself, including those that have not ended.
 	Calls int
-	// QueueingDelay is how long they, and those below them, stood in queues.
+	// QueueingDelay is the total queueing delay of the calls and of all calls below them.
 	QueueingDelay time.Duration
-	// CrossZoneBytes is how many bytes they sent between availability zones.
+	// CrossZoneBytes is the number of bytes sent between availability zones for the calls and for all calls below them.
 	CrossZoneBytes int64
-	// Failure is why one of them failed, or ReasonNone.
+	// Failure is the cause of the most recent failure of a call, or ReasonNone.
 	Failure Reason
 }
 
-// Downstream returns what the calls have come to. What one that hasn't ended takes longer than is usual counts as waiting.
+// Downstream returns the summary of the calls made until now. For a call that has not ended, the time by which it exceeds
+// the typical duration of its kind counts as queueing delay.
 func (c *Chain) Downstream(now time.Time) DownstreamSummary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +67,7 @@
 	return summary
 }
 
-// RecordReply takes in the reply to a call down the chain.
+// RecordReply records the reply to a call that the request made.
 func (c *Chain) RecordReply(reply *Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,8 +79,7 @@
 	}
 }
 
-// CompleteReply completes the reply to the request: the attempts that were spent below, and whether its failure came from
-// further down.
+// CompleteReply sets the number of attempts used below the request and, if the reply is a failure, its downstream cause.
 func (c *Chain) CompleteReply(reply *Reply) {
 	reply.AttemptsUsed = c.Attempts.Close()
 	if reply.Failure() == ReasonNone {
@@ -100,14 +105,15 @@
 	return lineage.RunningRequest{Kind: c.Kind, Started: c.Started, Deadline: c.Deadline, HasOpenCall: len(c.openCalls) > 0, LastCallEnd: c.lastChildEnd}
 }
 
-// Child is a call down the chain that has not ended.
+// Child is a call that a running request has made and that has not ended.
 type Child struct {
 	start time.Time
-	// typicalDuration is how long calls of its kind take without what they wait.
+	// typicalDuration is the typical duration of calls of this kind, without queueing delay.
 	typicalDuration time.Duration
 }
 
-// BeginChild marks the start of a call down the chain, of a kind that usually takes so long without what it waits.
+// BeginChild records the start of a call. typicalDuration is the typical duration of calls of its kind, without queueing
+// delay.
 func (c *Chain) BeginChild(now time.Time, typicalDuration time.Duration) *Child {
 	child := &Child{start: now, typicalDuration: typicalDuration}
 	c.mu.Lock()
@@ -120,7 +126,7 @@
 	return child
 }
 
-// EndChild marks the end of a call down the chain.
+// EndChild records the end of a call.
 func (c *Chain) EndChild(now time.Time, child *Child) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,8 +137,8 @@
 	}
 }
 
-// ChildTime returns how long the request has waited for calls down the chain until now, also for one that hasn't
-// ended. That says nothing about the backend server that made them.
+// ChildTime returns for how long the request has waited for its calls until now, including those that have not ended.
+// This time is not part of the backend server's service time.
 func (c *Chain) ChildTime(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,21 +148,23 @@
 	return c.childTime
 }
 
-// Chains holds the requests that run on the local backend server, by the token that the backend server got with
-// each. A token that is not in it grants nothing.
+// Chains holds the requests that run on the local backend server, by the token that was sent to the backend server with
+// each. A call with an unknown token inherits nothing.
 type Chains struct {
 	mu      sync.RWMutex
 	byToken map[string]*Chain
-	// canceled holds the tokens of requests that were canceled while they ran, and canceledOrder the oldest first.
+	// canceled holds the tokens of requests that were canceled while they ran; canceledOrder holds the same tokens,
+	// oldest first.
 	canceled      map[string]bool
 	canceledOrder []string
-	// matcher finds the requests of calls without a token, among candidates, which are the same as running.
+	// matcher infers which running request made a call that has no token. candidates and runningRequests are reused
+	// between calls of Parent and describe the same requests in the same order.
 	matcher         *lineage.Matcher
 	candidates      []*Chain
 	runningRequests []lineage.RunningRequest
 }
 
-// maxCanceledTokens is how many tokens of canceled requests are remembered.
+// maxCanceledTokens is the number of tokens of canceled requests that are remembered.
 const maxCanceledTokens = 4096
 
 // NewChains returns an empty table.
@@ -164,7 +172,8 @@
 	return &Chains{byToken: map[string]*Chain{}, canceled: map[string]bool{}, matcher: lineage.NewMatcher()}
 }
 
-// Begin enters a request under the token and returns its chain.
+// Begin adds a request under the token and returns its state. ctx ends with the request; if it has ended before End
+// is called, the request counts as canceled.
 func (t *Chains) Begin(ctx context.Context, token string, r *Request) *Chain {
 	c := &Chain{
 		Root:     r.Root,
@@ -181,8 +190,8 @@
 	return c
 }
 
-// End removes the request under the token. The token of a request that was canceled is remembered, so that a backend
-// server that works on regardless can't start calls for it.
+// End removes the request under the token. The token of a canceled request is remembered, so that a backend server that
+// continues to work on it cannot make calls for it.
 func (t *Chains) End(token string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -205,15 +214,16 @@
 	}
 }
 
-// Find returns the chain under the token, or nil.
+// Find returns the running request under the token, or nil.
 func (t *Chains) Find(token string) *Chain {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.byToken[token]
 }
 
-// Parent returns the running request that a call without a token was most likely made for, or nil, and reports whether it is
-// a call at all. Both are guesses.
+// Parent returns the running request that most likely made a call without a token, or nil if none matches. It also
+// reports whether the request is likely to be a call of the local backend server at all. Both results are inferred and may
+// be wrong.
 func (t *Chains) Parent(now time.Time, c lineage.Call) (*Chain, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/traffic/call/chain_test.go
+++ b/internal/traffic/call/chain_test.go
@@ -10,14 +10,14 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-func TestChildTimeCountsCallsThatGoOn(t *testing.T) {
+func TestChildTimeIncludesOpenCalls(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 	chain := &call.Chain{}
 	is.Equal(chain.ChildTime(at(0)), time.Duration(0))
 	first := chain.BeginChild(at(10), 0)
-	second := chain.BeginChild(at(20), 0) // beside the first
+	second := chain.BeginChild(at(20), 0) // overlaps the first
 	chain.EndChild(at(30), first)
 	chain.EndChild(at(40), second)
 	is.Equal(chain.ChildTime(at(50)), 30*time.Millisecond)
@@ -25,9 +25,9 @@
 	is.Equal(chain.ChildTime(at(100)), 70*time.Millisecond)
 }
 
-// Pattern: a flood of requests that run out of time while their calls wait. What such a call takes longer than usual has
-// been waiting, though no reply says so.
-func TestCallsThatWaitAtTheEndCount(t *testing.T) {
+// In a flood, requests reach their deadlines while their calls still wait in queues, and no reply reports the queueing
+// delay of these calls. The time by which an open call exceeds its typical duration must count as queueing delay.
+func TestQueueingDelayIncludesOpenCalls(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	chain := &call.Chain{}
@@ -39,9 +39,9 @@
 	is.Equal(chain.Downstream(start.Add(480*time.Millisecond)), call.DownstreamSummary{Calls: 2, QueueingDelay: 380 * time.Millisecond})
 }
 
-// Where it is a guess which calls are whose, a request that fails after calls isn't held against its backend server: the
-// failed call may have been taken for another request's.
-func TestFailureAfterGuessedCallsIsDeeper(t *testing.T) {
+// When calls are assigned to requests by inference, a failed call may have been assigned to another request. A request that
+// fails after any calls must therefore not count as a failure of its backend server.
+func TestFailureAfterInferredCallsIsDownstream(t *testing.T) {
 	for name, test := range map[string]struct {
 		calls int
 		want  call.Reason
@@ -54,7 +54,7 @@
 			now := time.Now()
 			chains := call.NewChains()
 			chain := chains.Begin(t.Context(), "a", &call.Request{Kind: "sheets", Deadline: now.Add(time.Second)})
-			for n := range test.calls * 20 { // the first ones show that the kind is made up of calls
+			for n := range test.calls * 20 { // the first ones train the matcher that the kind consists of calls
 				later := now.Add(time.Duration(10+n) * time.Millisecond)
 				_, _ = chains.Parent(later, lineage.Call{Kind: "keys", Expires: now.Add(time.Second)})
 			}
--- a/internal/traffic/call/reason.go
+++ b/internal/traffic/call/reason.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// Reason says why a request was not answered by its backend server.
+// Reason is the reason why a request got no response from its backend server.
 type Reason string
 
-// The reasons. The catalogue below gives each one's HTTP status and text.
+// The reasons. Reasons holds their HTTP statuses and texts.
 const (
 	ReasonNone             Reason = ""
 	ReasonBadRequest       Reason = "bad_request"
@@ -39,12 +39,12 @@
 // ReasonEntry is the catalogue entry of one reason.
 type ReasonEntry struct {
 	Status int
-	// Final says that no node up the chain may try again.
+	// Final is whether no node up the call chain may retry the request.
 	Final bool
 	Text  string
 }
 
-// Reasons is the catalogue from which docs/REASONS.md is made.
+// Reasons is the catalogue of reasons, from which docs/REASONS.md is generated.
 var Reasons = map[Reason]ReasonEntry{
 	ReasonNone:             {Status: http.StatusOK, Text: "The backend server answered."},
 	ReasonBadRequest:       {Status: http.StatusBadRequest, Final: true, Text: "A header or the path is malformed; the text names the field."},
--- a/internal/traffic/call/usual.go
+++ b/internal/traffic/call/usual.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// averageWeight is the weight of one time in the mean of its kind.
+// averageWeight is the weight of a new duration in the moving average of its kind.
 const averageWeight = 0.1
 
-// TypicalDurations are the mean times of requests by their kind. It is safe for concurrent use.
+// TypicalDurations holds the moving average of the durations of requests by kind. It is safe for concurrent use.
 type TypicalDurations[K comparable] struct {
-	// maxKinds bounds the kinds that are known.
+	// maxKinds is the maximum number of kinds; 0 for no limit.
 	maxKinds int
 
 	mu     sync.Mutex
 	byKind map[K]time.Duration
 }
 
-// NewTypicalDurations returns the times of so many kinds at most; 0 for no bound.
+// NewTypicalDurations returns a TypicalDurations for at most maxKinds kinds; 0 for no limit.
 func NewTypicalDurations[K comparable](maxKinds int) *TypicalDurations[K] {
 	return &TypicalDurations[K]{maxKinds: maxKinds, byKind: map[K]time.Duration{}}
 }
 
-// Of returns the usual time of the kind; 0 where none is known.
+// Of returns the typical duration of the kind, or 0 if none is known.
 func (d *TypicalDurations[K]) Of(kind K) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.byKind[kind]
 }
 
-// Observe takes in the time of one request.
+// Observe records the duration of one request. It ignores a new kind if the maximum number of kinds is reached.
 func (d *TypicalDurations[K]) Observe(kind K, duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
