--- a/internal/traffic/caller/conns.go
+++ b/internal/traffic/caller/conns.go
@@ -7,8 +7,9 @@
 	"sync"
 )
 
-// ReportIncompleteRequests makes the server tell of each connection that sent something and ended before it had sent a whole
-// request head: a slow caller cut off by the header timeout, or bytes that are no HTTP. It is called before Serve.
+// ReportIncompleteRequests makes the server call report with the remote address of each connection that sent data but
+// ended before it had sent a complete request header. The causes are callers that exceed the header timeout and data that
+// is not HTTP. It must be called before server.Serve.
 func ReportIncompleteRequests(server *http.Server, report func(remote string)) {
 	w := &connTracker{report: report, handled: map[net.Conn]bool{}}
 	handler := server.Handler
@@ -26,7 +27,7 @@
 
 type connKey struct{}
 
-// connTracker holds, for each connection that is in the middle of a request, whether its handler was reached.
+// connTracker records for each connection with a request in progress whether the request has reached the handler.
 type connTracker struct {
 	report func(remote string)
 
@@ -61,7 +62,7 @@
 	}
 }
 
-// forget forgets the connection and reports whether it sent something but no whole request head.
+// forget removes the connection and reports whether it sent data but no complete request header.
 func (w *connTracker) forget(conn net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/traffic/caller/handler.go
+++ b/internal/traffic/caller/handler.go
@@ -1,4 +1,4 @@
-// Package caller speaks HTTP to callers, and to the local backend server when it calls other services.
+// Package caller serves HTTP requests of callers, and of the local backend server when it calls other services.
 //
 // # Usage
 //
@@ -26,41 +26,41 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
 	OutcomeHeader  = "Comfreyhoist-Outcome"
 	ReasonHeader   = "Comfreyhoist-Reason"
 	AttemptsHeader = "Comfreyhoist-Attempts-Used"
 	CallerHeader   = "Comfreyhoist-Caller"
 	DeadlineHeader = "Comfreyhoist-Deadline-Ms"
-	// ResendHeader is how often the caller has sent the request before.
+	// ResendHeader carries the number of times that the caller has sent the request before.
 	ResendHeader = "Comfreyhoist-Resend"
 )
 
 const (
 	// Path is the route of all calls.
 	Path = pathPrefix + ":service/*path"
-	// pathPrefix stands before the name of the service.
+	// pathPrefix precedes the name of the service.
 	pathPrefix = "/call/"
 )
 
-// Sender sends a request on and returns its reply.
+// Sender forwards a request to an instance of its service and returns the reply.
 type Sender interface {
 	Send(ctx context.Context, r *call.Request) call.Reply
 }
 
-// Config sets the handler up.
+// Config configures the handler.
 type Config struct {
 	Board  *board.Loop
 	Sender Sender
 	Chains *call.Chains
-	// MaxBody is in bytes.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64
-	// Rejected is told of each request that was refused as malformed; nil for nobody.
+	// Rejected is called for each request that is rejected before it is sent to an instance. It may be nil.
 	Rejected func(r *http.Request, reason call.Reason, text string)
 }
 
-// Register adds the route for calls to the router.
+// Register adds the routes for calls to the router.
 func Register(router *httprouter.Router, config Config) {
 	h := &handler{config: config}
 	for _, method := range []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete} {
@@ -72,7 +72,7 @@
 	config Config
 }
 
-// rejection is a request that was refused before it was sent anywhere.
+// rejection is the reason and the response text for a request that is refused before it is sent to an instance.
 type rejection struct {
 	reason call.Reason
 	text   string
@@ -102,8 +102,8 @@
 	h.writeReply(w, nil, reply)
 }
 
-// rejectionOutcome returns the outcome of a request that was sent nowhere. Under a caller's key, an earlier attempt may
-// have run.
+// rejectionOutcome returns the outcome of a rejected request. It is NotAdmitted if the caller set a key, because an earlier
+// attempt under that key may have run.
 func rejectionOutcome(r *http.Request) call.Outcome {
 	if r.Header.Get(backend.KeyHeader) != "" {
 		return call.NotAdmitted
@@ -111,7 +111,8 @@
 	return call.NotRun
 }
 
-// send sends the request on. A call of a chain spends the chain's attempts and waits on the chain's behalf.
+// send forwards the request. A call of a running request uses the attempt allowance of that request and counts as its
+// child.
 func (h *handler) send(ctx context.Context, request *call.Request, chain *call.Chain) call.Reply {
 	if chain == nil {
 		request.Attempts = call.NewAttempts(request.AttemptsLeft)
@@ -144,7 +145,7 @@
 	return request, chain, nil
 }
 
-// matchKind finds the document and the kind that the request belongs to.
+// matchKind returns the document of the requested service and the kind that the request matches.
 func (h *handler) matchKind(r *http.Request, p httprouter.Params) (*document.Document, document.Kind, *rejection) {
 	service := p.ByName("service")
 	accepted, ok := h.config.Board.Snapshot().Documents.ByService[service]
@@ -162,7 +163,7 @@
 	return accepted.Document, kind, nil
 }
 
-// readRequest takes the request in as its caller sent it.
+// readRequest builds the request from what the caller sent.
 func (h *handler) readRequest(r *http.Request, p httprouter.Params, kind document.Kind) (*call.Request, *rejection) {
 	path, refused := pathOf(r, p)
 	if refused != nil {
@@ -194,7 +195,7 @@
 	}, nil
 }
 
-// inheritRoot takes the root from the chain, or starts one.
+// inheritRoot copies the root from the running request that made the call, or creates a new root if chain is nil.
 func inheritRoot(request *call.Request, r *http.Request, kind document.Kind, chain *call.Chain) {
 	if chain == nil {
 		request.Root = call.Root{ID: uuid.NewString(), Start: time.Now(), Rank: kind.Rank, Caller: callerOf(r)}
@@ -207,7 +208,7 @@
 	}
 }
 
-// readBody returns the whole body, which must not be longer than most, in bytes.
+// readBody returns the request body. It refuses a body of more than limit bytes.
 func readBody(r *http.Request, limit int64) ([]byte, *rejection) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -221,13 +222,13 @@
 }
 
 const (
-	// maxStatus is the highest status that HTTP has.
+	// maxStatus is the highest three-digit HTTP status.
 	maxStatus = 999
-	// defaultRetryAfter is when to come back where nobody down the way said.
+	// defaultRetryAfter is the Retry-After of a failure whose reply gives none.
 	defaultRetryAfter = time.Second
 )
 
-// retryAfterMsHeader gives the time of Retry-After exactly, which has whole seconds only.
+// retryAfterMsHeader carries the Retry-After time in milliseconds, since Retry-After has whole seconds only.
 const retryAfterMsHeader = "Comfreyhoist-Retry-After-Ms"
 
 func (h *handler) writeReply(w http.ResponseWriter, request *call.Request, reply call.Reply) {
--- a/internal/traffic/caller/handler_test.go
+++ b/internal/traffic/caller/handler_test.go
@@ -17,7 +17,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/caller"
 )
 
-// fixedSender answers every request with one reply and keeps the request.
+// fixedSender is a caller.Sender that returns the same reply to every request and records the last request.
 type fixedSender struct {
 	reply call.Reply
 	sent  *call.Request
@@ -42,7 +42,7 @@
 	return w
 }
 
-func TestWhatACallerIsTold(t *testing.T) {
+func TestResponseStatusAndHeaders(t *testing.T) {
 	for name, c := range map[string]struct {
 		reply      call.Reply
 		status     int
@@ -59,15 +59,15 @@
 			reply:  call.Reply{Outcome: call.Ran, Status: 503},
 			status: 503, outcome: "ran",
 		},
-		"overload, says when": {
+		"overload with a retry time": {
 			reply:  call.Refused(call.NotRun, call.ReasonOverload, 1200*time.Millisecond),
 			status: 503, outcome: "not_run", reason: "overload", retryAfter: "2", exact: "1200",
 		},
-		"draining, nobody said when": {
+		"draining without a retry time": {
 			reply:  call.Refused(call.NotAdmitted, call.ReasonDraining, 0),
 			status: 503, outcome: "not_admitted", reason: "draining", retryAfter: "1", exact: "1000",
 		},
-		"header with a damaged value": {
+		"header with an invalid value": {
 			reply:  call.Reply{Outcome: call.Ran, Status: 200, Header: http.Header{"Date": {"Fri, 04 Dec \x12026"}}},
 			status: 502, outcome: "unknown", reason: "corrupt", retryAfter: "1", exact: "1000",
 		},
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestWhatIsPassedOn(t *testing.T) {
+func TestForwardedRequest(t *testing.T) {
 	is := is.New(t)
 	s := &fixedSender{reply: call.Reply{Outcome: call.Ran, Status: 200}}
 	r := httptest.NewRequest(http.MethodGet, "/call/access/a%2Fb%20c/d?q=%26", http.NoBody)
@@ -96,9 +96,9 @@
 	r.Header.Set("Comfreyhoist-Rank", "0")
 	r.Header.Set("Accept", "text/plain")
 	serveRequest(t, s, r)
-	is.Equal(s.sent.Path, "/a%2Fb%20c/d?q=%26") // escaped as it came
+	is.Equal(s.sent.Path, "/a%2Fb%20c/d?q=%26") // escaped as received
 	is.Equal(s.sent.Root.Caller, "crew")
-	is.Equal(s.sent.Root.Rank, 1) // the document's, not the caller's
+	is.Equal(s.sent.Root.Rank, 1) // from the document, not from the caller
 	is.Equal(s.sent.Header, http.Header{"Accept": {"text/plain"}})
 }
 
@@ -127,7 +127,7 @@
 				return
 			}
 			is.True(s.sent == nil)
-			is.True(strings.Contains(w.Body.String(), caller.ResendHeader)) // the field is named
+			is.True(strings.Contains(w.Body.String(), caller.ResendHeader)) // the text names the header
 		})
 	}
 }
--- a/internal/traffic/caller/headers.go
+++ b/internal/traffic/caller/headers.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// ownHeaderPrefix begins the names of this system's own headers.
+	// ownHeaderPrefix is the prefix of the names of this system's headers.
 	ownHeaderPrefix = "Comfreyhoist-"
-	// maxCallerName is in bytes.
+	// maxCallerName is the maximum length of a caller name in bytes.
 	maxCallerName = 128
-	// maxDeadlineMs bounds the number in DeadlineHeader; the kind's own deadline is far below it.
+	// maxDeadlineMs is the highest value of DeadlineHeader. The deadline of a kind is far below it.
 	maxDeadlineMs = 24 * 60 * 60 * 1000
 )
 
-// callerHeaders are the headers that a caller may set, each at most once.
+// callerHeaders lists the headers of this system that a caller may set, each at most once.
 var callerHeaders = []string{backend.KeyHeader, DeadlineHeader, CallerHeader, ResendHeader, backend.ChainHeader}
 
-// checkHeaders refuses a request whose headers for this system are malformed. The text names the header.
+// checkHeaders returns a rejection if a header of this system is repeated or malformed. Its text names the header.
 func checkHeaders(h http.Header) *rejection {
 	for _, name := range callerHeaders {
 		if len(h.Values(name)) > 1 {
@@ -53,7 +53,7 @@
 	return c <= ' ' || c > '~'
 }
 
-// deadlineOf returns the deadline that the caller asked for, at most that of the kind.
+// deadlineOf returns the deadline that the caller requested, limited to the deadline of the kind.
 func deadlineOf(r *http.Request, kind document.Kind) (time.Time, *rejection) {
 	now := time.Now()
 	if len(r.Header.Values(DeadlineHeader)) == 0 {
@@ -68,7 +68,7 @@
 	return now.Add(min(requested, kind.Deadline)), nil
 }
 
-// callerOf names the caller: what it calls itself, else its IP.
+// callerOf returns the name of the caller: the value of CallerHeader, or else its IP address.
 func callerOf(r *http.Request) string {
 	if name := r.Header.Get(CallerHeader); name != "" {
 		return name
@@ -80,7 +80,8 @@
 	return host
 }
 
-// forwardedHeaders returns the headers that the backend server gets, without this system's own.
+// forwardedHeaders returns the headers to forward to the backend server: the end-to-end headers without those of this
+// system.
 func forwardedHeaders(h http.Header) http.Header {
 	result := backend.EndToEnd(h)
 	for name := range result {
@@ -91,8 +92,8 @@
 	return result
 }
 
-// pathOf returns the path below the service and the query, escaped as the caller sent them. Dot segments are refused:
-// a backend server that resolves them would run another kind than the one whose rank the request got.
+// pathOf returns the path below the service and the query, escaped as the caller sent them. It refuses dot segments: a
+// backend server that resolves them would run a request of another kind, with the rank of the kind that was matched.
 func pathOf(r *http.Request, p httprouter.Params) (string, *rejection) {
 	for _, segment := range strings.Split(p.ByName("path"), "/") {
 		if segment == "." || segment == ".." {
@@ -109,7 +110,7 @@
 	return "/" + path, nil
 }
 
-// resendsOf returns how often the caller says that it has sent the request before.
+// resendsOf returns the number of times that the caller has sent the request before, as reported by the caller.
 func resendsOf(r *http.Request) (int, *rejection) {
 	if len(r.Header.Values(ResendHeader)) == 0 {
 		return 0, nil
@@ -121,7 +122,8 @@
 	return int(resends), nil
 }
 
-// areHeadersValid reports whether HTTP can carry the headers. A damaged one would break the caller's connection.
+// areHeadersValid reports whether the headers can be sent over HTTP. An invalid one would break the connection to the
+// caller.
 func areHeadersValid(h http.Header) bool {
 	for name, values := range h {
 		if name == "" || strings.ContainsFunc(name, isNotVisibleASCII) || strings.Contains(name, ":") {
--- a/internal/traffic/caller/headers_test.go
+++ b/internal/traffic/caller/headers_test.go
@@ -13,7 +13,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/backend"
 )
 
-// FuzzHeaders checks that what passes the checks is within the bounds that docs/CALLERS.md gives.
+// FuzzHeaders checks that headers and paths that pass validation are within the limits in docs/CALLERS.md.
 func FuzzHeaders(f *testing.F) {
 	f.Add("key", "100", "crew", "/call/bookings/a/b")
 	f.Add("", "-1", " ", "/call/b%6Fokings/../%2e%2e/%2F")
@@ -28,18 +28,18 @@
 			CallerHeader:      {name},
 		}}
 		if checkHeaders(r.Header) == nil && (key == "" || len(callerOf(r)) > maxCallerName || callerOf(r) == "") {
-			t.Errorf("accepted: key %q, name %q", key, name)
+			t.Errorf("invalid headers accepted: key %q, caller name %q", key, name)
 		}
 		kind := document.Kind{Deadline: time.Second}
 		at, refused := deadlineOf(r, kind)
 		if refused == nil && time.Until(at) > kind.Deadline {
-			t.Errorf("deadline %q is later than the kind's", deadline)
+			t.Errorf("deadline %q is later than the deadline of the kind", deadline)
 		}
 		checkPath(t, r)
 	})
 }
 
-// checkPath routes the request as the node does.
+// checkPath routes the request as the node does, and checks that the forwarded path is the one that was matched.
 func checkPath(t *testing.T, r *http.Request) {
 	t.Helper()
 	service, rest, found := strings.Cut(strings.TrimPrefix(r.URL.Path, pathPrefix), "/")
--- a/internal/traffic/caller/routed.go
+++ b/internal/traffic/caller/routed.go
@@ -17,60 +17,60 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// RoutedHeaders names the headers between callers and a node that goes by routes.
+// RoutedHeaders holds the names of the headers that callers exchange with a node that uses routes.
 type RoutedHeaders struct {
-	// RequestID is the request's own name.
+	// RequestID carries the ID of the request.
 	RequestID string
-	// Timeout is how many milliseconds the caller waits.
+	// Timeout carries the timeout of the caller in milliseconds.
 	Timeout string
-	// CallerService is the service of the instance where the request began. The node sets it.
+	// CallerService carries the service of the instance from which the request was sent. The node sets it.
 	CallerService string
 }
 
-// RoutedHandlerConfig sets a Routed up.
+// RoutedHandlerConfig configures a RoutedHandler.
 type RoutedHandlerConfig struct {
-	Board  *board.Loop
-	Sender Sender
-	Chains *call.Chains
-	// Headers are those between callers and this node.
+	Board   *board.Loop
+	Sender  Sender
+	Chains  *call.Chains
 	Headers RoutedHeaders
-	// Service is that of this instance.
+	// Service is the service of this instance.
 	Service string
-	// MaxBody is in bytes.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64
-	// Answered is told of each request that was matched to a route.
-	Answered func(r *call.Request, reply *call.Reply, took time.Duration)
-	// Rejected is told of each request that was refused as malformed.
+	// Answered is called for each valid request that matched a route, with its reply and its latency.
+	Answered func(r *call.Request, reply *call.Reply, latency time.Duration)
+	// Rejected is called for each request that matches no route or is malformed.
 	Rejected func(r *http.Request, reason call.Reason, text string)
 }
 
-// RoutedHandler serves requests whose host and path choose the service.
+// RoutedHandler serves requests whose service is determined by their host and path.
 type RoutedHandler struct {
 	config RoutedHandlerConfig
 
-	// typicalDurations are the times that calls of each kind take without what they wait.
+	// typicalDurations holds the typical duration of calls of each kind, without queueing delay.
 	typicalDurations *call.TypicalDurations[string]
 
-	mu            sync.Mutex
+	mu sync.Mutex
+	// requestCounts holds the number of requests of each route that has several clusters.
 	requestCounts map[string]*atomic.Uint64
 }
 
-// maxTypicalDurations bounds the kinds whose usual time is known.
+// maxTypicalDurations is the maximum number of kinds whose typical duration is known.
 const maxTypicalDurations = 1024
 
-// NewRoutedHandler returns a handler.
+// NewRoutedHandler returns a RoutedHandler with the configuration.
 func NewRoutedHandler(config RoutedHandlerConfig) *RoutedHandler {
 	return &RoutedHandler{config: config, typicalDurations: call.NewTypicalDurations[string](maxTypicalDurations), requestCounts: map[string]*atomic.Uint64{}}
 }
 
-// replyGracePeriod is how long the answer of another node is waited for after the deadline. That node gives up the request at the
-// deadline, and only its answer tells whether the request ran.
+// replyGracePeriod is how long to wait after the deadline for the reply of another node. That node gives up the request at
+// the deadline, and only its reply tells whether the request ran.
 const replyGracePeriod = 30 * time.Millisecond
 
-// noRoutesRetryAfter is when to come back to a node that knows no routes yet.
+// noRoutesRetryAfter is the Retry-After of a node that has no routes yet.
 const noRoutesRetryAfter = 300 * time.Millisecond
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (h *RoutedHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	table := h.config.Board.Snapshot().Routes
 	if table == nil {
@@ -101,7 +101,8 @@
 	h.writeReply(w, reply)
 }
 
-// send sends the request on. A call of the local backend server waits on behalf of the request that it is made for.
+// send forwards the request. A call of the local backend server counts as a child of the running request that most likely
+// made it.
 func (h *RoutedHandler) send(ctx context.Context, request *call.Request) call.Reply {
 	parent, isCall := h.config.Chains.Parent(request.ReceivedAt, lineage.Call{Kind: request.Kind, Expires: request.CallerDeadline})
 	if isCall {
@@ -159,7 +160,8 @@
 	}, nil
 }
 
-// nextRequestNumber counts the requests of a route.
+// nextRequestNumber returns the sequence number of a request of the route, by which the cluster is chosen. It is 0 if the
+// route has only one cluster.
 func (h *RoutedHandler) nextRequestNumber(route *routes.Route) uint64 {
 	if len(route.Clusters) == 1 {
 		return 0
@@ -174,7 +176,7 @@
 	return n.Add(1)
 }
 
-// callerTimeout returns how long the caller waits.
+// callerTimeout returns the timeout that the caller set, or that of the route if it set none.
 func (h *RoutedHandler) callerTimeout(r *http.Request, route *routes.Route) (time.Duration, *rejection) {
 	text := r.Header.Get(h.config.Headers.Timeout)
 	if text == "" {
@@ -187,7 +189,7 @@
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// forwardedHeaders returns the headers for the backend server, with the host that the caller asked for.
+// forwardedHeaders returns the headers to forward to the backend server, including the host that the caller requested.
 func (h *RoutedHandler) forwardedHeaders(r *http.Request) http.Header {
 	header := forwardedHeaders(r.Header)
 	header.Del(h.config.Headers.Timeout)
@@ -196,7 +198,8 @@
 	return header
 }
 
-// writeReply answers. What was refused before it ran gets a status that says so, and when to come back.
+// writeReply writes the response to the caller. The status of a request that has no response of the backend server tells
+// whether it may have run.
 func (h *RoutedHandler) writeReply(w http.ResponseWriter, reply call.Reply) {
 	if reply.Outcome == call.Ran && (reply.Status < http.StatusOK || reply.Status > maxStatus || !areHeadersValid(reply.Header)) {
 		reply = call.Refused(call.Unknown, call.ReasonCorrupt, 0)
@@ -215,7 +218,7 @@
 	_, _ = w.Write(reply.Body)
 }
 
-// minRetryAfter keeps callers from coming back at once.
+// minRetryAfter prevents callers from retrying at once.
 const minRetryAfter = 50 * time.Millisecond
 
 func setRefusalHeaders(header http.Header, reply *call.Reply) {
@@ -231,7 +234,8 @@
 	}
 }
 
-// refusalStatus returns 503 for what has not run, and a status that promises nothing for what may have.
+// refusalStatus returns the status of a request that has no response of the backend server: 502 or 504 if it may have run,
+// otherwise the status of its reason for a client error except ReasonCanceled, and 503 for all other reasons.
 func refusalStatus(reply *call.Reply) int {
 	status := reply.Reason.Entry().Status
 	switch {
--- a/internal/traffic/caller/routed_test.go
+++ b/internal/traffic/caller/routed_test.go
@@ -15,7 +15,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/caller"
 )
 
-// senderFunc answers with a function.
+// senderFunc is a caller.Sender that calls a function.
 type senderFunc func(ctx context.Context, r *call.Request) call.Reply
 
 func (s senderFunc) Send(ctx context.Context, r *call.Request) call.Reply {
@@ -53,9 +53,9 @@
 	return w
 }
 
-// The node beside the backend server gives a queued request up at its deadline. Its answer comes a moment later, and says
-// that the request has not run, so that its caller may send it again.
-func TestRefusalAtTheDeadlineIsWaitedFor(t *testing.T) {
+// The node beside the backend server gives up a queued request at its deadline. Its reply arrives shortly after that and
+// reports that the request has not run. The sending node must wait for it, so that the caller may retry.
+func TestHandlerWaitsForRefusalAtDeadline(t *testing.T) {
 	is := is.New(t)
 	w := postRequest(newRoutedHandler(t, func(ctx context.Context, r *call.Request) call.Reply {
 		select {
@@ -68,20 +68,20 @@
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 }
 
-// The status of a refusal is a promise, and what promises nothing is told apart.
-func TestStatusOfAnswers(t *testing.T) {
+// Callers retry after a 503, so a request that may have run must get another status.
+func TestStatusOfReplies(t *testing.T) {
 	for name, test := range map[string]struct {
 		reply call.Reply
 		want  int
 	}{
-		"answer of the backend server": {call.Reply{Outcome: call.Ran, Status: 418}, 418},
-		"refused for overload":         {call.Refused(call.NotRun, call.ReasonOverload, time.Second), 503},
-		"never sent":                   {call.Refused(call.NotRun, call.ReasonPeerUnreachable, 0), 503},
-		"lost":                         {call.Refused(call.Unknown, call.ReasonPeerUnreachable, 0), 502},
-		"broken off":                   {call.Refused(call.Unknown, call.ReasonBackendFailed, 0), 502},
-		"silent":                       {call.Refused(call.Unknown, call.ReasonPeerSilent, 0), 504},
-		"out of time while it ran":     {call.Refused(call.Unknown, call.ReasonDeadline, 0), 504},
-		"no status at all":             {call.Reply{Outcome: call.Ran}, 502},
+		"response of the backend server": {call.Reply{Outcome: call.Ran, Status: 418}, 418},
+		"refused for overload":           {call.Refused(call.NotRun, call.ReasonOverload, time.Second), 503},
+		"never sent":                     {call.Refused(call.NotRun, call.ReasonPeerUnreachable, 0), 503},
+		"lost":                           {call.Refused(call.Unknown, call.ReasonPeerUnreachable, 0), 502},
+		"backend server failed":          {call.Refused(call.Unknown, call.ReasonBackendFailed, 0), 502},
+		"silent":                         {call.Refused(call.Unknown, call.ReasonPeerSilent, 0), 504},
+		"deadline while it ran":          {call.Refused(call.Unknown, call.ReasonDeadline, 0), 504},
+		"no status":                      {call.Reply{Outcome: call.Ran}, 502},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -92,9 +92,9 @@
 	}
 }
 
-// The backend server sees the request as the caller sent it, with the service of the instance where it began, and no more
-// time than the route gives.
-func TestRequestIsPassedOn(t *testing.T) {
+// The request is forwarded as the caller sent it, with the service of the sending instance and with a deadline within the
+// timeout of the route.
+func TestRequestIsForwarded(t *testing.T) {
 	is := is.New(t)
 	var got *call.Request
 	begin := time.Now()
--- a/internal/traffic/caller/server.go
+++ b/internal/traffic/caller/server.go
@@ -18,28 +18,31 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/backend"
 )
 
-// ServerConfig sets a Server up.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Handler http.Handler
-	// HeaderTimeout and BodyTimeout bound the time from a request's first byte to the end of its head, and of its body.
+	// HeaderTimeout is the maximum time from the first byte of a request to the end of its header, and BodyTimeout from
+	// there to the end of its body.
 	HeaderTimeout, BodyTimeout time.Duration
-	// IdleTimeout is how long a connection is kept without a request.
+	// IdleTimeout is how long a connection is kept open without a request.
 	IdleTimeout time.Duration
-	// WriteTimeout is how long a caller may not read.
+	// WriteTimeout is the maximum time to write a response.
 	WriteTimeout time.Duration
-	// MaxHeader and MaxBody are in bytes.
+	// MaxHeader and MaxBody are the maximum sizes of a request's header and body in bytes.
 	MaxHeader, MaxBody int64
-	// MaxPending is how many requests of one connection are worked on at once.
+	// MaxPending is the maximum number of requests that wait for their responses to be written, per connection.
 	MaxPending int
-	// IsClosing says that the next request on each connection is the last.
+	// IsClosing reports whether the next request on each connection is the last.
 	IsClosing func() bool
-	// Failed is told of each connection that ended in the middle of a request, or sent something else.
+	// Failed is called if a caller closes a connection in the middle of a request or sends data that is not HTTP, if the
+	// handler panics, and if a connection cannot be accepted; remote is empty in the last case. It is not called for
+	// connection resets and timeouts.
 	Failed func(remote string, err error)
 }
 
-// Server serves callers that send further requests before the first is answered. Idempotent methods run side by side, all
-// others alone; answers go out in the order of the requests. The library's own server would begin a request only after
-// the one before it was answered, and wouldn't see a caller leave meanwhile.
+// Server is an HTTP/1.1 server with request pipelining. GET and HEAD requests of a connection run concurrently, requests
+// with other methods alone; responses are written in the order of the requests. net/http.Server starts a pipelined request
+// only after the previous one was answered, and does not notice in the meantime that the caller has disconnected.
 type Server struct {
 	config ServerConfig
 	group  conc.WaitGroup
@@ -48,12 +51,12 @@
 	conns map[*serverConn]bool
 }
 
-// NewServer returns a server without connections.
+// NewServer returns a server that has no connections yet.
 func NewServer(config ServerConfig) *Server {
 	return &Server{config: config, conns: map[*serverConn]bool{}}
 }
 
-// Serve takes connections until the listener closes, and returns when the last of them has ended.
+// Serve accepts connections until the listener is closed, and returns when all connections have ended.
 func (s *Server) Serve(ctx context.Context, l net.Listener) {
 	defer s.group.Wait()
 	for {
@@ -75,10 +78,10 @@
 	}
 }
 
-// acceptRetryDelay keeps a lack of descriptors from using up the processor.
+// acceptRetryDelay is the delay after a failed accept. It prevents a busy loop while no file descriptors are free.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// CloseIdle closes the connections on which nothing is being worked on.
+// CloseIdle closes the connections that have no open request.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,31 +109,32 @@
 	delete(s.conns, c)
 }
 
-// serverConn is one connection of a caller.
+// serverConn is a connection from a caller.
 type serverConn struct {
 	server        *Server
 	conn          net.Conn
 	limitedReader *io.LimitedReader
 	reader        *bufio.Reader
 	writer        *bufio.Writer
-	// pending holds the requests that are worked on, in the order of their answers.
+	// pending holds the requests that are not answered yet, in the order in which they were received.
 	pending chan *exchange
 
 	mu sync.Mutex
-	// openRequests counts the requests of which the first byte was read and that are not answered.
+	// openRequests is the number of requests whose first byte was read and that are not answered yet.
 	openRequests int
-	// closed says that no further request is begun.
+	// closed is whether the connection accepts no further requests.
 	closed bool
 }
 
-// exchange is a request and its answer.
+// exchange is a request and its response.
 type exchange struct {
 	request  *http.Request
 	response responseRecorder
-	done     chan struct{}
-	// last says that the connection closes after the answer.
+	// done is closed when the response is complete.
+	done chan struct{}
+	// last is whether the connection is closed after the response.
 	last bool
-	// isOnly says that none before it was unanswered when it came.
+	// isOnly is whether all earlier requests of the connection were answered when the request was received.
 	isOnly bool
 }
 
@@ -146,7 +150,7 @@
 	}
 }
 
-// closeIdle closes the connection unless a request has begun.
+// closeIdle closes the connection unless it has an open request.
 func (c *serverConn) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,7 +160,7 @@
 	}
 }
 
-// beginRequest counts a request of which the first byte was read, and reports false where the connection was closed before.
+// beginRequest counts a request whose first byte was read. It reports whether the connection still accepts requests.
 func (c *serverConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,14 +171,15 @@
 	return true
 }
 
-// endRequest counts a request that was answered, or that broke off.
+// endRequest ends a request that was answered or whose reading failed.
 func (c *serverConn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.openRequests--
 }
 
-// serve reads requests until the caller leaves, and then ends what is still worked on for it.
+// serve handles requests until the caller disconnects or the last request is answered. If the caller disconnects, the
+// requests that are still running are canceled.
 func (c *serverConn) serve(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() { _ = c.conn.Close() }()
@@ -188,17 +193,17 @@
 		c.server.config.Failed(c.conn.RemoteAddr().String(), err)
 	}
 	if err == nil {
-		group.Wait() // the last request is read, and is answered before the connection closes
+		group.Wait() // the last request was read; answer it before closing the connection
 	}
 }
 
-// isConnectionError reports whether the connection was closed by either end, or was idle for too long.
+// isConnectionError reports whether the error is a network error, such as a connection closed by either side or a timeout.
 func isConnectionError(err error) bool {
 	var netErr net.Error
 	return errors.Is(err, net.ErrClosed) || errors.As(err, &netErr)
 }
 
-// read hands requests on until the last one, which it reports as no error.
+// read reads requests and starts their handlers. It returns nil after the last request.
 func (c *serverConn) read(ctx context.Context, group *conc.WaitGroup) error {
 	for {
 		x, err := c.nextExchange(ctx)
@@ -226,7 +231,8 @@
 	}
 }
 
-// handle makes the answer. A fault of the handler costs one request and not the process.
+// handle runs the handler and records its response. A panic in the handler fails this request only, with 502, and does not
+// end the process.
 func (c *serverConn) handle(x *exchange) {
 	defer close(x.done)
 	fault := panics.Try(func() { c.server.config.Handler.ServeHTTP(&x.response, x.request) })
@@ -237,8 +243,8 @@
 	x.response = responseRecorder{header: http.Header{}, status: http.StatusBadGateway}
 }
 
-// waitForEarlierAnswers returns when all requests before are answered, so that none of them closes the connection ahead of one
-// that must not be sent again.
+// waitForEarlierAnswers waits until all earlier requests are answered. Otherwise one of them could close the connection
+// before a request is answered that the caller must not send again.
 func (c *serverConn) waitForEarlierAnswers(ctx context.Context) {
 	ticker := time.NewTicker(answeredPollInterval)
 	defer ticker.Stop()
@@ -252,7 +258,7 @@
 
 const answeredPollInterval = time.Millisecond
 
-// hasAtMostOneOpen reports whether no request but the newest is open.
+// hasAtMostOneOpen reports whether all requests except the newest are answered.
 func (c *serverConn) hasAtMostOneOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -263,7 +269,7 @@
 	return method == http.MethodGet || method == http.MethodHead
 }
 
-// nextExchange reads one whole request.
+// nextExchange waits for the next request and reads it completely.
 func (c *serverConn) nextExchange(ctx context.Context) (*exchange, error) {
 	config := &c.server.config
 	c.limitedReader.N = config.MaxHeader
@@ -281,7 +287,7 @@
 	return x, err
 }
 
-// readRequest reads a request that has begun.
+// readRequest reads a request whose first byte has arrived.
 func (c *serverConn) readRequest(ctx context.Context) (*exchange, error) {
 	config := &c.server.config
 	_ = c.conn.SetReadDeadline(time.Now().Add(config.HeaderTimeout))
@@ -305,8 +311,8 @@
 	}, nil
 }
 
-// readBody takes the body in, so that the next request can be read. It reports false where the body is longer than the
-// bound; the handler then sees one byte more than that.
+// readBody reads the body into memory, so that the next request can be read. It reports whether the body is within the
+// limit; if not, the handler gets a body that is one byte longer than the limit.
 func (c *serverConn) readBody(request *http.Request) (complete bool, err error) {
 	if request.Header.Get("Expect") == "100-continue" {
 		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
@@ -324,7 +330,8 @@
 	return int64(len(body)) <= c.server.config.MaxBody, nil
 }
 
-// writeErrorResponse answers what is no request, where nothing else is being answered.
+// writeErrorResponse answers data that is not a valid request, unless an earlier request is still unanswered or the
+// connection has failed.
 func (c *serverConn) writeErrorResponse(err error) {
 	if !c.hasAtMostOneOpen() || errors.Is(err, io.EOF) || isConnectionError(err) {
 		return
@@ -337,8 +344,8 @@
 		"\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
-// write sends answers in the order of the requests. Where that fails, the work for the caller ends. A request that is alone is worked
-// on here too, which spares a goroutine whose stack would have to grow anew.
+// write writes the responses in the order of the requests. If a write fails, all requests of the connection are canceled.
+// A request that is the only open one is also handled here, which avoids a new goroutine whose stack would have to grow.
 func (c *serverConn) write(cancel context.CancelFunc) {
 	failed := false
 	for x := range c.pending {
@@ -378,14 +385,14 @@
 	return c.writer.Flush()
 }
 
-// responseRecorder keeps an answer until it is its turn.
+// responseRecorder is an http.ResponseWriter that holds a response until the earlier responses are written.
 type responseRecorder struct {
 	header http.Header
 	status int
 	body   []byte
 }
 
-// Header returns the headers of the answer.
+// Header returns the headers of the response.
 func (r *responseRecorder) Header() http.Header {
 	return r.header
 }
@@ -395,7 +402,7 @@
 	r.status = status
 }
 
-// Write adds to the body.
+// Write appends to the body.
 func (r *responseRecorder) Write(p []byte) (int, error) {
 	if r.status == 0 {
 		r.status = http.StatusOK
--- a/internal/traffic/caller/server_test.go
+++ b/internal/traffic/caller/server_test.go
@@ -17,7 +17,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/caller"
 )
 
-// startServer starts a server and returns a connection to it.
+// startServer starts a server and returns a connection to it, a reader of the connection, and the server.
 func startServer(t *testing.T, closing *atomic.Bool, handler http.HandlerFunc) (net.Conn, *bufio.Reader, *caller.Server) {
 	t.Helper()
 	is := is.New(t)
@@ -59,8 +59,8 @@
 	return string(body), response
 }
 
-// Requests that come before the first is answered run side by side, and are answered in order.
-func TestRequestsOnOneConnectionRunSideBySide(t *testing.T) {
+// Pipelined GET requests run concurrently and are answered in order.
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	is := is.New(t)
 	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
@@ -74,10 +74,11 @@
 		body, _ := receive(t, r)
 		is.Equal(body, want)
 	}
-	is.True(time.Since(begin) < 390*time.Millisecond) // less than the two slow ones one after the other
+	is.True(time.Since(begin) < 390*time.Millisecond) // less than both slow requests in sequence
 }
 
-// A request that must not run twice waits until all before it are answered: one of those could close the connection.
+// A request that must not run twice waits until all earlier ones are answered, because one of them could close the
+// connection.
 func TestOtherMethodsRunAlone(t *testing.T) {
 	is := is.New(t)
 	var running, maxRunning atomic.Int32
@@ -97,8 +98,8 @@
 	is.Equal(maxRunning.Load(), int32(1))
 }
 
-// The work for a caller that leaves ends, also where it has sent further requests.
-func TestCallerThatLeavesIsSeen(t *testing.T) {
+// When a caller disconnects, all of its requests are canceled, including the pipelined ones.
+func TestDisconnectCancelsRequests(t *testing.T) {
 	var ended atomic.Int32
 	conn, _, _ := startServer(t, &atomic.Bool{}, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -109,13 +110,13 @@
 	is.New(t).NoErr(conn.Close())
 	for deadline := time.Now().Add(5 * time.Second); ended.Load() < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the work goes on")
+			t.Fatal("requests were not canceled within 5s of the disconnect")
 		}
 	}
 }
 
-// While the node leaves, what was read is answered, and the last answer says that the connection closes.
-func TestLastAnswerSaysThatItCloses(t *testing.T) {
+// While the node drains, requests that were read are answered, and the last response has the Connection: close header.
+func TestLastResponseClosesConnection(t *testing.T) {
 	is := is.New(t)
 	var closing atomic.Bool
 	conn, r, _ := startServer(t, &closing, func(w http.ResponseWriter, r *http.Request) {
@@ -136,13 +137,13 @@
 	is.True(err != nil)
 }
 
-func TestWhatIsNoRequestIsRefused(t *testing.T) {
+func TestInvalidRequestIsRefused(t *testing.T) {
 	for name, test := range map[string]struct {
 		sent string
 		want int
 	}{
-		"bytes":           {"\x00\x01\x02\r\n\r\n", http.StatusBadRequest},
-		"too long a head": {"GET / HTTP/1.1\r\nHost: a\r\nA: " + strings.Repeat("a", 9000) + "\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge},
+		"bytes":            {"\x00\x01\x02\r\n\r\n", http.StatusBadRequest},
+		"header too large": {"GET / HTTP/1.1\r\nHost: a\r\nA: " + strings.Repeat("a", 9000) + "\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -154,8 +155,8 @@
 	}
 }
 
-// What stands behind a body that is too long must not be taken for a request.
-func TestTooLongBodyEndsTheConnection(t *testing.T) {
+// The rest of a body that is too large must not be parsed as a request.
+func TestTooLargeBodyClosesConnection(t *testing.T) {
 	is := is.New(t)
 	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -169,7 +170,7 @@
 	is.True(response.Close)
 }
 
-func TestFaultOfTheHandlerCostsOneRequest(t *testing.T) {
+func TestHandlerPanicFailsOneRequest(t *testing.T) {
 	is := is.New(t)
 	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fault" {
@@ -184,7 +185,7 @@
 	is.Equal(body, "well")
 }
 
-func TestIdleConnectionsClose(t *testing.T) {
+func TestCloseIdleClosesIdleConnection(t *testing.T) {
 	is := is.New(t)
 	conn, r, s := startServer(t, &atomic.Bool{}, func(http.ResponseWriter, *http.Request) {})
 	send(t, conn, getRequest("/a"))
@@ -195,8 +196,8 @@
 	is.True(err != nil)
 }
 
-// A request that has begun to come in is answered, also where idle connections are closed meanwhile.
-func TestRequestThatHasBegunIsAnswered(t *testing.T) {
+// A request of which a part was received is answered, even if idle connections are closed in the meantime.
+func TestPartlyReceivedRequestIsAnswered(t *testing.T) {
 	is := is.New(t)
 	conn, r, s := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "well") })
 	complete := getRequest("/a")
