--- a/internal/control/zone/beat_test.go
+++ b/internal/control/zone/beat_test.go
@@ -55,8 +55,9 @@
 	return n, err
 }
 
-// BenchmarkHeartbeat measures the bytes of one heartbeat with its answer, between nodes that agree, and sets the
-// heartbeats of a zone with a leader against those of a zone where every member sends them to every other.
+// BenchmarkHeartbeat measures the bytes of one heartbeat and its answer between nodes with the same records. From these
+// it computes the traffic of a zone in which all members send heartbeats to the leader, and of a zone in which all
+// members send them to each other.
 func BenchmarkHeartbeat(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var group conc.WaitGroup
@@ -109,7 +110,7 @@
 	}
 }
 
-// BenchmarkMemberChange measures what a node does for one changed member among 2,100 in 29 zones.
+// BenchmarkMemberChange measures the cost of one changed member among 2,100 members in 29 zones.
 func BenchmarkMemberChange(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	var group conc.WaitGroup
--- a/internal/control/zone/client.go
+++ b/internal/control/zone/client.go
@@ -11,12 +11,12 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/zonepb"
 )
 
-// ClientConfig sets a Client up.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	Pool *peer.Pool
 	Node string
 	Zone string
-	// HeartbeatTimeout bounds one heartbeat, Timeout every other message.
+	// HeartbeatTimeout limits one heartbeat, Timeout every other message.
 	HeartbeatTimeout time.Duration
 	Timeout          time.Duration
 }
@@ -26,37 +26,40 @@
 	config ClientConfig
 }
 
-// NewClient returns a client of the node.
+// NewClient returns a client that sends as the configured node.
 func NewClient(config ClientConfig) *Client {
 	return &Client{config: config}
 }
 
-// Heartbeat is one heartbeat.
+// Heartbeat is the content of a heartbeat request.
 type Heartbeat struct {
-	// Changed are records that the other node may lack.
+	// Changed holds records that the receiver may lack.
 	Changed []membership.Record
-	// LogID and Seen say which of the other node's changes are known.
+	// LogID and LogPosition identify the receiver's change log and the last change in it that the sender has applied.
 	LogID       uint64
 	LogPosition uint64
-	// Leads says that the sender leads its zone, and Leased that it does so under a lease; Address is then its own.
+	// Leads reports whether the sender leads its availability zone, and Leased whether it holds the lease. Address is
+	// the sender's own address; it is set only where Leads is true.
 	Leads   bool
 	Leased  bool
 	Address string
 }
 
-// HeartbeatAnswer is the answer to a heartbeat.
+// HeartbeatAnswer is the receiver's answer to a heartbeat.
 type HeartbeatAnswer struct {
 	membership.Answer
 
+	// Digest covers all records of the receiver. LogID identifies its change log, and NextPosition is the last change
+	// covered by this answer.
 	Digest       uint64
 	LogID        uint64
 	NextPosition uint64
 	Newer        []membership.Change
-	// More says that further changes wait.
+	// More reports whether the receiver has further changes to send.
 	More bool
 }
 
-// SendHeartbeat sends a heartbeat.
+// SendHeartbeat sends a heartbeat to the address and returns the answer.
 func (c *Client) SendHeartbeat(ctx context.Context, address string, h Heartbeat) (HeartbeatAnswer, error) {
 	request := &zonepb.BeatRequest{
 		Node:    c.config.Node,
@@ -91,13 +94,14 @@
 	}
 }
 
-// Compare sends the digests of all buckets. It returns the other node's, and its versions in the buckets that differ.
+// Compare sends the digests of all buckets. It returns the receiver's digests and the versions of its records in the
+// buckets that differ.
 func (c *Client) Compare(ctx context.Context, address string, digests []uint64) (versions map[string]membership.Version, theirs []uint64, err error) {
 	reply, err := c.exchange(ctx, address, &zonepb.ExchangeRequest{Node: c.config.Node, Digests: digests})
 	return versionsFrom(reply.GetHave()), reply.GetDigests(), err
 }
 
-// Exchange offers records and returns as many of the wanted ones as fit in a message.
+// Exchange sends the offered records and returns as many of the wanted records as fit in one message.
 func (c *Client) Exchange(ctx context.Context, address string, wanted []string, offered []membership.Record) ([]membership.Record, error) {
 	request := &zonepb.ExchangeRequest{Node: c.config.Node, Wanted: wanted, Offered: recordMessages(offered)}
 	reply, err := c.exchange(ctx, address, request)
--- a/internal/control/zone/controller.go
+++ b/internal/control/zone/controller.go
@@ -1,18 +1,18 @@
-// Package zone speaks to the other nodes about control state: heartbeats to the leader of the availability zone, by
-// which members and documents spread, and the comparison of digests that mends what was missed.
+// Package zone replicates control state between nodes. Members and documents spread through heartbeats to the leader of
+// the availability zone; comparing digests repairs what heartbeats missed.
 //
-// One node of each availability zone leads it. It alone reads and writes the platform for the zone; the others get
-// everything from it, so that the platform's load grows with the zones and not with the nodes. The leaders of
-// different zones send each other heartbeats too, so that changes cross zones while the platform is away. Without
-// the platform a zone keeps a leader, which spreads but has no lease and writes nothing.
+// Each availability zone has one leader. Only the leader reads and writes the platform on behalf of its zone, and the
+// other nodes get everything from it, so the platform's load grows with the number of zones and not with the number of
+// nodes. The leaders of different zones also exchange heartbeats, so changes cross zones while the platform is
+// unreachable. Without the platform, a zone still has a leader: it spreads changes, but holds no lease and writes
+// nothing.
 //
 // # Usage
 //
 //	c := zone.NewController(zone.Config{...})
 //	c.Run(ctx)
 //
-// Other parts of the node make records known by Offer, and take part with kinds of records of their own by
-// Config.Sections.
+// Other packages of the node publish records with Offer and register their own kinds of records in Config.Sections.
 package zone
 
 import (
@@ -28,40 +28,41 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/membership"
 )
 
-// Keys in the platform.
+// Key prefixes in the platform's key-value store.
 const (
 	LeaderPrefix   = "leader/"
 	zonePrefix     = "zone/"
 	DocumentPrefix = "document/"
 )
 
-// Config sets a Controller up.
+// Config configures a Controller.
 type Config struct {
 	Board    *board.Loop
 	Platform *platform.Client
 	Peers    *Client
 	Log      *events.Log
 	Timing   Timing
-	// Seeds are addresses of nodes through which to join while the platform is away.
+	// Seeds are addresses of nodes that this node joins through while the platform is unreachable.
 	Seeds []string
-	// Sections are kinds of records that other controllers own, by the prefix of their keys.
+	// Sections holds the kinds of records that other controllers own, by key prefix.
 	Sections map[string]Section
-	// Incarnation is the time of the node's start; it orders the records of one node across restarts.
+	// Incarnation is the node's start time. It orders the records of one node across restarts.
 	Incarnation uint64
 }
 
-// Section says how one kind of records comes from the platform and gets onto the board.
+// Section describes how one kind of records is read from the platform and published on the board.
 type Section struct {
-	// Decode returns the records in an entry of the platform.
+	// Decode returns the records in a platform entry.
 	Decode func(platform.Entry) []membership.Record
-	// Publish renews the board. It runs in the control goroutine.
+	// Publish updates the board with the changed records. It runs in the control goroutine.
 	Publish func(b *board.Board, changed []membership.Record)
-	// Structure reads what renewals leave as it is, where the records are renewed all the time; nil where they are not.
-	// A zone's renewals go to its own members and to the leaders of the other zones, changes of structure to all nodes.
+	// Structure returns the part of a value that a renewal leaves unchanged. It is set for records that are renewed
+	// continuously, and nil for others. A zone's renewals go to its own members and to the leaders of the other zones;
+	// changes of structure go to all nodes.
 	Structure func(value []byte) membership.Structure
 }
 
-// renewalRules returns the kinds of records that are renewed all the time.
+// renewalRules returns a rule for each section whose records are renewed continuously.
 func renewalRules(sections map[string]Section) []membership.RenewalRule {
 	var rules []membership.RenewalRule
 	for prefix, section := range sections {
@@ -72,24 +73,25 @@
 	return rules
 }
 
-// Timing holds the intervals of the control plane.
+// Timing holds the intervals and timeouts of the control plane.
 type Timing struct {
 	// HeartbeatPeriod is the time between heartbeats in a small zone.
 	HeartbeatPeriod time.Duration
-	// FollowTimeout is the time without an answer after which a leader is no longer followed.
+	// FollowTimeout is the time without an answer after which a node stops following a leader.
 	FollowTimeout time.Duration
-	// DownTimeout is the silence after which a member is down.
+	// DownTimeout is the time without a heartbeat or a record of its own after which a member is down.
 	DownTimeout time.Duration
 	// LeaseTTL is the term of the leader's lease.
 	LeaseTTL time.Duration
-	// WatchTimeout is how long one watch of the documents waits at the platform. Between two watches a leader looks whether
-	// the platform went back to older content.
+	// WatchTimeout limits how long the platform holds one watch of the documents open. Between two watches the leader
+	// checks whether the platform was rolled back to older content.
 	WatchTimeout time.Duration
-	// InterZoneHeartbeatPeriod is the time between heartbeats to the leader of each other zone, where there are few.
+	// InterZoneHeartbeatPeriod is the time between heartbeats to the leader of each other zone, in a fleet of few
+	// zones.
 	InterZoneHeartbeatPeriod time.Duration
 }
 
-// DefaultTiming holds where nothing else is set.
+// DefaultTiming is the timing used unless configured otherwise.
 var DefaultTiming = Timing{
 	HeartbeatPeriod:          250 * time.Millisecond,
 	FollowTimeout:            750 * time.Millisecond,
@@ -100,25 +102,25 @@
 }
 
 const (
-	// retryInterval is the time after which a node that gave no answer is asked again.
+	// retryInterval is the time before a node that did not answer is contacted again.
 	retryInterval = 2 * time.Second
-	// candidateCount is how many nodes of a zone without a leader read the platform.
+	// candidateCount is the number of nodes that read the platform in a zone without a leader.
 	candidateCount = 3
-	// expiryCheckInterval is the time between looks for records to drop.
+	// expiryCheckInterval is the time between checks for expired records.
 	expiryCheckInterval = time.Minute
 )
 
-// Counts are what the controller sent and took, for metrics.
+// Counts holds the controller's counters for metrics.
 type Counts struct {
 	HeartbeatsSent     uint64 `json:"beats_sent"`
 	HeartbeatsReceived uint64 `json:"beats_received"`
-	// Repairs are comparisons of digests after heartbeats that left a difference.
+	// Repairs counts the digest comparisons started because digests still differed after heartbeats.
 	Repairs       uint64 `json:"repairs"`
 	PlatformCalls uint64 `json:"platform_calls"`
 }
 
-// Controller keeps the node's records in step with the others'. All fields below tasks belong to the control
-// goroutine: they are touched only in functions posted to the board's loop.
+// Controller synchronizes the node's records with those of other nodes. All fields below tasks belong to the control
+// goroutine: they are accessed only in functions posted to the board's loop.
 type Controller struct {
 	config   Config
 	sections map[string]Section
@@ -129,14 +131,14 @@
 	detector *membership.Detector
 	election *membership.Election
 	role     membership.Role
-	// logID names this process's order of changes to other nodes.
+	// logID identifies this process's log of changes to other nodes.
 	logID       uint64
 	incarnation uint64
 	sequence    uint64
 	own         membership.Member
-	// members are the decoded records of all members, also of those that are down.
+	// members holds the decoded records of all members, including those that are down.
 	members map[string]membership.Member
-	// zoneChanges counts the changes of the records of the zone's members.
+	// zoneChanges counts the changes to records of the zone's members.
 	zoneChanges     uint64
 	ownRenewedAt    time.Time
 	links           map[string]*link
@@ -145,7 +147,7 @@
 	counts          Counts
 }
 
-// NewController returns a controller.
+// NewController returns a controller that holds no records yet.
 func NewController(config Config) *Controller {
 	c := &Controller{
 		config:      config,
@@ -176,7 +178,7 @@
 	return c
 }
 
-// Run works until the context ends.
+// Run runs the controller until the context ends.
 func (c *Controller) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer c.tasks.wait()
@@ -187,7 +189,7 @@
 	}
 }
 
-// waitForTick waits for the next heartbeat, or for a change that is to spread at once.
+// waitForTick waits until the next heartbeat is due or a change is to be sent at once.
 func (c *Controller) waitForTick(ctx context.Context) {
 	b := c.config.Board.Snapshot()
 	timer := time.NewTimer(membership.HeartbeatPeriod(c.config.Timing.HeartbeatPeriod, b.Members.CountInZone(b.Self.Zone)))
@@ -207,7 +209,7 @@
 		plan = c.plan(b)
 	})
 	for _, t := range plan.HeartbeatTargets {
-		c.tasks.start("beat "+t.Address, func() { c.sendHeartbeat(ctx, t) })
+		c.tasks.start("heartbeat "+t.Address, func() { c.sendHeartbeat(ctx, t) })
 	}
 	if plan.ReadPlatform {
 		c.tasks.start("read leader", func() { c.readLeader(ctx) })
@@ -218,7 +220,8 @@
 	c.performRole(ctx, plan.Role)
 }
 
-// plan asks the election what to do, and shows the board what it says. It runs in the control goroutine.
+// plan asks the election for the next steps and publishes the role and the leader on the board. It runs in the control
+// goroutine.
 func (c *Controller) plan(b *board.Board) membership.Plan {
 	now := time.Now()
 	plan := c.election.Plan(now, c.peersInZone(b))
@@ -243,6 +246,7 @@
 	return peers
 }
 
+// changeRole sets the role and logs the change.
 func (c *Controller) changeRole(b *board.Board, role membership.Role) {
 	previous := c.role
 	c.role = role
@@ -256,7 +260,7 @@
 	}
 }
 
-// publishLeader renews the board's view of the leader.
+// publishLeader updates the leader on the board.
 func (c *Controller) publishLeader(b *board.Board, now time.Time) {
 	leader := board.Leader{Role: c.role}
 	followed, leads, leased := c.election.Followed(now)
@@ -274,13 +278,14 @@
 	}
 }
 
-// refreshOwnRecord renews the node's own record where the board shows that it changed, and refutes a mark that the node is
-// down. A node that reaches its leader only through another renews it again and again, as a sign of life.
+// refreshOwnRecord updates the node's own record after a change on the board, and refutes a record that marks the node
+// down. A node that reaches its leader only through another node also renews its record periodically, which shows the
+// leader that it is alive.
 func (c *Controller) refreshOwnRecord(b *board.Board) {
 	own := selfMember(b)
 	held, _ := c.records.Get(membership.MemberPrefix + own.Node)
 	if held.Version.Epoch > c.incarnation {
-		c.incarnation = held.Version.Epoch + 1 // The clock went back since the node ran last.
+		c.incarnation = held.Version.Epoch + 1 // The clock went back since the node last ran.
 	}
 	now := time.Now()
 	followed, leads, _ := c.election.Followed(now)
@@ -292,7 +297,7 @@
 	}
 	marked := held.Version.Epoch == c.incarnation && membership.IsDownMark(held.Version)
 	if marked && c.role == membership.Following && followed.Node == "" {
-		return // The leader can't reach the node, and would only mark it again.
+		return // The leader can't reach the node and would only mark it down again.
 	}
 	if held.Version.Epoch == c.incarnation {
 		c.sequence = max(c.sequence, held.Version.Sequence)
@@ -325,7 +330,7 @@
 	}
 }
 
-// merge takes records in and renews the sections of the board that they concern. It runs in the control goroutine.
+// merge merges received records and updates the affected sections of the board. It runs in the control goroutine.
 func (c *Controller) merge(b *board.Board, received ...membership.Record) {
 	now := time.Now()
 	received = slices.DeleteFunc(received, func(r membership.Record) bool { return !hasMatchingVersion(r) || isExpiredMember(r, now) })
@@ -335,6 +340,7 @@
 	}
 }
 
+// isExpiredMember reports whether the record is that of an expired member, or a member record that cannot be parsed.
 func isExpiredMember(r membership.Record, now time.Time) bool {
 	if !strings.HasPrefix(r.Key, membership.MemberPrefix) {
 		return false
@@ -343,7 +349,8 @@
 	return err != nil || m.IsExpired(now)
 }
 
-// dropExpired drops the records of members that have been down for long. It runs in the control goroutine.
+// dropExpired drops the records of members that have been down longer than the retention time. It runs in the control
+// goroutine.
 func (c *Controller) dropExpired(now time.Time) {
 	if now.Sub(c.expiryCheckedAt) < expiryCheckInterval {
 		return
@@ -359,7 +366,7 @@
 	}
 }
 
-// offer takes in records that were made here, and marks them to be sent with the next heartbeat.
+// offer merges records made on this node and queues them for the next heartbeat on each link.
 func (c *Controller) offer(b *board.Board, records ...membership.Record) {
 	c.merge(b, records...)
 	for _, l := range c.links {
@@ -367,13 +374,14 @@
 	}
 }
 
-// Offer takes in records that were made here, such as a document just written to the platform, and spreads them.
+// Offer merges records made on this node, such as a document just written to the platform, and sends them to other
+// nodes.
 func (c *Controller) Offer(ctx context.Context, records ...membership.Record) {
 	c.config.Board.Do(ctx, func(b *board.Board) { c.offer(b, records...) })
 	c.wake()
 }
 
-// wake makes the next heartbeat due.
+// wake makes the next heartbeat due at once.
 func (c *Controller) wake() {
 	select {
 	case c.wakeup <- struct{}{}:
--- a/internal/control/zone/document.go
+++ b/internal/control/zone/document.go
@@ -18,13 +18,15 @@
 )
 
 const (
-	// maxHistoryEdits bounds how many earlier edits a stored document keeps.
+	// maxHistoryEdits is the number of earlier edits that a stored document keeps.
 	maxHistoryEdits = 64
-	// maxHistoryBytes bounds the sources of the earlier edits, far below the platform's largest value.
+	// maxHistoryBytes limits the total size of the sources of earlier edits. It is far below the platform's limit for
+	// one value.
 	maxHistoryBytes = 256 << 10
-	// MaxSourceBytes bounds the source of one document.
+	// MaxSourceBytes limits the source of one document.
 	MaxSourceBytes = 64 << 10
-	// editHashBits of a version's sequence are taken from the operation id; the others are the time of the edit.
+	// editHashBits is the number of low bits of a version's sequence that come from the operation ID. The higher bits
+	// are the time of the edit.
 	editHashBits = 12
 )
 
@@ -33,35 +35,36 @@
 	// Revision grows by one with each accepted edit.
 	Revision uint64 `json:"revision"`
 	Source   string `json:"source"`
-	// Operation identifies the edit, so that a lost answer can be settled.
+	// Operation identifies the edit, so that an editor whose answer was lost can find out whether the edit was
+	// accepted.
 	Operation string `json:"operation"`
-	// Editor is who made the edit: a team, or "team/editor" where the token named a person.
+	// Editor is who made the edit: a team, or "team/editor" if the token named a person.
 	Editor string    `json:"editor"`
 	Time   time.Time `json:"time"`
-	// History holds the earlier edits, the newest first. It stays in the platform, under a key of its own, and is not
-	// spread to the nodes.
+	// History holds the earlier edits, newest first. It is stored only in the platform, under a key of its own, and is
+	// not sent to the nodes.
 	History []StoredDocument `json:"history,omitempty"`
 }
 
-// ParseStored reads the value of a document in the platform.
+// ParseStored decodes the value of a document in the platform.
 func ParseStored(value []byte) (StoredDocument, error) {
 	var d StoredDocument
 	return d, trace.Wrap(json.Unmarshal(value, &d))
 }
 
-// Version orders the edits of one document. Two edits have one revision only where the platform lost the first and
-// took the second in its place; of these the later one is higher.
+// Version orders the edits of one document. Two edits have the same revision only if the platform lost the first and
+// accepted the second in its place; the later edit then has the higher version.
 func (d StoredDocument) Version() membership.Version {
 	hash := xxhash.Sum64String(d.Operation) & (1<<editHashBits - 1)
 	return membership.Version{Epoch: d.Revision, Sequence: uint64(d.Time.UnixMicro())<<editHashBits | hash}
 }
 
-// Tag names the edit, as an entity tag without its quotes.
+// Tag returns a tag that identifies the edit: an entity tag without its quotes.
 func (d StoredDocument) Tag() string {
 	return fmt.Sprintf("%d-%08x", d.Revision, uint32(xxhash.Sum64String(d.Operation)))
 }
 
-// Find returns the edit of the operation, be it the current one or an earlier one.
+// Find returns the edit with the operation ID, which is either the current edit or an earlier one.
 func (d StoredDocument) Find(operation string) (StoredDocument, bool) {
 	if d.Operation == operation {
 		return d, true
@@ -74,14 +77,14 @@
 	return StoredDocument{}, false
 }
 
-// Record returns the document as it spreads to the nodes.
+// Record returns the record that carries the document to the nodes, without its history.
 func (d StoredDocument) Record(key string) (membership.Record, error) {
 	d.History = nil
 	value, err := json.Marshal(d)
 	return membership.Record{Key: key, Version: d.Version(), Value: value}, trace.Wrap(err)
 }
 
-// WithPrevious returns the document with the earlier one at the head of its history.
+// WithPrevious returns the document with the previous one at the head of its history.
 func (d StoredDocument) WithPrevious(previous StoredDocument) StoredDocument {
 	d.History = nil
 	if previous.Revision == 0 {
@@ -100,9 +103,9 @@
 	return d
 }
 
-// Reinstate writes the document that the nodes hold over the entry of a platform that has fallen behind, as one
-// restored to older content has. Where both have one revision, the document gets the next. It returns the document
-// as it is now in the platform, or the held one unchanged where the entry is not behind.
+// Reinstate writes the document that the nodes hold over an older entry in the platform, such as after the platform was
+// rolled back to older content. If both have the same revision, the document gets the next one. It returns the document
+// as it now is in the platform, or the held document unchanged if the entry is not older.
 func Reinstate(ctx context.Context, client *platform.Client, key string, entry platform.Entry, held StoredDocument) (StoredDocument, platform.Entry, error) {
 	current, err := parsePlatformDocument(entry)
 	if err != nil {
@@ -133,7 +136,8 @@
 	return []membership.Record{r}
 }
 
-// hasMatchingVersion reports whether the version of a document's record is that of the document in it.
+// hasMatchingVersion reports whether a document record has the version of the document in its value. It is true for
+// every other kind of record.
 func hasMatchingVersion(r membership.Record) bool {
 	if !strings.HasPrefix(r.Key, DocumentPrefix) {
 		return true
@@ -150,8 +154,8 @@
 	return held, found
 }
 
-// reinstate writes each document held here that is newer than its entry, or has none, back to the platform. Entries
-// holds what a watch returned; whole says that it returned everything.
+// reinstate writes each document that is held here and newer than its platform entry, or has no entry, back to the
+// platform. Entries is the result of a list or a watch; full reports whether it covers all documents.
 func (c *Controller) reinstate(ctx context.Context, entries []platform.Entry, full bool) error {
 	stored := map[string]platform.Entry{}
 	for _, e := range entries {
@@ -178,7 +182,7 @@
 	}
 	next, written, err := Reinstate(ctx, c.config.Platform, r.Key, entry, held)
 	if errors.Is(err, platform.ErrCompareFailed) {
-		return nil // Another leader or an operator was first; the watch brings what they wrote.
+		return nil // Another leader or an operator wrote first; the watch returns that write.
 	}
 	if err != nil || written.Revision == entry.Revision {
 		return trace.Wrap(err)
--- a/internal/control/zone/document_test.go
+++ b/internal/control/zone/document_test.go
@@ -26,10 +26,10 @@
 		first, second zone.StoredDocument
 		stands        string
 	}{
-		"higher revision":                 {first: edit(1, "a", early), second: edit(2, "b", early.Add(-time.Hour)), stands: "b"},
-		"lower revision":                  {first: edit(2, "a", early), second: edit(1, "b", early.Add(time.Hour)), stands: "a"},
-		"one revision, later edit second": {first: edit(2, "a", early), second: edit(2, "b", early.Add(time.Second)), stands: "b"},
-		"one revision, later edit first":  {first: edit(2, "a", early.Add(time.Second)), second: edit(2, "b", early), stands: "a"},
+		"higher revision":                  {first: edit(1, "a", early), second: edit(2, "b", early.Add(-time.Hour)), stands: "b"},
+		"lower revision":                   {first: edit(2, "a", early), second: edit(1, "b", early.Add(time.Hour)), stands: "a"},
+		"same revision, later edit second": {first: edit(2, "a", early), second: edit(2, "b", early.Add(time.Second)), stands: "b"},
+		"same revision, later edit first":  {first: edit(2, "a", early.Add(time.Second)), second: edit(2, "b", early), stands: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -47,7 +47,7 @@
 				is.NoErr(err)
 				controller.Offer(t.Context(), r)
 				r.Version = membership.Version{Epoch: 99}
-				controller.Offer(t.Context(), r) // a version that is not the document's own changes nothing
+				controller.Offer(t.Context(), r) // A version other than the document's own changes nothing.
 			}
 			is.Equal(loop.Snapshot().Documents.ByService["access"].Operation, c.stands)
 		})
--- a/internal/control/zone/elect.go
+++ b/internal/control/zone/elect.go
@@ -12,19 +12,19 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/membership"
 )
 
-// leaderValue is what a leader writes under its lease.
+// leaderValue is the value that a leader writes under its lease.
 type leaderValue struct {
 	Node        string `json:"node"`
 	PeerAddress string `json:"peer_address"`
-	// Incarnation tells the node's processes apart.
+	// Incarnation distinguishes processes of the same node.
 	Incarnation uint64 `json:"incarnation"`
-	// Term grows with each leader of the zone, also when the platform goes back to older content.
+	// Term grows with each leader of the zone, even if the platform is rolled back to older content.
 	Term uint64 `json:"term"`
 }
 
 func parseLeader(value []byte) leaderValue {
 	var v leaderValue
-	_ = json.Unmarshal(value, &v) // A value that can't be read names nobody.
+	_ = json.Unmarshal(value, &v) // An unreadable value names no leader.
 	return v
 }
 
@@ -33,7 +33,7 @@
 	return []membership.Record{{Key: e.Key, Version: membership.Version{Epoch: v.Term}, Value: e.Value}}
 }
 
-// readLeader reads who leads, and takes the lead where nobody does.
+// readLeader reads the leader's entry in the platform, and acquires the leadership if there is no leader.
 func (c *Controller) readLeader(ctx context.Context) {
 	self := c.config.Board.Snapshot().Self
 	entry, err := c.config.Platform.Get(ctx, LeaderPrefix+self.Zone)
@@ -45,7 +45,7 @@
 	case err != nil:
 		return
 	case named.Node == self.Node:
-		c.acquireLeadership(ctx, self, entry) // An earlier process of this node, or a lease that this one lost track of.
+		c.acquireLeadership(ctx, self, entry) // From an earlier process of this node, or a lease that this process lost track of.
 	default:
 		c.config.Board.Do(ctx, func(*board.Board) {
 			c.election.RecordPlatformLeader(membership.Target{Node: named.Node, Address: named.PeerAddress})
@@ -53,7 +53,7 @@
 	}
 }
 
-// acquireLeadership writes the node into the place of the entry, under a lease of its own.
+// acquireLeadership replaces the leader's entry with one that names this node, under a new lease.
 func (c *Controller) acquireLeadership(ctx context.Context, self board.Self, entry platform.Entry) {
 	stored, err := c.config.Platform.Get(ctx, zonePrefix+self.Zone)
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
@@ -72,7 +72,7 @@
 	swap := platform.Swap{Key: leaderKey(self), Value: encoded, Expected: entry.Revision, Lease: lease.ID}
 	written, err := c.config.Platform.CompareAndSwap(ctx, swap)
 	if err != nil {
-		return // Another was first, or the answer was lost; then the lease lapses or the next read finds this node.
+		return // Another node wrote first, or the answer was lost: the lease expires, or the next read finds this node.
 	}
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		c.election.RecordLeaseGranted(membership.Lease{Term: value.Term, Until: requestedAt.Add(c.config.Timing.LeaseTTL)})
@@ -83,14 +83,15 @@
 	c.wake()
 }
 
+// leaderKey returns the platform key of the leader of the node's zone.
 func leaderKey(self board.Self) string {
 	return LeaderPrefix + self.Zone
 }
 
-// nextTerm returns a term above all that the zone has seen.
+// nextTerm returns a term above every term that this node knows of in the zone.
 func (c *Controller) nextTerm(ctx context.Context, stored platform.Entry) uint64 {
 	var v zoneValue
-	_ = json.Unmarshal(stored.Value, &v) // Without a value the zone begins anew.
+	_ = json.Unmarshal(stored.Value, &v) // Without a value the stored term is 0.
 	term := v.Term
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		held, _ := c.records.Get(leaderKey(b.Self))
@@ -99,7 +100,7 @@
 	return term + 1
 }
 
-// presumePredecessorDown calls the leader before this one down where it gave no answer while its lease lapsed.
+// presumePredecessorDown marks the previous leader as presumed down if it was unresponsive while its lease expired.
 func (c *Controller) presumePredecessorDown(b *board.Board) {
 	c.detector.Reset()
 	held, found := c.records.Get(leaderKey(b.Self))
@@ -109,7 +110,8 @@
 	}
 }
 
-// renewLease keeps the lease. What was asked for before a pause counts from then.
+// renewLease renews the lease. The lease's term counts from when the renewal was requested, so a pause of the process
+// before the answer does not extend it.
 func (c *Controller) renewLease(ctx context.Context) {
 	requestedAt := time.Now()
 	var lease platform.Lease
@@ -128,7 +130,8 @@
 	})
 }
 
-// recordPlatformResult notes whether the platform answered.
+// recordPlatformResult records whether the platform answered a call. A call that the platform refused counts as
+// answered.
 func (c *Controller) recordPlatformResult(ctx context.Context, err error) {
 	reachable := err == nil || errors.Is(err, platform.ErrNotFound) || errors.Is(err, platform.ErrCompareFailed)
 	if ctx.Err() != nil {
--- a/internal/control/zone/follow.go
+++ b/internal/control/zone/follow.go
@@ -9,21 +9,24 @@
 )
 
 const (
-	// mismatchesToRepair is how many heartbeats in a row show another digest before buckets are compared.
+	// mismatchesToRepair is the number of consecutive heartbeats with a different digest after which buckets are
+	// compared.
 	mismatchesToRepair = 3
-	// minRepairInterval is the least time between two comparisons with one node.
+	// minRepairInterval is the minimum time between two comparisons with the same node.
 	minRepairInterval = 3 * time.Second
-	// linkIdleTimeout is the time after which what is known of another node's log is forgotten.
+	// linkIdleTimeout is the time without use after which a link may be dropped.
 	linkIdleTimeout = time.Minute
 )
 
-// link is what a node knows of another one that it sends heartbeats to.
+// link is the state kept for another node that this node sends heartbeats to.
 type link struct {
+	// logID and logPosition identify the other node's change log and the last change in it that was applied here.
 	logID       uint64
 	logPosition uint64
-	// pending are the keys of records that were made here and that the other node may lack.
+	// pending holds the keys of records that were made here and that the other node may lack.
 	pending map[string]bool
-	// sendsHeartbeats says that the other node sends heartbeats here as well, so that nothing need be sent to it.
+	// sendsHeartbeats reports whether the other node also sends heartbeats to this one and gets changes in the answers,
+	// so that no records need to be queued for it.
 	sendsHeartbeats bool
 	mismatches      int
 	repairedAt      time.Time
@@ -39,7 +42,8 @@
 	}
 }
 
-// link returns the link to the address and forgets those that were not used for long.
+// link returns the link to the address. Creating a link drops the links that have been idle for longer than
+// linkIdleTimeout.
 func (c *Controller) link(address string, now time.Time) *link {
 	l, ok := c.links[address]
 	if !ok {
@@ -55,7 +59,7 @@
 	return l
 }
 
-// sendHeartbeat sends a heartbeat to a node of the same zone and tells the election of the answer.
+// sendHeartbeat sends a heartbeat to a node of the same zone and reports the result to the election.
 func (c *Controller) sendHeartbeat(ctx context.Context, t membership.Target) {
 	answer, err := c.synchronize(ctx, t.Address)
 	if ctx.Err() != nil {
@@ -72,7 +76,7 @@
 	})
 }
 
-// synchronize exchanges heartbeats with the node at the address until both have the other's changes.
+// synchronize exchanges heartbeats with the node at the address until the node has no further changes to send.
 func (c *Controller) synchronize(ctx context.Context, address string) (HeartbeatAnswer, error) {
 	for {
 		request := c.newHeartbeat(ctx, address)
@@ -89,6 +93,7 @@
 	}
 }
 
+// newHeartbeat returns the next heartbeat for the node at the address.
 func (c *Controller) newHeartbeat(ctx context.Context, address string) Heartbeat {
 	var request Heartbeat
 	c.config.Board.Do(ctx, func(b *board.Board) {
@@ -108,7 +113,7 @@
 	return request
 }
 
-// applyAnswer takes the changes in and reports whether buckets should be compared.
+// applyAnswer applies the changes in the answer and reports whether buckets should be compared.
 func (c *Controller) applyAnswer(ctx context.Context, address string, request Heartbeat, answer HeartbeatAnswer) bool {
 	repair := false
 	c.config.Board.Do(ctx, func(b *board.Board) {
@@ -128,7 +133,7 @@
 		unknownLog := l.logID != answer.LogID && l.mismatches > 0
 		l.logID, l.logPosition = answer.LogID, answer.NextPosition
 		if !allApplied {
-			l.logID = 0 // The next heartbeat begins anew.
+			l.logID = 0 // The next heartbeat is answered as one that does not know the log.
 		}
 		if unknownLog || (l.mismatches >= mismatchesToRepair && now.Sub(l.repairedAt) > minRepairInterval) {
 			repair = true
@@ -139,7 +144,7 @@
 	return repair
 }
 
-// mergeChanges takes changes in and reports whether each patch among them fitted.
+// mergeChanges merges changes and reports whether every patch could be applied.
 func (c *Controller) mergeChanges(b *board.Board, changes []membership.Change) bool {
 	allApplied := true
 	var received []membership.Record
@@ -161,7 +166,7 @@
 	return allApplied
 }
 
-// acknowledge drops the records that were sent from those to be sent, unless they have changed since.
+// acknowledge removes the sent records from the pending ones, except those that changed after they were sent.
 func (c *Controller) acknowledge(l *link, sent []membership.Record) {
 	for _, r := range sent {
 		held, _ := c.records.Get(r.Key)
@@ -171,7 +176,7 @@
 	}
 }
 
-// repair compares buckets with the node at the address and moves the records in which the two differ.
+// repair compares buckets with the node at the address and exchanges the records that differ.
 func (c *Controller) repair(ctx context.Context, address string) {
 	var digests []uint64
 	c.config.Board.Do(ctx, func(*board.Board) { digests = c.records.Digests() })
@@ -199,7 +204,7 @@
 	}
 }
 
-// splitToFit returns as many records as fit in a message, and the others.
+// splitToFit returns the leading records that fit in one message, and the rest.
 func splitToFit(records []membership.Record) (batch, rest []membership.Record) {
 	remaining := maxRecordBytes
 	for i, r := range records {
@@ -211,6 +216,7 @@
 	return records, nil
 }
 
+// selectVersions returns the versions of the keys.
 func selectVersions(versions map[string]membership.Version, keys []string) map[string]membership.Version {
 	selected := make(map[string]membership.Version, len(keys))
 	for _, key := range keys {
@@ -219,9 +225,9 @@
 	return selected
 }
 
-// contactSeeds joins through the configured addresses where no other node is known.
+// contactSeeds joins through the configured addresses when there is no node to send heartbeats to.
 func (c *Controller) contactSeeds(ctx context.Context) {
 	for _, address := range c.config.Seeds {
-		c.tasks.start("beat "+address, func() { _, _ = c.synchronize(ctx, address) })
+		c.tasks.start("heartbeat "+address, func() { _, _ = c.synchronize(ctx, address) })
 	}
 }
--- a/internal/control/zone/history.go
+++ b/internal/control/zone/history.go
@@ -12,16 +12,16 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/platform"
 )
 
-// HistoryPrefix begins the keys of the earlier edits of documents. No leader lists or watches them.
+// HistoryPrefix is the key prefix of the earlier edits of documents. Leaders neither list nor watch these keys.
 const HistoryPrefix = "history/"
 
-// ErrHistoryStale says that the platform showed a document before the history that belongs to it.
+// ErrHistoryStale means that the platform returned a document together with a history older than that document.
 var ErrHistoryStale = errors.New("the platform shows an older history than the document's")
 
-// PlatformDocument is a document as it stands in the platform, with its history. All is zero where there is no document.
+// PlatformDocument is a document with its history, as stored in the platform. It is zero if there is no document.
 //
-// An edit gets into the history before another takes its place, so who reads the document and then its history misses
-// no edit. One compare-and-swap on the document decides which edit takes its place.
+// An edit is written to the history before another edit replaces it, so reading the document first and its history
+// second misses no edit. A single compare-and-swap on the document decides which edit replaces it.
 type PlatformDocument struct {
 	Stored   StoredDocument
 	Entry    platform.Entry
@@ -29,15 +29,15 @@
 	history  platform.Entry
 }
 
-// documentValue is the value of a document in the platform.
+// documentValue is the encoded value of a document in the platform.
 type documentValue struct {
 	StoredDocument
 
-	// Replaces is the operation of the edit that this one replaced.
+	// Replaces is the operation ID of the edit that this one replaced.
 	Replaces string `json:"replaces,omitempty"`
 }
 
-// ReadPlatformDocument reads the document of the service and then its history.
+// ReadPlatformDocument reads the service's document and then its history.
 func ReadPlatformDocument(ctx context.Context, client *platform.Client, service string) (PlatformDocument, error) {
 	entry, err := getOrNone(ctx, client, DocumentPrefix+service)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return s, s.readHistory(ctx, client, service)
 }
 
-// getOrNone returns the entry under the key, or the zero Entry where there is none.
+// getOrNone returns the entry under the key, or the zero Entry if it does not exist.
 func getOrNone(ctx context.Context, client *platform.Client, key string) (platform.Entry, error) {
 	entry, err := client.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -59,6 +59,7 @@
 	return entry, trace.Wrap(err)
 }
 
+// parsePlatformDocument decodes the document in the entry, without the history under its own key.
 func parsePlatformDocument(entry platform.Entry) (PlatformDocument, error) {
 	s := PlatformDocument{Entry: entry}
 	if entry.Revision == 0 {
@@ -70,7 +71,8 @@
 	return s, trace.Wrap(err)
 }
 
-// readHistory adds the edits in the history to those in the document, as earlier versions of the program wrote it.
+// readHistory reads the history under its own key and adds its edits to those in the document's value, where earlier
+// versions of the program stored them.
 func (s *PlatformDocument) readHistory(ctx context.Context, client *platform.Client, service string) error {
 	var err error
 	if s.history, err = getOrNone(ctx, client, HistoryPrefix+service); err != nil {
@@ -93,10 +95,11 @@
 	return nil
 }
 
-// maxReadLag is how far the platform's reads may lag. A history that still lacks an edit after that has lost it, which
-// must not stand in the way of further edits.
+// maxReadLag is the maximum lag of the platform's reads. A history that still lacks an edit after that time has lost
+// it, which must not block further edits.
 const maxReadLag = time.Minute
 
+// isHistoryStale reports whether the history lacks the replaced edit and may still lag.
 func (s *PlatformDocument) isHistoryStale(now time.Time) bool {
 	_, found := s.Stored.Find(s.replaces)
 	return s.replaces != "" && !found && now.Sub(s.Stored.Time) < maxReadLag
@@ -110,7 +113,7 @@
 	return edits, trace.Wrap(json.Unmarshal(entry.Value, &edits))
 }
 
-// Replace puts the document that stands into the history and the next one in its place.
+// Replace adds the current document to the history and then replaces it with the next one.
 func (s PlatformDocument) Replace(ctx context.Context, client *platform.Client, next StoredDocument) (platform.Entry, error) {
 	if err := s.writeHistory(ctx, client, next.WithPrevious(s.Stored).History); err != nil {
 		return platform.Entry{}, trace.Wrap(err)
@@ -124,7 +127,8 @@
 	return written, trace.Wrap(err)
 }
 
-// writeHistory writes the history unless it has the document that stands. Another edit of it may have put that there as well.
+// writeHistory writes the history unless it already contains the current document. A concurrent edit of the document
+// may also have written it.
 func (s PlatformDocument) writeHistory(ctx context.Context, client *platform.Client, edits []StoredDocument) error {
 	if len(edits) == 0 || s.isInHistory(s.history) {
 		return nil
@@ -144,7 +148,7 @@
 	return trace.Wrap(writeErr)
 }
 
-// isInHistory reports whether the history holds the document that stands.
+// isInHistory reports whether the history contains the current document.
 func (s PlatformDocument) isInHistory(history platform.Entry) bool {
 	edits, err := parseHistory(history)
 	return err == nil && containsEdit(edits, s.Stored)
--- a/internal/control/zone/leader.go
+++ b/internal/control/zone/leader.go
@@ -14,26 +14,29 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/membership"
 )
 
-// leadership is what a leader keeps for its duties. It belongs to the control goroutine.
+// leadership is the state that a leader keeps for its duties. It belongs to the control goroutine.
 type leadership struct {
 	lease          platform.Lease
 	leaseRenewedAt time.Time
-	// leaderEntryValue is what the leader wrote under the lease.
+	// leaderEntryValue is the value of the leader's entry, written under the lease.
 	leaderEntryValue []byte
-	// zoneRevision is that of the zone's entry, and published how many changes of the members are in it.
+	// zoneRevision is the revision of the zone's entry in the platform, and publishedChanges the count of member
+	// changes that the entry includes.
 	zoneRevision     uint64
 	publishedChanges uint64
-	// stopWatch ends the watch of this term.
+	// stopWatch ends the watches of this term.
 	stopWatch context.CancelFunc
-	// leaderlessSince holds the other zones without a leader at the platform, and since when.
+	// leaderlessSince maps each other zone without a leader at the platform to the time since when it has had none.
 	leaderlessSince map[string]time.Time
-	// targets has where each other zone was reached last, and tries how often it was not since.
-	targets          map[string]membership.Target
-	failures         map[string]int
+	// targets maps each other zone to its leader according to the zone's last answer, and failures counts the
+	// consecutive heartbeats since then without an answer that names a leader.
+	targets  map[string]membership.Target
+	failures map[string]int
+	// contactedZonesAt is the time of the last heartbeats to other zones.
 	contactedZonesAt time.Time
-	// unanswered counts the heartbeats in a row to each other zone that had no answer.
+	// unanswered counts the consecutive unanswered heartbeats to each other zone.
 	unanswered map[string]int
-	// probedDownAt is when the members that are down were looked for.
+	// probedDownAt is the time of the last heartbeats to members that are down.
 	probedDownAt time.Time
 }
 
@@ -47,7 +50,7 @@
 	}
 }
 
-// beginTerm takes over under a new lease.
+// beginTerm starts a term under a new lease.
 func (l *leadership) beginTerm(lease platform.Lease, requestedAt time.Time, value []byte, zoneRevision uint64) {
 	l.endWatch()
 	l.lease, l.leaseRenewedAt, l.leaderEntryValue, l.zoneRevision, l.publishedChanges = lease, requestedAt, value, zoneRevision, 0
@@ -61,7 +64,7 @@
 	}
 }
 
-// performRole does what the role asks for.
+// performRole carries out the duties of the role.
 func (c *Controller) performRole(ctx context.Context, role membership.Role) {
 	if role == membership.Following {
 		c.actAsFollower(ctx)
@@ -75,7 +78,8 @@
 	}
 }
 
-// actAsFollower ends the watch of an earlier term. A node that reaches nobody of its zone gets changes from other zones.
+// actAsFollower ends the watches of an earlier term. A node that follows nobody in its own zone gets changes from other
+// zones.
 func (c *Controller) actAsFollower(ctx context.Context) {
 	alone := false
 	c.config.Board.Do(ctx, func(*board.Board) {
@@ -98,7 +102,7 @@
 	c.tasks.start("write zone", func() { c.writeZone(ctx) })
 }
 
-// markDown marks the members that are silent and answer no heartbeat either.
+// markDown marks silent members down. A member that is only suspected is probed first.
 func (c *Controller) markDown(ctx context.Context) {
 	var suspected []membership.Target
 	c.config.Board.Do(ctx, func(b *board.Board) {
@@ -119,7 +123,7 @@
 	}
 }
 
-// mayMarkDown reports whether it is this leader's part to say that the member is down.
+// mayMarkDown reports whether this leader is responsible for marking the member down.
 func (c *Controller) mayMarkDown(b *board.Board, m membership.Member, now time.Time) bool {
 	if m.Node == b.Self.Node {
 		return false
@@ -127,7 +131,8 @@
 	return m.Zone == b.Self.Zone || (c.role == membership.Leading && c.mayMarkZoneDown(b, m.Zone, now))
 }
 
-// mayMarkZoneDown reports whether the other zone has lost its leader, and this one is the first of those that have one.
+// mayMarkZoneDown reports whether the other zone has lost its leader, and this node's zone is the first by name of the
+// zones that have one.
 func (c *Controller) mayMarkZoneDown(b *board.Board, zone string, now time.Time) bool {
 	since, leaderless := c.leadership.leaderlessSince[zone]
 	if !leaderless || now.Sub(since) < c.config.Timing.DownTimeout {
@@ -147,8 +152,8 @@
 	c.offer(b, m.DownRecord(held.Version, time.Now()))
 }
 
-// probe sends a heartbeat to a silent member, which may be alive and follow somebody else. One that does not answer
-// either is down.
+// probe sends a heartbeat to a suspected member, which may be alive and follow another node. A member that does not
+// answer is presumed down.
 func (c *Controller) probe(ctx context.Context, t membership.Target) {
 	_, err := c.synchronize(ctx, t.Address)
 	if ctx.Err() != nil {
@@ -165,8 +170,8 @@
 	})
 }
 
-// probeDownMembers sends heartbeats to the zone's members that are down: one that started again while the platform is away
-// knows nobody.
+// probeDownMembers sends heartbeats to the zone's members that are down. A member that restarted while the platform is
+// unreachable knows no other nodes.
 func (c *Controller) probeDownMembers(ctx context.Context) {
 	var targets []membership.Target
 	c.config.Board.Do(ctx, func(b *board.Board) {
@@ -185,8 +190,8 @@
 	}
 }
 
-// contactZones sends a heartbeat to the leader of each other zone. While the platform answers, it brings what the zones
-// have to tell each other, and in a fleet of many zones the heartbeats come more seldom.
+// contactZones sends a heartbeat to the leader of each other zone. While the platform is reachable, changes cross zones
+// through the platform, and the heartbeats are less frequent in a fleet of many zones.
 func (c *Controller) contactZones(ctx context.Context) {
 	targets := map[string]membership.Target{}
 	c.config.Board.Do(ctx, func(b *board.Board) {
@@ -205,6 +210,7 @@
 	}
 }
 
+// interZoneHeartbeatPeriod returns the time between heartbeats to each other zone.
 func (c *Controller) interZoneHeartbeatPeriod(b *board.Board) time.Duration {
 	if !b.Platform.Reachable || c.role != membership.Leading {
 		return c.config.Timing.InterZoneHeartbeatPeriod
@@ -216,8 +222,8 @@
 	return membership.InterZoneHeartbeatPeriod(c.config.Timing.InterZoneHeartbeatPeriod, len(zones)-1)
 }
 
-// zoneTarget returns where to reach the zone: where it was reached last, the leader that its record names, or after
-// failures one member after the other.
+// zoneTarget returns the node to contact in the zone: its leader according to the last answer or, after failures,
+// alternately the leader named in the zone's record and one member after the other.
 func (c *Controller) zoneTarget(b *board.Board, zone string) membership.Target {
 	failures := c.leadership.failures[zone]
 	if t, known := c.leadership.targets[zone]; known && failures == 0 {
@@ -253,9 +259,9 @@
 	})
 }
 
-// zoneValue is the batch of a zone's member records in the platform.
+// zoneValue is the value of a zone's entry in the platform: the records of its members.
 type zoneValue struct {
-	// Term is that of the leader that wrote the batch.
+	// Term is the term of the leader that wrote the entry.
 	Term    uint64              `json:"term"`
 	Records []membership.Record `json:"records"`
 }
@@ -268,8 +274,8 @@
 	return v.Records
 }
 
-// writeZone writes the records of the zone's members in one batch where they changed. The expected revision is the
-// one that this leader saw last: a leader that was paused finds another there, and writes nothing.
+// writeZone writes the records of the zone's members in one entry if they changed. The expected revision is the last
+// one that this leader saw, so the write of a leader that was paused while another wrote is refused.
 func (c *Controller) writeZone(ctx context.Context) {
 	var value zoneValue
 	var changes uint64
@@ -301,14 +307,14 @@
 	})
 }
 
-// rereadZone finds out why the zone's entry was not the expected one. Where a later leader wrote it, this one resigns.
+// rereadZone reads the zone's entry after a failed write. If a leader with a later term wrote it, this node resigns.
 func (c *Controller) rereadZone(ctx context.Context, key string, term uint64) {
 	entry, err := c.config.Platform.Get(ctx, key)
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return
 	}
 	var stored zoneValue
-	_ = json.Unmarshal(entry.Value, &stored) // An absent or unreadable value has no term.
+	_ = json.Unmarshal(entry.Value, &stored) // An absent or unreadable value has term 0.
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		c.merge(b, stored.Records...)
 		c.leadership.zoneRevision = entry.Revision
@@ -318,7 +324,7 @@
 	})
 }
 
-// zoneRecords returns the records of the zone's members, by name.
+// zoneRecords returns the records of the zone's members, sorted by node name.
 func (c *Controller) zoneRecords(zone string) []membership.Record {
 	var records []membership.Record
 	for _, node := range slices.Sorted(maps.Keys(c.members)) {
--- a/internal/control/zone/publish.go
+++ b/internal/control/zone/publish.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/membership"
 )
 
-// publish renews the sections of the board that the changed records concern.
+// publish updates the sections of the board that the changed records belong to.
 func (c *Controller) publish(b *board.Board, changed []membership.Record) {
 	for prefix, section := range c.sections {
 		concerned := withPrefix(changed, prefix)
@@ -32,7 +32,7 @@
 	return found
 }
 
-// publishMembers keeps the members of the records in their decoded form, and renews the board.
+// publishMembers decodes the changed member records and updates the members on the board.
 func (c *Controller) publishMembers(b *board.Board, changed []membership.Record) {
 	members := board.Members{
 		ByNode:    maps.Clone(b.Members.ByNode),
@@ -52,21 +52,22 @@
 			c.logMemberUp(members, m)
 		}
 		if m.State != membership.Down {
-			c.detector.RecordHeartbeat(m.Node, time.Now()) // The member itself made the record.
+			c.detector.RecordHeartbeat(m.Node, time.Now()) // The record was made by the member itself.
 		}
 		replaceMember(members, m)
 	}
 	b.Members = members
 }
 
-// logMemberUp logs a member of the own zone that joined or came back.
+// logMemberUp logs that a member of the node's zone joined or came back.
 func (c *Controller) logMemberUp(before board.Members, m membership.Member) {
 	if _, known := before.ByNode[m.Node]; !known && m.State == membership.Up {
 		c.config.Log.Emit(events.MemberUp, events.Fields{"member": m.Node, "zone": m.Zone})
 	}
 }
 
-// replaceMember puts the member in the place of its earlier self. The lists of the services are not changed but replaced.
+// replaceMember replaces the member in the maps. The lists in ByService are replaced, never modified, because earlier
+// snapshots of the board share them.
 func replaceMember(members board.Members, m membership.Member) {
 	if before, known := members.ByNode[m.Node]; known && before.Service != "" {
 		others := slices.DeleteFunc(slices.Clone(members.ByService[before.Service]), func(other membership.Member) bool {
@@ -87,7 +88,7 @@
 	}
 }
 
-// insertSorted returns the list with the member, by name.
+// insertSorted returns a copy of the list with the member inserted in name order.
 func insertSorted(list []membership.Member, m membership.Member) []membership.Member {
 	index, _ := slices.BinarySearchFunc(list, m.Node, func(other membership.Member, node string) int {
 		return strings.Compare(other.Node, node)
--- a/internal/control/zone/reach.go
+++ b/internal/control/zone/reach.go
@@ -10,18 +10,20 @@
 )
 
 const (
-	// reachPrefix begins the key of the record by which a zone's leader tells its members which zones it can't reach.
+	// reachPrefix is the key prefix of the records in which the leader of a zone lists the zones that it can't reach.
 	reachPrefix = "reach/"
-	// unreachedThreshold is how many heartbeats in a row to another zone had no answer when it counts as not reached.
+	// unreachedThreshold is the number of consecutive unanswered heartbeats after which another zone counts as
+	// unreached.
 	unreachedThreshold = 2
 )
 
-// reachValue is what a leader can't reach.
+// reachValue is the value of a reach record.
 type reachValue struct {
 	Unreached []string `json:"unreached"`
 }
 
-// recordZoneContact notes whether a heartbeat to the zone was answered, and tells the members where that changes what is reached.
+// recordZoneContact records whether a heartbeat to the zone was answered, and publishes the unreached zones if they
+// changed.
 func (c *Controller) recordZoneContact(b *board.Board, zone string, answered bool) {
 	c.leadership.unanswered[zone]++
 	if answered {
@@ -44,7 +46,7 @@
 	c.offer(b, membership.Record{Key: key, Version: version, Value: value})
 }
 
-// unreached returns the other zones with members that don't answer, by name.
+// unreached returns the other zones whose members don't answer, sorted by name.
 func (c *Controller) unreached(b *board.Board) []string {
 	var zones []string
 	for zone, count := range c.leadership.unanswered {
@@ -58,11 +60,11 @@
 
 func parseUnreached(value []byte) []string {
 	var v reachValue
-	_ = json.Unmarshal(value, &v) // Without a readable value all is reached.
+	_ = json.Unmarshal(value, &v) // An unreadable value lists no unreached zones.
 	return v.Unreached
 }
 
-// publishReach renews the board's view of what the own zone's leader can't reach.
+// publishReach updates the zones on the board that the leader of the node's zone can't reach.
 func publishReach(b *board.Board, changed []membership.Record) {
 	for _, r := range changed {
 		if r.Key != reachPrefix+b.Self.Zone {
--- a/internal/control/zone/server.go
+++ b/internal/control/zone/server.go
@@ -9,7 +9,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/zonepb"
 )
 
-// maxRecordBytes bounds the values of the records in one message, but for one record that alone is larger.
+// maxRecordBytes limits the total size of the values in one message, except that a single larger record is sent alone.
 const maxRecordBytes = 1 << 20
 
 // Server answers the control messages of other nodes.
@@ -19,12 +19,12 @@
 	controller *Controller
 }
 
-// NewServer returns a server on the controller's records.
+// NewServer returns a server for the controller's records.
 func NewServer(c *Controller) *Server {
 	return &Server{controller: c}
 }
 
-// Beat takes a heartbeat.
+// Beat handles a heartbeat.
 func (s *Server) Beat(ctx context.Context, m *zonepb.BeatRequest) (*zonepb.BeatReply, error) {
 	c := s.controller
 	reply := &zonepb.BeatReply{}
@@ -53,8 +53,8 @@
 	}
 }
 
-// answerChanges adds what the sender has not seen. One that has seen nothing of this log gets the records that are
-// renewed all the time, and compares digests for the others.
+// answerChanges adds the changes that the sender has not seen. A sender that does not know this log gets the records
+// that are renewed continuously, and compares digests for the rest.
 func (c *Controller) answerChanges(reply *zonepb.BeatReply, m *zonepb.BeatRequest, own string) {
 	reply.Log = c.logID
 	reply.Digest = c.records.Digest()
@@ -70,14 +70,15 @@
 	reply.More = next < c.records.LastChange()
 }
 
-// renewalFilter returns which renewals the sender of the heartbeat gets here: those that the own zone makes, where it
-// belongs to that zone or leads another one.
+// renewalFilter returns a filter for the renewals that the sender of the heartbeat gets: those of this node's zone, if
+// the sender belongs to that zone or leads another zone.
 func renewalFilter(m *zonepb.BeatRequest, own string) membership.ZoneFilter {
 	concerned := m.GetZone() == own || m.GetLeads()
 	return func(zone string) bool { return concerned && zone == own }
 }
 
-// Exchange compares digests, takes in what is offered and returns what is wanted.
+// Exchange merges the offered records and returns the wanted ones. If the request holds digests, it also returns this
+// node's digests and its versions in the buckets that differ.
 func (s *Server) Exchange(ctx context.Context, m *zonepb.ExchangeRequest) (*zonepb.ExchangeReply, error) {
 	c := s.controller
 	reply := &zonepb.ExchangeReply{}
@@ -92,7 +93,7 @@
 	return reply, ctx.Err()
 }
 
-// recordsThatFit returns the records under the keys, as many as fit in a message.
+// recordsThatFit returns the records under the keys, up to the size limit of a message.
 func (c *Controller) recordsThatFit(keys []string) []membership.Record {
 	var records []membership.Record
 	remaining := maxRecordBytes
--- a/internal/control/zone/server_test.go
+++ b/internal/control/zone/server_test.go
@@ -22,13 +22,13 @@
 		sender *zonepb.BeatRequest
 		got    int
 	}{
-		"own zone's, to its member":             {keeper: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}, got: 1},
-		"own zone's, to another leader":         {keeper: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2", Leads: true}, got: 1},
-		"own zone's, to another zone's member":  {keeper: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2"}},
-		"another zone's, to a member":           {keeper: "lisbon_3", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}},
-		"another zone's, to another leader":     {keeper: "lisbon_3", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2", Leads: true}},
-		"another zone's new structure":          {keeper: "lisbon_3", term: 2, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}, got: 1},
-		"another zone's new structure, further": {keeper: "lisbon_3", term: 2, sender: &zonepb.BeatRequest{Zone: "lisbon_2"}, got: 1},
+		"own zone's, to its member":                              {keeper: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}, got: 1},
+		"own zone's, to another leader":                          {keeper: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2", Leads: true}, got: 1},
+		"own zone's, to another zone's member":                   {keeper: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2"}},
+		"another zone's, to a member":                            {keeper: "lisbon_3", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}},
+		"another zone's, to another leader":                      {keeper: "lisbon_3", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2", Leads: true}},
+		"another zone's new structure, to a member":              {keeper: "lisbon_3", term: 2, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}, got: 1},
+		"another zone's new structure, to another zone's member": {keeper: "lisbon_3", term: 2, sender: &zonepb.BeatRequest{Zone: "lisbon_2"}, got: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -50,7 +50,7 @@
 			controller.Offer(t.Context(), record(1, 1))
 			before, err := server.Beat(t.Context(), &zonepb.BeatRequest{Zone: c.sender.Zone, Leads: c.sender.Leads})
 			is.NoErr(err)
-			is.Equal(len(before.GetNewer()), 1) // who joins gets all
+			is.Equal(len(before.GetNewer()), 1) // A node that joins gets all records.
 			controller.Offer(t.Context(), record(2, c.term))
 			c.sender.Log, c.sender.Seen = before.GetLog(), before.GetNext()
 			after, err := server.Beat(t.Context(), c.sender)
--- a/internal/control/zone/stats.go
+++ b/internal/control/zone/stats.go
@@ -10,36 +10,37 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/membership"
 )
 
-// Stats are the state of a controller for the dump and the metrics. Times are in milliseconds.
+// Stats is the state of a controller for the dump and the metrics. Times are in milliseconds.
 type Stats struct {
 	Role     membership.Role `json:"role"`
 	Followed string          `json:"followed,omitempty"`
-	// Relayed says that the followed node does not lead but follows the leader.
+	// Relayed reports whether the followed node is not the leader but follows it.
 	Relayed bool   `json:"relayed"`
 	Term    uint64 `json:"term"`
-	// LeaseRemaining is how long the node still leads without a renewal.
+	// LeaseRemaining is the time until the lease expires unless it is renewed.
 	LeaseRemaining int64 `json:"lease_left_ms"`
 	Records        int   `json:"records"`
-	// Digest sums up all records; nodes that agree have the same.
+	// Digest covers all records; nodes with the same records have the same digest.
 	Digest uint64 `json:"digest"`
-	// Silence is how long each node that this leader listens for has been silent; empty where the node follows.
+	// Silence maps each node that this leader monitors to the time since its last heartbeat; it is empty on a follower.
 	Silence map[string]int64 `json:"silence_ms"`
-	// Down are the members that are known to be down.
+	// Down lists the members known to be down.
 	Down []string `json:"down"`
-	// LeaderlessZones are the other zones without a leader at the platform, and for how long.
+	// LeaderlessZones maps each other zone without a leader at the platform to how long it has had none.
 	LeaderlessZones map[string]int64 `json:"lapsed_zones_ms"`
 	Links           []LinkStats      `json:"links"`
 	Counts          Counts           `json:"counts"`
 }
 
-// LinkStats are the state of one link to another node.
+// LinkStats is the state of the link to another node.
 type LinkStats struct {
 	Address string `json:"address"`
-	// Pending are the records made here that the other node may lack.
+	// Pending counts the records made here that the other node may lack.
 	Pending int `json:"pending"`
-	// Mismatches are the heartbeats in a row that showed another digest.
-	Mismatches int   `json:"mismatches"`
-	Idle       int64 `json:"idle_ms"`
+	// Mismatches counts the consecutive heartbeats whose answer had a different digest.
+	Mismatches int `json:"mismatches"`
+	// Idle is the time since the link was last used.
+	Idle int64 `json:"idle_ms"`
 }
 
 // Stats returns the state of the controller.
--- a/internal/control/zone/tasks.go
+++ b/internal/control/zone/tasks.go
@@ -6,8 +6,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// tasks runs functions beside the controller, at most one under each name, so that one slow node or a slow platform
-// holds up nothing else.
+// tasks runs functions in goroutines of their own, at most one per name at a time, so that a slow node or a slow
+// platform does not delay the controller.
 type tasks struct {
 	group conc.WaitGroup
 
@@ -19,7 +19,7 @@
 	return &tasks{running: map[string]bool{}}
 }
 
-// start runs f unless a function of the name is still running.
+// start runs f unless a function with the same name is still running.
 func (t *tasks) start(name string, f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/zone/watch.go
+++ b/internal/control/zone/watch.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// watchRetryDelay is the pause after a watch that failed.
+	// watchRetryDelay is the delay after a failed watch.
 	watchRetryDelay = 500 * time.Millisecond
-	// minWatchInterval is the least time between two watches. Each change at the platform ends the watches of all zones; with
-	// the pause they are not called again for each change of each zone.
+	// minWatchInterval is the pause between two watches. Every change at the platform ends the watches of all zones;
+	// without the pause, each zone would call again for each change of any zone.
 	minWatchInterval = 400 * time.Millisecond
-	// relistInterval is the longest time without a look at all entries of a kind, and relistLeadersEvery at those of the
-	// leaders, which are small.
+	// relistInterval is the maximum time between two full lists of one kind of entry. The leaders' entries, which are
+	// small, are listed every leaderRelistInterval.
 	relistInterval       = 10 * time.Minute
 	leaderRelistInterval = 30 * time.Second
-	// defaultWatchTimeout is how long one watch of anything but documents waits at the platform.
+	// defaultWatchTimeout limits how long the platform holds a watch open, for all kinds of entries but documents.
 	defaultWatchTimeout = 20 * time.Second
-	// rollbackCheckInterval is the time between looks at whether the platform still holds the newest document.
+	// rollbackCheckInterval is the minimum time between checks that the platform still holds the newest document.
 	rollbackCheckInterval = 2 * time.Second
 )
 
-// startWatches watches the platform as long as this lease is held, each kind of entry for itself: the history of the
-// documents is none of them.
+// startWatches starts a watch of the platform for each section that is read from it. The watches run while this lease
+// is held. The history of documents is not watched.
 func (c *Controller) startWatches(ctx context.Context) {
 	c.config.Board.Do(ctx, func(*board.Board) {
 		if c.leadership.stopWatch != nil {
@@ -44,17 +44,17 @@
 	})
 }
 
-// watch is how far one kind of entries has been seen at the platform.
+// watch is the progress of the watch of one key prefix.
 type watch struct {
 	prefix string
-	// revision is the revision seen last; 0 where everything is to be listed.
+	// revision is the last revision seen; 0 means that everything must be listed.
 	revision uint64
-	// listedAt is when everything was listed last, and checked when it was last looked whether the platform went back.
+	// listedAt is the time of the last full list, and checkedAt the time of the last rollback check.
 	listedAt  time.Time
 	checkedAt time.Time
 }
 
-// watch takes in all changes under the prefix at the platform until the context ends.
+// watch applies all changes under the prefix at the platform until the context ends.
 func (c *Controller) watch(ctx context.Context, prefix string) {
 	w := watch{prefix: prefix}
 	for ctx.Err() == nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkForRollback makes a watch of the documents list them all where the platform lost one.
+// checkForRollback makes a watch of the documents list all of them if the platform has lost the newest one.
 func (c *Controller) checkForRollback(ctx context.Context, w *watch) {
 	if w.prefix != DocumentPrefix || time.Since(w.checkedAt) <= rollbackCheckInterval {
 		return
@@ -76,8 +76,8 @@
 	w.listedAt = c.listTimeAfterCheck(ctx, w.listedAt)
 }
 
-// watchOnce waits for changes once, or lists everything where that is due. It reports false where the platform gave no
-// answer.
+// watchOnce waits once for changes, or lists everything if a full list is due. It reports whether the platform
+// answered.
 func (c *Controller) watchOnce(ctx context.Context, w *watch) bool {
 	if time.Since(w.listedAt) > w.maxListAge() {
 		w.revision = 0
@@ -89,7 +89,7 @@
 		return false
 	}
 	if changes.Revision < w.revision {
-		w.listedAt = time.Time{} // The platform went back to older content.
+		w.listedAt = time.Time{} // The platform was rolled back to older content.
 		return true
 	}
 	if full {
@@ -102,7 +102,7 @@
 	return true
 }
 
-// maxListAge is the longest time without a look at all entries.
+// maxListAge returns the maximum time between two full lists.
 func (w *watch) maxListAge() time.Duration {
 	if w.prefix == LeaderPrefix {
 		return leaderRelistInterval
@@ -110,7 +110,7 @@
 	return relistInterval
 }
 
-// applyChanges takes in what the platform shows under the prefix, and writes back what it lost.
+// applyChanges merges the entries under the prefix, and writes back what the platform has lost.
 func (c *Controller) applyChanges(ctx context.Context, prefix string, entries []platform.Entry, full bool) error {
 	c.mergeEntries(ctx, entries)
 	switch prefix {
@@ -121,7 +121,7 @@
 		return c.reinstate(ctx, entries, full)
 	case zonePrefix:
 		if full {
-			c.relistLeaders(ctx) // Only now are all zones known.
+			c.relistLeaders(ctx) // All zones are known only after a full list of the zones.
 		}
 	}
 	return nil
@@ -136,8 +136,8 @@
 	_ = c.applyChanges(ctx, LeaderPrefix, changes.Entries, true) // Only documents can fail.
 }
 
-// listTimeAfterCheck returns when all documents were listed last, or never where the platform lost one since. Then it may have
-// lost the leaders' entries too.
+// listTimeAfterCheck returns the time of the last full list, or the zero time if the platform has lost the newest
+// document since. The platform may then have lost leaders' entries too, so these are listed at once.
 func (c *Controller) listTimeAfterCheck(ctx context.Context, listedAt time.Time) time.Time {
 	if !c.hasRolledBack(ctx) {
 		return listedAt
@@ -146,9 +146,9 @@
 	return time.Time{}
 }
 
-// hasRolledBack reports whether the platform lost the newest document held here, as one that was restored to older content
-// has. Its revision alone doesn't tell: later writes soon bring it past the one seen last, and a watch shows nothing of
-// what is gone. Whatever older content lacks, it lacks the newest document.
+// hasRolledBack reports whether the platform has lost the newest document held here, as happens when it is restored to
+// older content. The platform's revision does not show this: later writes soon raise it above the last revision seen,
+// and a watch does not return entries that are missing. Older content always lacks the newest document.
 func (c *Controller) hasRolledBack(ctx context.Context) bool {
 	service, found := c.config.Board.Snapshot().Documents.LastAccepted()
 	if !found {
@@ -164,7 +164,7 @@
 	return err == nil && current.Stored.Version().Compare(held.Version) < 0
 }
 
-// fetchChanges returns everything under the prefix where nothing was seen before, and else what comes after the revision.
+// fetchChanges lists everything under the prefix if after is 0, and otherwise watches for changes after that revision.
 func (c *Controller) fetchChanges(ctx context.Context, prefix string, after uint64) (platform.Changes, error) {
 	if after == 0 {
 		return c.config.Platform.List(ctx, prefix)
@@ -176,6 +176,7 @@
 	return c.config.Platform.Watch(ctx, prefix, after, timeout)
 }
 
+// mergeEntries decodes the entries and merges their records.
 func (c *Controller) mergeEntries(ctx context.Context, entries []platform.Entry) {
 	var records []membership.Record
 	for _, e := range entries {
@@ -184,7 +185,7 @@
 	c.config.Board.Do(ctx, func(b *board.Board) { c.merge(b, records...) })
 }
 
-// recordLeaders takes in which zones have a leader at the platform. Whole says that the entries are everything there.
+// recordLeaders records which zones have a leader at the platform. Full reports whether the entries cover all zones.
 func (c *Controller) recordLeaders(ctx context.Context, entries []platform.Entry, full bool) {
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		named := map[string]leaderValue{}
@@ -205,6 +206,7 @@
 	})
 }
 
+// recordLeader records whether the other zone has a leader at the platform.
 func (c *Controller) recordLeader(b *board.Board, zone string, v leaderValue) {
 	_, leaderless := c.leadership.leaderlessSince[zone]
 	switch {
@@ -216,8 +218,9 @@
 	}
 }
 
-// confirmLeadership resigns where a later leader stands at the platform. Where the platform lost the entry of this one, as
-// after going back to older content, it is written again under the lease, which the platform checks.
+// confirmLeadership resigns if the platform holds the entry of a leader with a later term. If the platform has lost
+// this leader's entry, for example by a rollback to older content, the entry is written again under the lease, which
+// the platform checks.
 func (c *Controller) confirmLeadership(ctx context.Context, entries []platform.Entry, full bool) {
 	var swap platform.Swap
 	c.config.Board.Do(ctx, func(b *board.Board) {
@@ -241,11 +244,11 @@
 		c.config.Board.Do(ctx, func(*board.Board) { c.election.RecordLeaseLost() })
 	default:
 		_, err := c.config.Platform.CompareAndSwap(ctx, swap)
-		c.recordPlatformResult(ctx, err) // A refusal means that the platform lagged or that the lease is over.
+		c.recordPlatformResult(ctx, err) // A refusal means that the platform's answer lagged or that the lease has ended.
 	}
 }
 
-// decode returns the records that an entry of the platform stands for.
+// decode returns the records in a platform entry.
 func (c *Controller) decode(e platform.Entry) []membership.Record {
 	if e.Deleted {
 		return nil
