--- a/internal/control/store/follower.go
+++ b/internal/control/store/follower.go
@@ -8,48 +8,50 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// FollowerConfig sets a Follower up.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	Store  Store
 	Prefix string
-	// WatchTimeout is how long one watch waits.
+	// WatchTimeout limits how long one watch waits for changes.
 	WatchTimeout time.Duration
-	// CoalesceDelay returns the pause after a change before the next watch, so that changes close together cost one call; nil for
-	// none.
+	// CoalesceDelay returns the pause after a change before the next watch, so that changes in quick succession cost
+	// one call; nil means no pause.
 	CoalesceDelay func() time.Duration
-	// OnList gets all items after a list, Changed the events of a watch. Both run on the follower's goroutine.
+	// OnList gets the result of a list, OnChange the events of a watch. Both run on the follower's goroutine.
 	OnList   func(ctx context.Context, s Snapshot)
 	OnChange func(ctx context.Context, c Changes)
-	// OnLost and Back tell when the store stops to answer, and when it answers again.
+	// OnLost is called when the store stops answering, and OnRecovered when it answers again.
 	OnLost      func(err error)
 	OnRecovered func()
 }
 
 const (
-	// minRetryDelay is the pause after the first call that fails; each further one in a row doubles it.
+	// minRetryDelay is the delay after the first failed call; each further consecutive failure doubles it.
 	minRetryDelay = 50 * time.Millisecond
-	// maxRetryDelay bounds that pause. The store counts calls that it refuses, too, and after an outage all is to be known within
-	// two seconds.
+	// maxRetryDelay limits the delay. It is not shorter because the store also counts the calls that it refuses, and
+	// not longer because a follower must be up to date within two seconds of the end of an outage.
 	maxRetryDelay = 800 * time.Millisecond
 )
 
-// Follower keeps up with all keys under a prefix.
+// Follower keeps a copy of all keys under a prefix up to date.
 type Follower struct {
 	config FollowerConfig
-	// revision is the revision up to which all is known, and listed is false while that isn't so.
-	revision    uint64
-	listed      bool
+	// revision is the revision up to which changes are known; it is valid while listed is true.
+	revision uint64
+	listed   bool
+	// unreachable reports whether the store has stopped answering, so that OnLost and OnRecovered are called once per
+	// outage.
 	unreachable bool
-	// backoff is the pause after calls that fail.
+	// backoff is the delay after failed calls.
 	backoff pause.Backoff
 }
 
-// NewFollower returns a follower that knows nothing.
+// NewFollower returns a follower that begins with a list.
 func NewFollower(config FollowerConfig) *Follower {
 	return &Follower{config: config, backoff: pause.Backoff{Initial: minRetryDelay, Max: maxRetryDelay}}
 }
 
-// Run follows until the context ends.
+// Run lists and watches the prefix until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := f.step(ctx)
@@ -66,7 +68,7 @@
 	}
 }
 
-// step makes one call.
+// step makes one call to the store.
 func (f *Follower) step(ctx context.Context) error {
 	if !f.listed {
 		return f.list(ctx)
@@ -100,8 +102,8 @@
 	return nil
 }
 
-// recordFailure pauses. After a watch that broke off all is read anew: the store may have dropped the history meanwhile, and
-// says so only with the next change.
+// recordFailure pauses after a failed call and makes the next call a list. After a broken watch everything must be
+// listed, because the store may have compacted the history meanwhile, and reports that only with the next change.
 func (f *Follower) recordFailure(ctx context.Context, err error) {
 	f.listed = false
 	if !f.unreachable {
@@ -111,6 +113,7 @@
 	f.backoff.Wait(ctx)
 }
 
+// recordSuccess resets the backoff after a call that succeeded.
 func (f *Follower) recordSuccess() {
 	f.backoff.Reset()
 	if f.unreachable {
--- a/internal/control/store/follower_test.go
+++ b/internal/control/store/follower_test.go
@@ -14,7 +14,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/kv"
 )
 
-// observedValue is what a follower told of one key.
+// observedValue records the latest value of one key that a follower reported.
 type observedValue struct {
 	mu    sync.Mutex
 	value string
@@ -54,11 +54,12 @@
 	group.Go(func() { f.Run(ctx) })
 }
 
-// A change reaches a follower within a second of the end of whatever kept it away, with nothing further changing.
+// Guards against a follower that misses a change while it is disturbed: it must report the change within one second of
+// the end of the disturbance, without any further change in the store.
 func TestFollowerCatchesUp(t *testing.T) {
 	for name, disturb := range map[string]func(s *kv.Store){
 		"nothing": func(s *kv.Store) { s.ForcePut("op/config", []byte("2")) },
-		"watches hear nothing, then the history is dropped and they are cut": func(s *kv.Store) {
+		"watches return no events, then the history is compacted and the watches are cut": func(s *kv.Store) {
 			s.SetFaults(kv.Faults{StallWatches: true})
 			s.ForcePut("op/config", []byte("2"))
 			time.Sleep(time.Second)
--- a/internal/control/store/store.go
+++ b/internal/control/store/store.go
@@ -1,13 +1,13 @@
-// Package store is what the control plane needs of the platform's key-value service: conditional writes, leases and
-// watches. An adapter implements Store; Follower keeps a copy of all keys under a prefix.
+// Package store defines what the control plane needs of the platform's key-value service: conditional writes, leases
+// and watches. Adapters implement Store; Follower follows all keys under a prefix.
 //
 // # Usage
 //
-//	f := store.NewFollower(store.FollowerConfig{Store: s, Prefix: "members/", Changed: changed})
+//	f := store.NewFollower(store.FollowerConfig{Store: s, Prefix: "members/", OnChange: onChange})
 //	f.Run(ctx)
 //
-// A write that fails with anything but ErrConflict, ErrNoLease or ErrBusy may have taken effect, or may take effect later
-// while its condition holds.
+// A write that fails with any error other than ErrConflict, ErrNoLease or ErrBusy may have taken effect, or may still
+// take effect later while its condition holds.
 package store
 
 import (
@@ -16,73 +16,75 @@
 	"time"
 )
 
-// Item is one key with its value.
+// Item is a key with its value.
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision is that of the key's last change; 0 says that the key does not exist.
+	// Revision is the revision of the key's last change; 0 means that the key does not exist.
 	Revision uint64
-	// Lease ends the key; 0 for none.
+	// Lease is the lease whose end deletes the key; 0 for none.
 	Lease uint64
 }
 
-// Event is one change of a key.
+// Event is a change of one key.
 type Event struct {
 	Item
 	Deleted bool
 }
 
-// Snapshot is the answer to a read of several keys.
+// Snapshot is the result of a read of several keys.
 type Snapshot struct {
 	Items []Item
-	// Revision is the store's own, from which a watch goes on.
+	// Revision is the store's revision at the time of the read. A watch continues after it.
 	Revision uint64
 }
 
-// Changes is the answer to a watch.
+// Changes is the result of a watch.
 type Changes struct {
 	Events   []Event
 	Revision uint64
 }
 
-// Write replaces one key under the condition that its revision is the expected one.
+// Write replaces or deletes one key if the key's revision is the expected one.
 type Write struct {
 	Key   string
 	Value []byte
-	// Expected is 0 where the key must not exist.
+	// Expected is the expected revision; 0 means that the key must not exist.
 	Expected uint64
-	// Lease ends the key; 0 for none.
+	// Lease is the lease whose end deletes the key; 0 for none.
 	Lease uint64
-	// Delete removes the key in place of writing it.
+	// Delete removes the key instead of writing it.
 	Delete bool
 }
 
-// The errors of a store.
+// Errors that a Store returns.
 var (
-	// ErrConflict says that the write was refused, because the revision is another.
+	// ErrConflict means that a write was refused because the key has another revision.
 	ErrConflict = errors.New("revision is not the expected one")
-	// ErrNoLease says that the lease has ended.
+	// ErrNoLease means that the lease has ended.
 	ErrNoLease = errors.New("the lease has ended")
-	// ErrCompacted says that the history after the revision is no longer there.
-	ErrCompacted = errors.New("the history is no longer there")
-	// ErrBusy says that the store did nothing, and may take the call later.
+	// ErrCompacted means that the store no longer has the history after the revision.
+	ErrCompacted = errors.New("the history after the revision has been compacted")
+	// ErrBusy means that the store did nothing; the call may succeed later.
 	ErrBusy = errors.New("the store refused the call")
-	// ErrNotFound says that the key does not exist.
+	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("the key does not exist")
 )
 
 // Store is the platform's key-value service.
 type Store interface {
-	// Get reads one key, or fails with ErrNotFound.
+	// Get reads one key. It returns ErrNotFound if the key does not exist.
 	Get(ctx context.Context, key string) (Item, error)
 	// List reads all keys with the prefix.
 	List(ctx context.Context, prefix string) (Snapshot, error)
-	// Watch waits for changes after the revision for at most the time. No change is no error.
+	// Watch waits up to the given time for changes after the revision. It returns no error if nothing changed.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error)
-	// Put carries out one write and returns the key's new revision, or fails with ErrConflict or ErrNoLease.
+	// Put carries out one write and returns the key's new revision. It returns ErrConflict or ErrNoLease if the store
+	// refused the write.
 	Put(ctx context.Context, w Write) (uint64, error)
-	// Grant returns a new lease.
+	// Grant returns a new lease with the given time to live.
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	// Renew keeps a lease for its whole time from now, or fails with ErrNoLease.
+	// Renew extends a lease to its full time to live, counted from the call. It returns ErrNoLease if the lease has
+	// ended.
 	Renew(ctx context.Context, lease uint64) error
 }
