--- a/internal/control/platform/platform.go
+++ b/internal/control/platform/platform.go
@@ -1,11 +1,11 @@
-// Package platform speaks to the platform's key-value service: compare-and-swap, leases and watches.
+// Package platform is a client of the platform's key-value service, with compare-and-swap, leases and watches.
 //
 // # Usage
 //
 //	client := platform.NewClient(platform.Config{URL: url, Timeout: time.Second})
 //	entry, err := client.CompareAndSwap(ctx, platform.Swap{Key: key, Value: value, Expected: entry.Revision})
 //
-// A CompareFailed error means that the write was refused. Any other error leaves it open whether it took effect.
+// ErrCompareFailed means that the write was refused. After any other error it is unknown whether the write took effect.
 package platform
 
 import (
@@ -23,49 +23,49 @@
 	"github.com/gravitational/trace"
 )
 
-// Entry is one key with its value.
+// Entry is a key with its value.
 type Entry struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 	// Revision grows with every write to the store; 0 means that the key does not exist.
 	Revision uint64 `json:"revision"`
-	// Deleted marks an entry of a watch whose key is gone.
+	// Deleted marks an entry in the result of a watch whose key was deleted.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// Swap is a write that takes effect only where the key's revision is the expected one.
+// Swap is a write that takes effect only if the key has the expected revision.
 type Swap struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Expected is the revision to be replaced; 0 where the key must not exist.
+	// Expected is the revision to replace; 0 means that the key must not exist.
 	Expected uint64 `json:"expected"`
-	// Lease deletes the key when it lapses; empty for none.
+	// Lease is the lease whose end deletes the key; empty for none.
 	Lease string `json:"lease,omitempty"`
 }
 
-// Changes is the answer to a watch or a list.
+// Changes is the result of a watch or a list.
 type Changes struct {
 	Entries  []Entry `json:"entries"`
 	Revision uint64  `json:"revision"`
 }
 
-// Lease is a grant of the store.
+// Lease is a lease granted by the store.
 type Lease struct {
 	ID  string        `json:"id"`
 	TTL time.Duration `json:"ttl"`
 }
 
-// ErrCompareFailed says that a swap was refused because the revision was another.
+// ErrCompareFailed means that a swap was refused because the key has another revision.
 var ErrCompareFailed = errors.New("revision is not the expected one")
 
-// ErrNotFound says that a key or lease does not exist.
+// ErrNotFound means that a key or lease does not exist.
 var ErrNotFound = errors.New("not found")
 
-// Config sets a Client up.
+// Config configures a Client.
 type Config struct {
 	URL     string
 	Timeout time.Duration
-	// LocalIP is the IP to connect from; nil for any.
+	// LocalIP is the IP address to connect from; nil for any.
 	LocalIP net.IP
 }
 
@@ -75,17 +75,17 @@
 	http   *http.Client
 }
 
-// maxIdleConnections are kept open to the platform.
+// maxIdleConnections limits the idle connections kept open to the platform.
 const maxIdleConnections = 4
 
-// NewClient returns a client.
+// NewClient returns a client of the store at the configured URL.
 func NewClient(config Config) *Client {
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: config.LocalIP}}
 	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConnections}
 	return &Client{config: config, http: &http.Client{Transport: transport}}
 }
 
-// Get returns the entry under the key, or ErrNotFound.
+// Get returns the entry under the key, or ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
 	var e Entry
 	err := c.call(ctx, c.config.Timeout, http.MethodGet, "/v1/key", url.Values{"key": {key}}, nil, &e)
@@ -99,14 +99,14 @@
 	return changes, err
 }
 
-// CompareAndSwap writes the value and returns the new entry, or ErrCompareFailed.
+// CompareAndSwap writes the value and returns the new entry, or ErrCompareFailed if the key has another revision.
 func (c *Client) CompareAndSwap(ctx context.Context, s Swap) (Entry, error) {
 	var e Entry
 	err := c.call(ctx, c.config.Timeout, http.MethodPut, "/v1/key", nil, s, &e)
 	return e, err
 }
 
-// Watch returns what changed under the prefix after the revision. It waits for a change for up to the given time.
+// Watch returns the changes under the prefix after the revision. It waits up to maxWait for a change.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) (Changes, error) {
 	var changes Changes
 	query := url.Values{
@@ -125,7 +125,7 @@
 	return lease, err
 }
 
-// RenewLease keeps a lease for another term, or returns ErrNotFound where it has lapsed.
+// RenewLease renews a lease for another term. It returns ErrNotFound if the lease has expired.
 func (c *Client) RenewLease(ctx context.Context, lease Lease) error {
 	return c.call(ctx, c.config.Timeout, http.MethodPut, "/v1/lease", nil, lease, nil)
 }
