--- a/internal/process/node/defaults.go
+++ b/internal/process/node/defaults.go
@@ -12,20 +12,23 @@
 )
 
 const (
-	// controlTimeout bounds one control message.
+	// controlTimeout is the timeout of one control message.
 	controlTimeout = time.Second
-	// heartbeatTimeout bounds one heartbeat.
+	// heartbeatTimeout is the timeout of one heartbeat.
 	heartbeatTimeout = 500 * time.Millisecond
-	// drainPropagationDelay is how long a leaving node waits for others to learn of it. New work that comes later is refused.
+	// drainPropagationDelay is how long a draining node waits for its peers to learn that it leaves. New requests that
+	// arrive later are refused.
 	drainPropagationDelay = 1500 * time.Millisecond
-	// handoverPropagationDelay is how long a node stays after its handover, while others learn who answers for its keys. Until then
-	// it tells them that the keys have moved; once it has gone they would take the keys for lost.
+	// handoverPropagationDelay is how long a node keeps running after its handover, while its peers learn which node
+	// answers for its keys. During that time it replies that the keys have moved. If it stopped earlier, the peers would
+	// treat the keys as lost.
 	handoverPropagationDelay = 1500 * time.Millisecond
-	// drainTimeout bounds the wait for requests in flight, which all end by their deadlines.
+	// drainTimeout limits the whole drain. Every request in flight ends by its deadline.
 	drainTimeout = document.MaxDeadline + 10*time.Second
 )
 
-// maxKeyTimeAhead is how far the time of a key may lie in the future.
+// maxKeyTimeAhead is the largest accepted difference between the time in a key and the current time, for keys whose time
+// lies in the future.
 const maxKeyTimeAhead = 30 * time.Second
 
 func keyTableConfig(s *settings.Settings) outcome.TableConfig {
@@ -37,7 +40,8 @@
 	}
 }
 
-// ownerTiming gives the shards the window of the keys.
+// ownerTiming returns the timing of the key owner controller. Its window is that of the keys, so that epochs are kept as
+// long as keys are remembered.
 func ownerTiming(s *settings.Settings) homes.Timing {
 	timing := homes.DefaultTiming
 	timing.Window = s.Keys.Window
--- a/internal/process/node/defaults_test.go
+++ b/internal/process/node/defaults_test.go
@@ -11,7 +11,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/outcome"
 )
 
-// The memory of keys and the epochs reach equally far back.
+// The key table and the epochs of key owners cover the same window.
 func TestKeyTableAndEpochsShareTheWindow(t *testing.T) {
 	is := is.New(t)
 	flags := flag.NewFlagSet("node", flag.ContinueOnError)
--- a/internal/process/node/drain.go
+++ b/internal/process/node/drain.go
@@ -14,16 +14,17 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/flow"
 )
 
-// trafficState counts what is in flight from callers and between nodes, until each answer is written.
+// trafficState counts the requests in flight from callers and from other nodes. A request is counted until its response
+// is written.
 type trafficState struct {
 	inFlight atomic.Int64
-	// closing tells callers on open connections to make new ones elsewhere.
+	// closing reports whether responses ask callers to close their connections and reconnect to another node.
 	closing atomic.Bool
 }
 
-// countRequests counts the requests of callers, and makes callers leave their open connections while the node leaves.
-// Until its listener closes the node goes on as an entry and passes their requests on, because a refusal would only
-// cost them a second attempt.
+// countRequests counts the requests of callers and asks callers to close their connections while the node drains.
+// Until its listener closes, the node remains an entry node and forwards requests: a refusal would only cost the caller a
+// second attempt.
 func (s *trafficState) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		s.inFlight.Add(1)
@@ -36,16 +37,17 @@
 }
 
 const (
-	// leavePollInterval is the time between looks at whether the node is to leave.
+	// leavePollInterval is the interval between checks whether the node has to drain. It is also the delay before the keys
+	// are offered to another successor.
 	leavePollInterval = 50 * time.Millisecond
-	// quietPeriod is how long nothing may be in flight before the listeners close.
+	// quietPeriod is how long no request may be in flight before the listeners close.
 	quietPeriod = 250 * time.Millisecond
-	// shutdownTimeout bounds the writing of the last answers once the node has drained.
+	// shutdownTimeout limits the time for writing the last responses after the drain.
 	shutdownTimeout = 5 * time.Second
 )
 
-// waitForLeave returns when the process is asked to stop, when an operator drains the node, or when the backend
-// server announces that it leaves.
+// waitForLeave returns when the context ends (the process is asked to stop, or an operator drains the node), when the node
+// is marked as draining, or when the backend server announces that it leaves.
 func (n *Node) waitForLeave(ctx context.Context) {
 	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
@@ -61,8 +63,8 @@
 	}
 }
 
-// drain tells the others, hands the keys over, and waits until nothing is in flight. For the first moments, while
-// others still learn of it, the node goes on as an entry and as a home, and passes the work on.
+// drain announces that the node leaves, hands its keys over, and waits until nothing is in flight. During
+// drainPropagationDelay the node remains an entry node and a key owner and forwards the requests it gets.
 func (n *Node) drain(ctx context.Context) {
 	n.config.Log.Emit(events.DrainStarted, nil)
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
@@ -82,7 +84,8 @@
 	n.config.Log.Emit(events.DrainFinished, nil)
 }
 
-// handOver gives the keys to the successor, or to another node where that one leaves too.
+// handOver hands the keys over to the successor. It chooses another successor if the current one is unknown or does not
+// accept the keys.
 func (n *Node) handOver(ctx context.Context) {
 	for ctx.Err() == nil {
 		b := n.loop.Snapshot()
@@ -108,7 +111,7 @@
 	}
 }
 
-// chooseSuccessor names another successor in the place of one that takes nothing.
+// chooseSuccessor chooses a successor other than the node that did not accept the keys.
 func (n *Node) chooseSuccessor(ctx context.Context, rejecting string) {
 	n.loop.Do(ctx, func(b *board.Board) {
 		b.Self.Successor = ""
@@ -119,14 +122,15 @@
 	pause.For(ctx, leavePollInterval)
 }
 
-// waitIdle returns when the backend server has no request, so that no call of its own can still come.
+// waitIdle returns when the backend server has no request in flight, so that it makes no further calls.
 func (n *Node) waitIdle(ctx context.Context) {
 	for ctx.Err() == nil && n.gate.Load().InFlight > 0 {
 		pause.For(ctx, parts.GatePollInterval)
 	}
 }
 
-// waitQuiet returns when nothing has been in flight for a moment, also what came in here and runs on other nodes.
+// waitQuiet returns when nothing has been in flight for quietPeriod, including requests that entered here and run on
+// other nodes.
 func (n *Node) waitQuiet(ctx context.Context) {
 	lastActive := time.Now()
 	for ctx.Err() == nil && time.Since(lastActive) < quietPeriod {
@@ -137,9 +141,9 @@
 	}
 }
 
-// shutdown closes the listener, serves the connections that are open for as long as the working context lasts, and
-// then waits for the last answers to be written. The server's own Shutdown drops a request that it has just read, so
-// it comes last, when nothing is in flight.
+// shutdown closes the listener, serves the open connections until the serving context ends, and then waits for the last
+// responses to be written. http.Server.Shutdown drops a request that it has just read, so it is called last, when nothing
+// is in flight.
 func shutdown(serving context.Context, server *http.Server, l net.Listener) {
 	_ = l.Close()
 	<-serving.Done()
--- a/internal/process/node/drain_test.go
+++ b/internal/process/node/drain_test.go
@@ -16,7 +16,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// singleConnListener is a listener with one connection.
+// singleConnListener accepts the connections in conns until it is closed.
 type singleConnListener struct {
 	net.Listener
 	conns chan net.Conn
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// A request that came in at a leaving node and runs elsewhere is not cut while the node drains, nor is one that comes
-// on a connection that is still open.
+// Guards against shutdown closing the connection of a request while the node drains: a request that entered before the
+// drain and runs on another node, or one that arrives on a connection that is still open.
 func TestShutdownWaitsWhileTheNodeDrains(t *testing.T) {
 	const drainTime = 30 * time.Second
 	for name, tc := range map[string]struct {
@@ -45,10 +45,10 @@
 		takes    time.Duration
 		answered bool
 	}{
-		"ends while the node drains":   {takes: drainTime, answered: true},
-		"is being answered at the end": {takes: drainTime + shutdownTimeout/2, answered: true},
-		"comes while the node drains":  {sent: drainTime / 2, takes: time.Second, answered: true},
-		"goes on long after the end":   {takes: drainTime + 2*shutdownTimeout},
+		"ends while the node drains":            {takes: drainTime, answered: true},
+		"is being answered when the drain ends": {takes: drainTime + shutdownTimeout/2, answered: true},
+		"arrives while the node drains":         {sent: drainTime / 2, takes: time.Second, answered: true},
+		"exceeds the shutdown timeout":          {takes: drainTime + 2*shutdownTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -60,8 +60,8 @@
 	}
 }
 
-// statusAfterShutdown returns the status of a request on a connection that was open when the server began to shut down,
-// after a second.
+// statusAfterShutdown returns the status of a request on an open connection of a server that begins to shut down after
+// one second, or 0 if the connection ends without a response.
 func statusAfterShutdown(t *testing.T, sendDelay, duration, drainTime time.Duration) int {
 	clientConn, serverConn := net.Pipe()
 	l := &singleConnListener{conns: make(chan net.Conn, 1)}
--- a/internal/process/node/health.go
+++ b/internal/process/node/health.go
@@ -11,7 +11,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/parts"
 )
 
-// Dump is the state of a node at one moment.
+// Dump is a snapshot of the state of a node.
 type Dump struct {
 	parts.State
 	QueuedByRank       []int          `json:"queued_by_rank"`
--- a/internal/process/node/informed_test.go
+++ b/internal/process/node/informed_test.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/outcome"
 )
 
-// A node that has just started and knows only some of the others must not answer callers yet.
+// A node that has just started and knows only some of its peers must not serve callers yet.
 func TestHasCompleteView(t *testing.T) {
 	owner := outcome.Node{Name: "access_0", Incarnation: 3}
 	member := membership.Member{Node: owner.Name, Incarnation: owner.Incarnation}
@@ -43,7 +43,7 @@
 				ByService: map[string][]membership.Member{"access": {member}},
 			},
 		}},
-		"a home that has restarted": {b: board.Board{
+		"a key owner that has restarted": {b: board.Board{
 			Documents: board.Documents{ByService: documents},
 			Members: board.Members{
 				ByNode:    map[string]membership.Member{owner.Name: restarted},
@@ -51,7 +51,7 @@
 			},
 			KeyOwners: board.KeyOwners{Shards: shards},
 		}},
-		"a home that has restarted, and its successor": {want: true, b: board.Board{
+		"a key owner that has restarted, and its successor": {want: true, b: board.Board{
 			Documents: board.Documents{ByService: documents},
 			Members: board.Members{
 				ByNode:    map[string]membership.Member{owner.Name: restarted, successor.Node: successor},
@@ -59,7 +59,7 @@
 			},
 			KeyOwners: board.KeyOwners{Shards: shards},
 		}},
-		"a home that is not a member": {b: board.Board{
+		"a key owner that is not a member": {b: board.Board{
 			Documents: board.Documents{ByService: documents},
 			Members:   board.Members{ByService: map[string][]membership.Member{"access": {member}}},
 			KeyOwners: board.KeyOwners{Shards: shards},
--- a/internal/process/node/metrics.go
+++ b/internal/process/node/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
 )
 
-// metricValues reads all metrics of the node.
+// metricValues returns the current values of all metrics of the node.
 func (n *Node) metricValues(ctx context.Context) metrics.Values {
 	b := n.loop.Snapshot()
 	control := n.controller.Stats(ctx)
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -1,10 +1,10 @@
-// Package node puts the parts of one node together and runs them until the process is asked to stop.
+// Package node assembles the components of one node and runs them until the process is asked to stop.
 //
 // # Usage
 //
 //	err := node.Run(ctx, node.Config{Settings: settings, Log: log})
 //
-// When the context ends the node drains: it refuses new work, finishes what is in flight, and returns.
+// When the context ends the node drains: it refuses new requests, finishes those in flight, and returns.
 package node
 
 import (
@@ -41,20 +41,20 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/zonepb"
 )
 
-// Config sets a node up.
+// Config configures a node.
 type Config struct {
 	Settings *settings.Settings
 	Log      *events.Log
 }
 
-// Node is one node.
+// Node runs beside one backend server. It admits, queues, retries and routes requests and shares state with its peers.
 type Node struct {
 	config Config
 	loop   *board.Loop
 	gate   *backend.Gate
 	client *backend.Client
 	pool   *peer.Pool
-	// controlPool is apart, so that a flood of requests takes no connection from the control plane.
+	// controlPool is separate from pool, so that a flood of requests takes no connections from the control plane.
 	controlPool      *peer.Pool
 	receiver         *flow.Receiver
 	sender           *flow.Sender
@@ -74,7 +74,7 @@
 	stopCallerServer context.CancelFunc
 }
 
-// New builds a node without starting it.
+// New returns a node that is not started.
 func New(config Config) *Node {
 	s := config.Settings
 	self := outcome.Node{Name: s.Node.Name, Incarnation: uint64(time.Now().UnixNano())}
@@ -93,7 +93,7 @@
 	return n
 }
 
-// buildReceiver puts together what runs requests on the local backend server.
+// buildReceiver creates the components that run requests on the local backend server.
 func (n *Node) buildReceiver(s *settings.Settings) {
 	n.gate = backend.NewGate(parts.GateConfig(s))
 	liveness := backend.NewLiveness()
@@ -119,7 +119,7 @@
 	})
 }
 
-// buildSender puts together what decides about keys and sends requests to instances.
+// buildSender creates the components that own idempotency keys and send requests to instances.
 func (n *Node) buildSender(s *settings.Settings, self outcome.Node) {
 	budgets := flow.NewBudgets(retryBudget)
 	n.keyOwner = flow.NewKeyOwner(flow.KeyOwnerConfig{
@@ -151,7 +151,7 @@
 	})
 }
 
-// buildControl puts together what keeps the node in step with the others and with the platform.
+// buildControl creates the components that share state with the peers and the platform.
 func (n *Node) buildControl(s *settings.Settings, self outcome.Node) {
 	n.platform = platform.NewClient(platformConfig(s))
 	n.ownerController = homes.NewController(homes.Config{
@@ -181,7 +181,8 @@
 	})
 }
 
-// Run listens and works until the context ends and the node has drained.
+// Run serves until the context ends, an operator drains the node or its backend server leaves. It returns after the node
+// has drained.
 func Run(ctx context.Context, config Config) error {
 	n := New(config)
 	if err := n.listen(); err != nil {
@@ -207,12 +208,12 @@
 	return nil
 }
 
-// listeners are the sockets of a node.
+// listeners holds the listeners of a node.
 type listeners struct {
 	caller  net.Listener
 	peer    net.Listener
 	backend net.Listener
-	// operator is nil where the settings name no address for it.
+	// operator is nil if the settings have no address for it.
 	operator net.Listener
 }
 
@@ -289,7 +290,7 @@
 	_ = server.Serve(ctx, n.listeners.peer)
 }
 
-// serveHTTP serves until the context ends, and then finishes what is in flight for as long as the node works.
+// serveHTTP serves until ctx ends. It then finishes the requests in flight and returns after the serving context ends.
 func (n *Node) serveHTTP(ctx, serving context.Context, l net.Listener, router http.Handler) {
 	server := &http.Server{
 		Handler:           router,
@@ -309,10 +310,11 @@
 	}
 }
 
-// completeViewTimeout is how long callers of a node that has just started wait for it to learn of services and homes.
+// completeViewTimeout limits how long a node that has just started waits to learn of all services and key owners before
+// it serves callers.
 const completeViewTimeout = 2 * time.Second
 
-// waitForCompleteView returns when the node can tell callers something, and at the latest after the timeout.
+// waitForCompleteView returns when the node has a complete view, or after completeViewTimeout.
 func (n *Node) waitForCompleteView(ctx context.Context) {
 	deadline := time.Now().Add(completeViewTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
@@ -324,8 +326,8 @@
 	}
 }
 
-// hasCompleteView reports whether the node knows an instance of each service that has a document, and who answers for each
-// home of now, in the shards of all availability zones.
+// hasCompleteView reports whether the node knows an instance of each service that has a document, and which node answers
+// for each key owner of the latest epoch, in the shards of all availability zones.
 func hasCompleteView(b *board.Board, zones []string) bool {
 	for service := range b.Documents.ByService {
 		if len(b.Members.ByService[service]) == 0 {
@@ -346,7 +348,7 @@
 	return len(b.Documents.ByService) > 0
 }
 
-// resolveAt asks another node about an attempt or a key.
+// resolveAt asks the node at the address for the state of an attempt or a key.
 func (n *Node) resolveAt(ctx context.Context, address string, query peer.ResolveQuery) (peer.Resolution, error) {
 	return n.peerClient.Resolve(ctx, address, query, controlTimeout)
 }
--- a/internal/process/node/operator.go
+++ b/internal/process/node/operator.go
@@ -11,7 +11,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/parts"
 )
 
-// operatorRouter serves the administration API.
+// operatorRouter returns the routes of the administration API.
 func (n *Node) operatorRouter() *httprouter.Router {
 	router := httprouter.New()
 	tokens, err := n.config.Settings.Operator.TokenList()
@@ -33,7 +33,7 @@
 	return router
 }
 
-// secretsByIdentity returns the tokens of the settings by whose they are.
+// secretsByIdentity maps each identity of the settings to its token.
 func secretsByIdentity(tokens []settings.Token) map[operator.Identity]string {
 	secrets := make(map[operator.Identity]string, len(tokens))
 	for _, t := range tokens {
--- a/internal/process/node/reports.go
+++ b/internal/process/node/reports.go
@@ -17,7 +17,7 @@
 	})
 }
 
-// logEarlyClose logs a connection that ended before a whole request.
+// logEarlyClose logs a connection that ended before a complete request head.
 func (n *Node) logEarlyClose(remote string) {
 	n.limiter.Emit(time.Now(), events.CallerRejected, events.Fields{
 		"remote": remote,
--- a/internal/process/node/table.go
+++ b/internal/process/node/table.go
@@ -15,7 +15,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/terminal"
 )
 
-// WriteTable prints the dump for people. Ages count up to the time.
+// WriteTable writes the dump as tables for an operator. Ages are relative to now.
 func (d Dump) WriteTable(w io.Writer, now time.Time) error {
 	t := terminal.NewTable(w)
 	d.writeNode(t)
@@ -80,7 +80,7 @@
 	}
 }
 
-// silenceOf is known for the members that send heartbeats to this node.
+// silenceOf returns the time since the last heartbeat of the member, or "-" if it sends no heartbeats to this node.
 func (d Dump) silenceOf(node string) string {
 	silent, known := d.Control.Silence[node]
 	if !known {
@@ -98,7 +98,7 @@
 	}
 }
 
-// relativeTime shows a time in Unix milliseconds by its distance from now.
+// relativeTime formats a time in Unix milliseconds as its signed offset from now, in seconds.
 func relativeTime(now time.Time, at int64) string {
 	return fmt.Sprintf("%+.1fs", time.UnixMilli(at).Sub(now).Seconds())
 }
@@ -115,7 +115,7 @@
 	t.Row(d.Gate.Limit, change.From, change.Reason, ago(now, change.At), d.Gate.Ceiling, d.Gate.Proven)
 }
 
-// ago shows a time by its distance from now; "-" where there is none.
+// ago formats the time elapsed since at, or "-" if at is zero.
 func ago(now, at time.Time) string {
 	if at.IsZero() {
 		return "-"
@@ -144,7 +144,8 @@
 	}
 }
 
-// writeEjections prints why instances were last passed over, also where they no longer are.
+// writeEjections writes the last reason why each instance was passed over, including instances that now get requests
+// again.
 func (d Dump) writeEjections(t *terminal.Table, now time.Time) {
 	t.Section("PASSED OVER", "NODE", "REASON", "EVIDENCE", "AGO", "FOR")
 	for _, node := range slices.Sorted(maps.Keys(d.Sender.Instances)) {
@@ -158,7 +159,7 @@
 	}
 }
 
-// formatCrashes shows the crashes that a request is blamed for.
+// formatCrashes lists the crashes that are attributed to a quarantined request.
 func formatCrashes(e quarantine.Entry, now time.Time) string {
 	var crashes []string
 	for _, v := range e.Evidence {
@@ -204,7 +205,7 @@
 	}
 }
 
-// displayState returns the member's state as the table shows it.
+// displayState returns the member's state as shown in the table.
 func displayState(m membership.Member) string {
 	if m.State == membership.Up && m.BackendLost {
 		return "backend lost"
