--- a/internal/process/routed/fleet_test.go
+++ b/internal/process/routed/fleet_test.go
@@ -30,7 +30,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/caller"
 )
 
-// The headers of the tests.
+// The headers that the tests use.
 var (
 	callerHeaders  = caller.RoutedHeaders{RequestID: "Request-Name", Timeout: "Time-Left", CallerService: "Calling-Service"}
 	backendHeaders = backend.Headers{
@@ -40,14 +40,14 @@
 
 const routesKey = "op/routes"
 
-// fleet is a store and nodes on loopback, each beside a backend server of the test.
+// fleet holds a store and nodes on loopback addresses, each beside a backend server of the test.
 type fleet struct {
 	store *kv.Store
 	group conc.WaitGroup
 	nodes []*testNode
 }
 
-// testNode is one node with its backend server.
+// testNode holds one node and its backend server.
 type testNode struct {
 	settings *settings.Settings
 	server   *httptest.Server
@@ -61,7 +61,7 @@
 	service  string
 }
 
-// syncBuffer is a buffer for several goroutines.
+// syncBuffer is a buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -109,7 +109,7 @@
 	return l.Addr().String()
 }
 
-// add starts a node in the zone, beside a backend server of the service that answers with the handler.
+// add starts a node in the availability zone, beside a backend server of the service that runs the handler.
 func (f *fleet) add(tb testing.TB, zone, service string, handler http.HandlerFunc) *testNode {
 	flags := flag.NewFlagSet("node", flag.ContinueOnError)
 	s := settings.Register(flags)
@@ -157,7 +157,7 @@
 	return m
 }
 
-// withSignature marks the answers of a backend server as its own.
+// withSignature adds the headers by which a node recognizes the response of its backend server.
 func withSignature(handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Signature", "s")
@@ -173,13 +173,13 @@
 	})
 }
 
-// waitReady waits until every node knows every other.
+// waitReady waits until every node has routes and is ready, and then for the members to learn of each other.
 func (f *fleet) waitReady(tb testing.TB) {
 	deadline := time.Now().Add(10 * time.Second)
 	for _, m := range f.nodes {
 		for !strings.Contains(m.log.String(), "routes_in_force") || !m.ready() {
 			if time.Now().After(deadline) {
-				tb.Fatal("the nodes don't become ready: " + m.log.String())
+				tb.Fatal("the nodes did not become ready: " + m.log.String())
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -187,7 +187,7 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-// callResult is what a caller got.
+// callResult is the response that a caller got. The status is 0 if there was none.
 type callResult struct {
 	status int
 	body   string
@@ -199,7 +199,7 @@
 	return m.callWithin(tb, client, method, host, path, "5000")
 }
 
-// callWithin is call for a caller that waits so many milliseconds.
+// callWithin is call for a caller that waits for the given number of milliseconds.
 func (m *testNode) callWithin(tb testing.TB, client *http.Client, method, host, path, left string) callResult {
 	r, err := http.NewRequestWithContext(tb.Context(), method, "http://"+m.settings.Caller.Address+path, http.NoBody)
 	is.New(tb).NoErr(err)
@@ -220,7 +220,7 @@
 
 var requestNumber atomic.Uint64
 
-// twoServices has a route to each of two services.
+// twoServices returns a catalogue with a route to each of two services.
 func twoServices(version uint64) routes.Catalogue {
 	return routes.Catalogue{
 		Version: version,
--- a/internal/process/routed/follow.go
+++ b/internal/process/routed/follow.go
@@ -9,10 +9,10 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/store"
 )
 
-// routesWatchTimeout is how long one watch of the routes waits.
+// routesWatchTimeout is how long one watch of the routes waits for a change.
 const routesWatchTimeout = 30 * time.Second
 
-// routesFollower keeps the board's routes in step with the store. They never go back to an older version.
+// routesFollower updates the board's routes from the store. It never replaces them by an older version.
 type routesFollower struct {
 	loop   *board.Loop
 	config Config
@@ -46,7 +46,8 @@
 	}).Run(ctx)
 }
 
-// apply puts a version into force, unless it has faults or is not newer than the one that is.
+// apply puts the routes of the item into force. Routes with faults are logged and ignored, and routes that are not newer
+// than those in force are ignored.
 func (f *routesFollower) apply(ctx context.Context, item store.Item) {
 	if item.Key != f.config.Adapter.RoutesKey {
 		return
--- a/internal/process/routed/meters.go
+++ b/internal/process/routed/meters.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// maxLatencyMicros bounds what a histogram tells apart, in microseconds.
+	// maxLatencyMicros is the highest latency that a histogram records, in microseconds. Higher latencies are recorded as
+	// this value.
 	maxLatencyMicros = 60_000_000
-	// latencyDigits is how many decimal digits of a latency are kept.
+	// latencyDigits is the number of significant decimal digits of a recorded latency.
 	latencyDigits = 2
-	// maxKinds bounds the kinds that are told apart; all others count as otherKinds.
+	// maxKinds limits the kinds that are counted separately. All others are counted together as otherKinds.
 	maxKinds   = 256
 	otherKinds = "others"
 )
 
-// KindStats is what became of the requests of one kind. Latencies are in microseconds.
+// KindStats holds the counts and latencies of the requests of one kind. Latencies are in microseconds.
 type KindStats struct {
-	// ByOutcome counts requests by outcome, and where no backend server answered by reason.
+	// ByOutcome counts requests by outcome. The outcome is followed by the reason if no backend server responded.
 	ByOutcome map[string]uint64 `json:"ended"`
 	P50       int64             `json:"p50_micros"`
 	P90       int64             `json:"p90_micros"`
@@ -30,7 +31,7 @@
 	Count     int64             `json:"count"`
 }
 
-// requestStats count the requests of callers by kind.
+// requestStats counts the requests of callers by kind.
 type requestStats struct {
 	mu     sync.Mutex
 	byKind map[string]*kindCounters
@@ -45,13 +46,13 @@
 	return &requestStats{byKind: map[string]*kindCounters{}}
 }
 
-// record counts one request.
+// record counts one request and its latency.
 func (s *requestStats) record(kind string, reply *call.Reply, latency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.countersFor(kind)
 	k.byOutcome[outcomeLabel(reply)]++
-	_ = k.latencies.RecordValue(min(latency.Microseconds(), maxLatencyMicros)) // a value within the bound is always recorded
+	_ = k.latencies.RecordValue(min(latency.Microseconds(), maxLatencyMicros)) // values up to the maximum are always recorded
 }
 
 func outcomeLabel(reply *call.Reply) string {
@@ -73,7 +74,7 @@
 	return k
 }
 
-// snapshot returns all meters.
+// snapshot returns the statistics of each kind.
 func (s *requestStats) snapshot() map[string]KindStats {
 	const median, high, highest = 50, 90, 99 // percentiles
 	s.mu.Lock()
--- a/internal/process/routed/meters_test.go
+++ b/internal/process/routed/meters_test.go
@@ -21,6 +21,6 @@
 	stats := requests.snapshot()
 	is.Equal(stats["sheets"].ByOutcome, map[string]uint64{"ran": 1, "not_run_overload": 1})
 	is.True(stats["sheets"].Max >= 20_000)
-	is.Equal(len(stats), maxKinds+1) // kinds beyond the bound count as one
+	is.Equal(len(stats), maxKinds+1) // kinds above the limit are counted together
 	is.True(stats[otherKinds].Count > 0)
 }
--- a/internal/process/routed/routed.go
+++ b/internal/process/routed/routed.go
@@ -1,14 +1,14 @@
-// Package routed puts together a node that goes by the routes in the platform's store, and runs it until the process is
-// asked to stop. Unlike a node that goes by documents it has no leader, remembers no keys and takes no edits: what it
-// knows of routes and members it reads from the store, each request has a name of its own, and a request that may run
-// once at most is sent again only where it has certainly not run.
+// Package routed assembles a node that follows the routes in the platform's store, and runs it until the process is asked
+// to stop. Unlike a node that follows documents, it has no leader, remembers no idempotency keys and accepts no edits. It
+// reads routes and members from the store, and each request has its own ID. A request that may run at most once is sent
+// again only if it has certainly not run.
 //
 // # Usage
 //
 //	err := routed.Run(ctx, routed.Config{Settings: settings, Log: log, Adapter: adapter})
 //
-// When the context ends the node drains: its backend server gets no new work, what callers still send here is passed on,
-// and the process ends when nothing is in flight.
+// When the context ends the node drains: it forwards the requests that callers still send, takes its backend server out of
+// use, and returns when nothing is in flight.
 package routed
 
 import (
@@ -41,42 +41,42 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// Adapter is what a node needs of the users' platform.
+// Adapter connects a node to the users' platform.
 type Adapter struct {
 	Store store.Store
-	// RoutesKey is where the store holds the routes, and DecodeRoutes reads them.
+	// RoutesKey is the key of the routes in the store. DecodeRoutes decodes its value.
 	RoutesKey    string
 	DecodeRoutes func(value []byte) (*routes.Table, error)
-	// RegisterAnnouncements adds the routes by which the local backend server announces itself.
+	// RegisterAnnouncements adds the HTTP routes by which the local backend server announces itself.
 	RegisterAnnouncements func(router *httprouter.Router, l AnnouncementHandlers)
-	// RegisterReady adds the question whether the node takes new work.
+	// RegisterReady adds the HTTP route that reports whether the node is ready for new requests.
 	RegisterReady  func(router *httprouter.Router, ready func() bool)
 	CallerHeaders  caller.RoutedHeaders
 	BackendHeaders backend.Headers
-	// CommonTerms stand in many messages between nodes, which they make smaller.
+	// CommonTerms are strings that occur in many messages between nodes. The compressor encodes them in few bytes.
 	CommonTerms []string
 }
 
-// AnnouncementHandlers takes what the local backend server says of itself.
+// AnnouncementHandlers holds the functions that handle announcements of the local backend server.
 type AnnouncementHandlers struct {
-	// Announced returns when the node goes by the announcement.
+	// Announced handles an announcement and returns when it is in effect.
 	Announced func(backend.Announcement)
-	// Departed is told the name of a backend server that leaves.
+	// Departed is called with the instance name of a backend server that leaves.
 	Departed func(instance string)
-	// MaxConnections returns how many connections a backend server of the service takes.
+	// MaxConnections returns the number of connections that a backend server of the service accepts.
 	MaxConnections func(service string) int
-	// Rejected is told of each announcement that names nobody.
+	// Rejected is called for each announcement that is malformed or incomplete.
 	Rejected func(instance, fault string)
 }
 
-// Config sets a node up.
+// Config configures a node.
 type Config struct {
 	Settings *settings.Settings
 	Log      *events.Log
 	Adapter  Adapter
 }
 
-// Node is one node.
+// Node runs beside one backend server. It admits, queues, retries and routes requests and shares state with its peers.
 type Node struct {
 	config       Config
 	loop         *board.Loop
@@ -92,37 +92,38 @@
 	reachability *flow.ReachabilityMonitor
 	members      *members.Controller
 	routes       *routesFollower
-	// quarantine keeps away requests that crash backend servers.
+	// quarantine refuses requests that crash backend servers.
 	quarantine *flow.Quarantine
 	limiter    *events.Limiter
-	// requestLog logs decisions about single requests.
+	// requestLog logs the decisions about individual requests.
 	requestLog   *events.Limiter
 	requestStats *requestStats
 	traffic      trafficState
 	listeners    listeners
-	// callerServer serves callers.
+	// callerServer serves the requests of callers.
 	callerServer *caller.Server
 }
 
-// The lines about single requests that are written of each number: one in the time on average, and so many at once.
+// The rate limit of log lines about individual requests, for each event number: on average one line per interval, and
+// bursts of up to requestLogBurst lines.
 const (
 	requestLogInterval = 25 * time.Millisecond
 	requestLogBurst    = 100
 )
 
-// maxRefusals is how many nodes may refuse a request before it is given up.
+// maxRefusals is the number of nodes that may refuse a request before the sender gives up.
 const maxRefusals = 2
 
-// maxFleetRetries is how many retries for one service all nodes together may make at once.
+// maxFleetRetries is the number of retries that all nodes together may have in flight for one service.
 const maxFleetRetries = 36
 
-// retryBudget is that of one node for one service.
+// retryBudget is the retry budget of one node for one service.
 var retryBudget = retry.BudgetConfig{EarnRatio: 0.05, Max: 3}
 
-// requeueBudget bounds the further turns of what a backend server shed, as a part of the requests for it.
+// requeueBudget limits how many requests shed by the backend server are requeued, as a ratio of the requests for it.
 var requeueBudget = retry.BudgetConfig{EarnRatio: 0.08, Max: 4}
 
-// New builds a node without starting it.
+// New returns a node that is not started.
 func New(config Config) (*Node, error) {
 	s := config.Settings
 	compressor, err := peer.NewCompressor(config.Adapter.CommonTerms...)
@@ -188,8 +189,9 @@
 	n.fencedRunner = flow.NewFencedRunner(n.receiver, incarnation)
 }
 
-// throttleConfig returns how root requests are refused at the entry. The nodes beside the backend servers bound them by what
-// their calls wait, and see more of them than one entry does.
+// throttleConfig returns the configuration of the throttle for root requests at the entry node. LowRateRequests is 0
+// because the nodes beside the backend servers already limit root requests by the queueing delay of their calls, and see
+// more of these requests than one entry node does.
 func throttleConfig() throttle.Config {
 	config := throttle.DefaultConfig
 	config.LowRateRequests = 0
@@ -216,21 +218,21 @@
 }
 
 const (
-	// megabyte is in bytes.
+	// megabyte is the number of bytes in the unit of the memory setting.
 	megabyte = 1 << 20
-	// heapPercent is the part of the process's memory that the runtime may use before it collects more often. The rest is for
-	// the program itself, and for what arrives meanwhile.
+	// heapPercent is the percentage of the process's memory that the runtime may use before it collects garbage more
+	// often. The rest is for the program itself, and for requests that arrive during a collection.
 	heapPercent = 60
 )
 
-// setMemoryLimit keeps the process below the memory that it may use.
+// setMemoryLimit makes the runtime keep the process below the given memory. 0 sets no limit.
 func setMemoryLimit(megabytes int64) {
 	if megabytes > 0 {
 		debug.SetMemoryLimit(megabytes * megabyte * heapPercent / 100)
 	}
 }
 
-// Run listens and works until the context ends and the node has drained.
+// Run serves until the context ends. It returns after the node has drained.
 func Run(ctx context.Context, config Config) error {
 	n, err := New(config)
 	if err == nil {
@@ -298,7 +300,8 @@
 	return router
 }
 
-// maxConnections returns how many connections a backend server of the service takes.
+// maxConnections returns the number of connections that a backend server of the service accepts, or 0 if there are no
+// routes yet.
 func (n *Node) maxConnections(service string) int {
 	table := n.loop.Snapshot().Routes
 	if table == nil {
@@ -316,13 +319,13 @@
 	return router
 }
 
-// listeners are the sockets of a node.
+// listeners holds the listeners of a node.
 type listeners struct {
 	caller  net.Listener
 	peer    net.Listener
 	backend net.Listener
 	ready   net.Listener
-	// metrics is nil where the settings name no address for it.
+	// metrics is nil if the settings have no address for it.
 	metrics net.Listener
 }
 
--- a/internal/process/routed/routed_test.go
+++ b/internal/process/routed/routed_test.go
@@ -29,7 +29,7 @@
 	is.Equal(crew.call(t, client, "GET", "unknown.example", "/").status, http.StatusNotFound)
 }
 
-func TestLeavingBackendServerIsToldAndGetsNothing(t *testing.T) {
+func TestLeavingBackendServerGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, twoServices(1))
 	crew := f.add(t, "zone_1", "crew", hello)
@@ -37,14 +37,15 @@
 	f.add(t, "zone_1", "bookings", hello)
 	f.waitReady(t)
 	client := &http.Client{}
-	first.heartbeat(true) // returns when the node goes by it
+	first.heartbeat(true) // returns when it is in effect
 	for range 20 {
 		is.True(strings.Contains(crew.call(t, client, "POST", "deposits.example", "/b").body, "to i_node_3"))
 	}
 }
 
-// A node that the store turns away loses its entry, and goes on to get requests.
-func TestNodeCutFromTheStoreGoesOn(t *testing.T) {
+// A node whose calls the store refuses loses its member entry. Its peers must keep sending it requests, and it must
+// register again by itself once the store accepts its calls.
+func TestNodeWithoutStoreKeepsServing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, twoServices(1))
 	crew := f.add(t, "zone_1", "crew", hello)
@@ -57,11 +58,11 @@
 	is.Equal(crew.call(t, client, "POST", "deposits.example", "/b").status, http.StatusOK)
 	f.store.SetFaults(kv.Faults{})
 	time.Sleep(2 * time.Second)
-	is.True(f.store.Item("members/node_2").Revision > 0) // it is back by itself
+	is.True(f.store.Item("members/node_2").Revision > 0) // it registered again by itself
 }
 
-// Requests that are in flight, and those that still come, are answered while a node leaves.
-func TestLeavingNodeAnswersWhatComes(t *testing.T) {
+// A node must answer both the requests in flight and new ones while it drains.
+func TestDrainingNodeServesNewRequests(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, twoServices(1))
 	crew := f.add(t, "zone_1", "crew", hello)
@@ -77,19 +78,20 @@
 		is.Equal(crew.call(t, client, "POST", "deposits.example", "/b").status, http.StatusOK)
 		time.Sleep(20 * time.Millisecond)
 	}
-	// Callers who don't go away are turned away before they are read, so that none is cut at the end.
+	// Later requests are refused before they are read, so that none is interrupted when the process ends.
 	time.Sleep(3200*time.Millisecond - time.Since(begin))
 	is.Equal(crew.call(t, client, "POST", "deposits.example", "/b").status, 0)
 	select {
 	case <-crew.ended:
 	case <-time.After(4 * time.Second):
-		t.Fatal("the node doesn't end")
+		t.Fatal("the node did not stop")
 	}
 }
 
-// Pattern: the nodes of a fleet are stopped one after the other, and their backend servers run on. A node passes requests on
-// to its backend server until it has no callers any more, and cuts none at its end.
-func TestBackendServerOfALeavingNodeWorksOn(t *testing.T) {
+// Guards against requests that fail while the nodes of a fleet are restarted one after the other and their backend servers
+// keep running. A draining node must pass requests on to its backend server until its callers have left, and must not
+// interrupt a request when it stops.
+func TestDrainingNodeForwardsToItsBackendServer(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, twoServices(1))
 	crew := f.add(t, "zone_1", "crew", hello)
@@ -106,7 +108,7 @@
 		if time.Since(begin) < 2*time.Second {
 			is.Equal(got, http.StatusOK)
 		}
-		is.True(got == http.StatusOK || got == http.StatusServiceUnavailable) // never cut
+		is.True(got == http.StatusOK || got == http.StatusServiceUnavailable) // never interrupted
 		select {
 		case <-only.ended:
 			ended = true
@@ -116,16 +118,16 @@
 	is.True(time.Since(begin) < 5*time.Second)
 }
 
-// Pattern: the same beside a backend server whose requests make calls. The calls go through the node that leaves, so the
-// backend server gets no more work while there is still time for them.
-func TestCallsOfALeavingNodeGoThrough(t *testing.T) {
+// Guards against failed calls of a backend server whose node drains. The calls go through the draining node, so the
+// backend server must stop getting requests early enough for their calls to finish.
+func TestCallsSucceedWhileTheNodeDrains(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, twoServices(1))
 	var leaving *testNode
 	var ran atomic.Int64
 	client := &http.Client{}
 	leaving = f.add(t, "zone_1", "crew", func(w http.ResponseWriter, r *http.Request) {
-		work := 200*time.Millisecond + time.Duration(ran.Add(1))*2*time.Millisecond // no two have the same time left
+		work := 200*time.Millisecond + time.Duration(ran.Add(1))*2*time.Millisecond // each request has a different remaining time
 		time.Sleep(work)
 		left, err := strconv.Atoi(r.Header.Get("Time-Left"))
 		is.NoErr(err)
@@ -136,7 +138,7 @@
 	})
 	entry := f.add(t, "zone_1", "bookings", hello)
 	f.waitReady(t)
-	for range 10 { // until the calls are known as such
+	for range 10 { // until the node has learned that these requests make calls
 		is.Equal(entry.call(t, client, "GET", "sheets.example", "/a").status, http.StatusOK)
 	}
 	leaving.stop()
@@ -151,7 +153,7 @@
 	}
 }
 
-// What can't run is refused at once, with a status that says so and when to come back.
+// A request for a service without instances must be refused at once, with status 503 and a Retry-After header.
 func TestRefusalSaysNotRun(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, twoServices(1))
--- a/internal/process/routed/serve.go
+++ b/internal/process/routed/serve.go
@@ -20,14 +20,14 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// trafficState counts what is in flight from callers and from other nodes.
+// trafficState counts the requests in flight from callers and from other nodes. closing reports whether the node drains.
 type trafficState struct {
 	callerRequests atomic.Int64
 	peerRequests   atomic.Int64
 	closing        atomic.Bool
 }
 
-// countRequests counts the requests of callers.
+// countRequests counts the requests of callers in flight.
 func (s *trafficState) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		s.callerRequests.Add(1)
@@ -37,22 +37,22 @@
 }
 
 const (
-	// acceptTime is how long callers may still come after the node began to leave: those who look whether it is ready
-	// look each second, and go away after two misses. What comes last has to end before the process is killed.
+	// acceptTime is how long the node accepts callers after the drain began. Callers that check readiness do so every
+	// second and leave after two failed checks. The last requests have to end before the process is killed.
 	acceptTime = 2600 * time.Millisecond
-	// backendWorkTime is how long a backend server whose requests make calls gets work after the node began to leave. Their
-	// calls need this node, and have the rest of leaveTime.
+	// backendWorkTime is how long a backend server whose requests make calls gets new requests after the drain began. The
+	// calls go through this node and have the rest of acceptTime to finish.
 	backendWorkTime = 1100 * time.Millisecond
-	// quietPeriod is how long nothing may be in flight before the next step.
+	// quietPeriod is how long no request may be in flight before the next step of the drain.
 	quietPeriod = 200 * time.Millisecond
-	// lastResponsesTimeout bounds the time for the last answers to callers.
+	// lastResponsesTimeout limits the time for the last responses to callers.
 	lastResponsesTimeout = 1900 * time.Millisecond
-	// drainTimeout bounds the whole of it, below the time after which a process is killed.
+	// drainTimeout limits the whole drain. It is shorter than the time after which the process is killed.
 	drainTimeout = 5100 * time.Millisecond
 )
 
-// drain serves callers until they have gone, and only then takes the backend server out of use: it runs on beside this
-// node, and the next process takes work for it again.
+// drain serves callers until they have left, and only then takes the backend server out of use. The backend server keeps
+// running, and gets requests again from the next node process beside it.
 func (n *Node) drain(ctx context.Context) {
 	n.config.Log.Emit(events.DrainStarted, nil)
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
@@ -70,12 +70,13 @@
 	n.config.Log.Emit(events.DrainFinished, events.Fields{"calls": n.traffic.callerRequests.Load(), "rpcs": n.traffic.peerRequests.Load()})
 }
 
-// withdrawBackend takes the backend server out of use.
+// withdrawBackend announces that the backend server is out of use, so that it gets no new requests.
 func (n *Node) withdrawBackend(ctx context.Context) {
 	n.loop.Do(ctx, func(b *board.Board) { b.Self.Leaving = true })
 }
 
-// stopAcceptingCallers takes no more callers in, and waits for the last answers.
+// stopAcceptingCallers closes the listener and the idle connections of callers, and waits until the last responses are
+// written.
 func (n *Node) stopAcceptingCallers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, lastResponsesTimeout)
 	defer cancel()
@@ -84,7 +85,7 @@
 	waitQuiet(ctx, func() bool { return n.traffic.callerRequests.Load() == 0 })
 }
 
-// waitQuiet returns when nothing was in flight for quietTime, or when the context ends.
+// waitQuiet returns when isIdle was true for quietPeriod, or when the context ends.
 func waitQuiet(ctx context.Context, isIdle func() bool) {
 	lastActive := time.Now()
 	for ctx.Err() == nil && time.Since(lastActive) < quietPeriod {
@@ -110,10 +111,11 @@
 	_ = server.Serve(ctx, n.listeners.peer)
 }
 
-// idleTimeout is how long a caller's connection is kept without a request. It is longer than callers keep one.
+// idleTimeout is how long a caller's connection is kept open without a request. It is longer than callers keep idle
+// connections.
 const idleTimeout = 2 * time.Minute
 
-// serveHTTP serves until the context ends, when nothing is in flight any more.
+// serveHTTP serves until the context ends, which is when nothing is in flight any more.
 func serveHTTP(ctx context.Context, server *http.Server, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
@@ -122,15 +124,15 @@
 }
 
 const (
-	// writeTimeout is how long a caller may not read its answer.
+	// writeTimeout is how long writing a response may block because the caller does not read it.
 	writeTimeout = 5 * time.Second
-	// maxPending is how many requests of one connection of a caller are worked on at once.
+	// maxPending is the number of requests of one caller connection that are handled concurrently.
 	maxPending = 16
-	// maxHeaderBytes is in bytes.
+	// maxHeaderBytes limits the header of a request.
 	maxHeaderBytes = 64 << 10
 )
 
-// newCallerServer returns the server of callers.
+// newCallerServer returns the server for the requests of callers.
 func (n *Node) newCallerServer() *caller.Server {
 	s := n.config.Settings.Caller
 	return caller.NewServer(caller.ServerConfig{
@@ -149,7 +151,7 @@
 	})
 }
 
-// serveCallers serves until the listener closes and the context ends.
+// serveCallers serves until the listener closes, and returns when the context ends.
 func (n *Node) serveCallers(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() {
 		_ = n.listeners.caller.Close()
@@ -160,7 +162,7 @@
 	<-ctx.Done()
 }
 
-// newHTTPServer returns a server that is not started.
+// newHTTPServer returns a server for the handler that is not started.
 func (n *Node) newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -181,7 +183,7 @@
 	n.limiter.Emit(time.Now(), events.CallerRejected, events.Fields{"instance": instance, "text": fault})
 }
 
-// recordReply counts a request of a caller, and logs one that got no answer of a backend server.
+// recordReply counts a request of a caller, and logs it if it got no response of a backend server.
 func (n *Node) recordReply(r *call.Request, reply *call.Reply, latency time.Duration) {
 	n.requestStats.record(r.Kind, reply, latency)
 	if reply.Outcome == call.Ran {
--- a/internal/process/routed/state.go
+++ b/internal/process/routed/state.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/flow"
 )
 
-// stateRouter serves the dump and the metrics.
+// stateRouter returns the routes of the dump and the metrics.
 func (n *Node) stateRouter() *httprouter.Router {
 	router := httprouter.New()
 	router.GET("/dump", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -32,7 +32,7 @@
 	return state.State()
 }
 
-// Metrics are the counters of a node since its start, and the latencies of the requests of its callers.
+// Metrics holds the counters of a node since its start and the latencies of the requests of its callers.
 type Metrics struct {
 	Members           int                  `json:"members"`
 	RoutesVersion     uint64               `json:"routes_version"`
