--- a/internal/process/parts/parts.go
+++ b/internal/process/parts/parts.go
@@ -1,4 +1,4 @@
-// Package parts holds how the parts of a node are set up that every kind of node has.
+// Package parts configures the components that every kind of node has, and serves what they have in common.
 //
 // # Usage
 //
@@ -16,23 +16,24 @@
 )
 
 const (
-	// GatePollInterval is the time between looks at the queue.
+	// GatePollInterval is the interval between checks of the queue.
 	GatePollInterval = 10 * time.Millisecond
-	// LogLimitInterval is the time between two events of one number that strangers can cause.
+	// LogLimitInterval is the minimum interval between two log lines of one event number, for events that callers and other
+	// outside processes can cause.
 	LogLimitInterval = time.Second
-	// peerMaxIdle is how long an unused connection between nodes is trusted.
+	// peerMaxIdle is how long an idle connection between nodes is reused.
 	peerMaxIdle = 5 * time.Second
-	// peerDialTimeout bounds the making of a connection to another node.
+	// peerDialTimeout is the timeout for connecting to another node.
 	peerDialTimeout = 500 * time.Millisecond
-	// initialLimit is the concurrency limit of a backend server of which nothing is known yet.
+	// initialLimit is the in-flight limit of a backend server before anything is known about it.
 	initialLimit = 8
-	// urgentDelayFactor is how many times longer rank 0 may wait for a slot than the least urgent rank.
+	// urgentDelayFactor is the ratio between the maximum queueing delay of rank 0 and that of the least urgent rank.
 	urgentDelayFactor = 3
-	// maxLimit bounds the concurrency limit.
+	// maxLimit is the highest in-flight limit.
 	maxLimit = 1000
 )
 
-// GateConfig returns how a node admits requests to its backend server.
+// GateConfig returns the configuration of the gate that admits requests to the local backend server.
 func GateConfig(s *settings.Settings) admission.GateConfig {
 	return admission.GateConfig{
 		Limit: admission.LimitConfig{
@@ -58,14 +59,14 @@
 	}
 }
 
-// QuarantineConfig returns how a node treats requests that crash backend servers.
+// QuarantineConfig returns the configuration of the quarantine for requests that crash backend servers.
 func QuarantineConfig(s *settings.Settings) quarantine.Config {
 	config := quarantine.DefaultConfig
 	config.Node = s.Node.Name
 	return config
 }
 
-// PoolConfig returns how a node keeps connections to others.
+// PoolConfig returns the configuration of the pool of connections to other nodes.
 func PoolConfig(s *settings.Settings) peer.PoolConfig {
 	return peer.PoolConfig{
 		MaxPerPeer:  s.Peer.MaxConnections,
--- a/internal/process/parts/serve.go
+++ b/internal/process/parts/serve.go
@@ -20,13 +20,13 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/settings"
 )
 
-// Socket is a listener of a node and its address; an empty address stands for none.
+// Socket is where to store a listener, and its address. With an empty address no listener is opened.
 type Socket struct {
 	Listener *net.Listener
 	Address  string
 }
 
-// Listen opens the sockets.
+// Listen opens a listener for each socket that has an address.
 func Listen(sockets ...Socket) error {
 	for _, s := range sockets {
 		if s.Address == "" {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Close closes those of the listeners that are open.
+// Close closes the listeners that are not nil.
 func Close(listeners ...net.Listener) {
 	for _, l := range listeners {
 		if l != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// NewHTTPLogger returns a log that turns the lines of an HTTP server into events.
+// NewHTTPLogger returns a logger for an HTTP server. Each line becomes an event.
 func NewHTTPLogger(limiter *events.Limiter) *log.Logger {
 	return log.New(httpErrorWriter{limiter}, "", 0)
 }
@@ -59,13 +59,14 @@
 	limiter *events.Limiter
 }
 
-// Write logs one line.
+// Write emits one log line as an event.
 func (e httpErrorWriter) Write(line []byte) (int, error) {
 	e.limiter.Emit(time.Now(), events.HTTPFailed, events.Fields{"error": strings.TrimSpace(string(line))})
 	return len(line), nil
 }
 
-// PeerServerOptions returns how a node serves other nodes. Each answer is sent together with the end of its RPC.
+// PeerServerOptions returns the options of the server for other nodes. ManualFlush sends each response together with the
+// end of its RPC.
 func PeerServerOptions(s *settings.Settings, limiter *events.Limiter) drpcserver.Options {
 	return drpcserver.Options{
 		Manager: drpcmanager.Options{
@@ -76,8 +77,8 @@
 	}
 }
 
-// PeerErrorLogger returns a function that logs how a connection of another node ended. That the other end closed it, or gave up a
-// call, is no fault.
+// PeerErrorLogger returns a function that logs the error with which a connection from another node ended. A connection
+// that the peer closed and a call that it canceled are not logged.
 func PeerErrorLogger(limiter *events.Limiter) func(error) {
 	return func(err error) {
 		switch {
@@ -90,7 +91,8 @@
 	}
 }
 
-// CountRPCs returns a handler that counts the requests of other nodes in flight, until each answer is written.
+// CountRPCs returns a handler that counts the RPCs of other nodes in flight. An RPC is counted until its response is
+// written.
 func CountRPCs(inFlight *atomic.Int64, next drpc.Handler) drpc.Handler {
 	return countingHandler{inFlight: inFlight, next: next}
 }
@@ -100,7 +102,7 @@
 	next     drpc.Handler
 }
 
-// HandleRPC passes an RPC on and returns when its answer is written.
+// HandleRPC passes an RPC to the next handler and returns when its response is written.
 func (h countingHandler) HandleRPC(stream drpc.Stream, rpc string) error {
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
--- a/internal/process/parts/state.go
+++ b/internal/process/parts/state.go
@@ -15,7 +15,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// State is what every kind of node shows of itself.
+// State is the part of a dump that every kind of node has.
 type State struct {
 	Board       *board.Board       `json:"board"`
 	Load        call.Load          `json:"load"`
@@ -27,7 +27,7 @@
 	Quarantine  []quarantine.Entry `json:"quarantine"`
 }
 
-// StateSources are the parts of a node that have a state to show.
+// StateSources holds the components of a node whose state is part of a dump.
 type StateSources struct {
 	Loop       *board.Loop
 	Gate       *backend.Gate
@@ -37,7 +37,7 @@
 	Quarantine *flow.Quarantine
 }
 
-// State returns the state at this moment.
+// State returns a snapshot of the components' state.
 func (s StateSources) State() State {
 	return State{
 		Board:       s.Loop.Snapshot(),
@@ -51,7 +51,8 @@
 	}
 }
 
-// WriteJSON answers with the value. A reader that goes away is logged.
+// WriteJSON writes the value as an indented JSON response. A failed write, such as to a client that disconnected, is
+// logged.
 func WriteJSON(w http.ResponseWriter, value any, limiter *events.Limiter) {
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
