--- a/internal/process/local/local.go
+++ b/internal/process/local/local.go
@@ -1,9 +1,9 @@
-// Package local keeps what a node knows of its own backend server: what it announced, and whether it is there.
+// Package local tracks the backend server of a node: its latest announcement and whether it is alive.
 //
 // # Usage
 //
-//	l := local.New(local.Config{Board: loop, Gate: gate, Client: client, Presence: presence, Log: log})
-//	l.Announced(ctx, announcement)
+//	l := local.New(local.Config{Board: loop, Gate: gate, Client: client, Liveness: liveness, Log: log})
+//	l.HandleAnnouncement(ctx, announcement)
 //	l.Watch(ctx)
 package local
 
@@ -21,7 +21,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/backend"
 )
 
-// Config sets a Server up.
+// Config configures a Server.
 type Config struct {
 	Board    *board.Loop
 	Gate     *backend.Gate
@@ -30,7 +30,7 @@
 	Log      *events.Log
 }
 
-// Server is the local backend server, as the node knows it.
+// Server holds what the node knows about its local backend server.
 type Server struct {
 	config Config
 
@@ -43,7 +43,8 @@
 	return &Server{config: config}
 }
 
-// HandleAnnouncement takes in what the backend server says of itself. It returns when the board shows it.
+// HandleAnnouncement applies an announcement of the backend server, unless a later one is known. It returns when the board
+// shows it.
 func (s *Server) HandleAnnouncement(ctx context.Context, a backend.Announcement) {
 	if s.isStale(a) {
 		s.config.Log.Emit(events.AnnouncementStale, events.Fields{
@@ -80,7 +81,7 @@
 	}
 }
 
-// isStale reports whether a later announcement is known, and remembers the announcement where none is.
+// isStale reports whether a later announcement is known. If none is, it records the position of this one.
 func (s *Server) isStale(a backend.Announcement) bool {
 	next := announcement.Position{Instance: a.Instance, Started: a.Started, Sequence: a.Sequence}
 	s.mu.Lock()
@@ -92,7 +93,8 @@
 	return false
 }
 
-// HandleDeparture takes in that the backend server with the instance name leaves. One of another name changes nothing.
+// HandleDeparture marks the backend server as leaving if it has this instance name. A departure of another instance is
+// ignored.
 func (s *Server) HandleDeparture(ctx context.Context, instance string) {
 	if s.config.Board.Snapshot().Backend.Instance != instance {
 		return
@@ -105,10 +107,10 @@
 	s.config.Log.Emit(events.BackendLeaving, events.Fields{"instance": instance})
 }
 
-// livenessCheckInterval is the time between looks at whether the backend server is there.
+// livenessCheckInterval is the interval between checks whether the backend server is alive.
 const livenessCheckInterval = 200 * time.Millisecond
 
-// Watch keeps the board's word on whether the backend server is there, until the context ends.
+// Watch updates the liveness state of the backend server on the board until the context ends.
 func (s *Server) Watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if server := s.config.Board.Snapshot().Backend; server.Service != "" {
