--- a/internal/process/reload/reload.go
+++ b/internal/process/reload/reload.go
@@ -1,4 +1,4 @@
-// Package reload reads the settings of a running node again when the process gets SIGHUP.
+// Package reload reloads the settings of a running node when the process gets SIGHUP.
 //
 // # Usage
 //
@@ -19,25 +19,25 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/settings"
 )
 
-// Config sets a Reloader up.
+// Config configures a Reloader.
 type Config struct {
-	// Arguments are those of the command line, without the flags that override the file.
+	// Arguments are the command line arguments, without the flags that override the file.
 	Arguments []string
 	Log       *events.Log
 }
 
-// Reloader reads the settings again when the process gets SIGHUP. Only the log level changes while a node runs; all else
-// is used from the next start on.
+// Reloader reloads the settings when the process gets SIGHUP. Only a changed log level takes effect in a running node. All
+// other changes take effect at the next start.
 type Reloader struct {
 	config Config
 }
 
-// New returns a reloader.
+// New returns a Reloader that does not handle SIGHUP before Run.
 func New(config Config) *Reloader {
 	return &Reloader{config: config}
 }
 
-// Run takes SIGHUP in a goroutine of the group, until the context ends.
+// Run handles SIGHUP in a goroutine of the group until the context ends.
 func (r *Reloader) Run(ctx context.Context, group *conc.WaitGroup) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -54,7 +54,7 @@
 	})
 }
 
-// reload puts the new settings into force, or keeps the old ones where the new have faults.
+// reload applies the new settings, or keeps the old ones if the new ones have faults.
 func (r *Reloader) reload() {
 	flags := flag.NewFlagSet("comfreyhoist node", flag.ContinueOnError)
 	s := settings.Register(flags)
--- a/internal/process/reload/reload_test.go
+++ b/internal/process/reload/reload_test.go
@@ -36,13 +36,13 @@
 	return strings.Contains(b.buffer.String(), text)
 }
 
-// SIGHUP ends a process that doesn't take it, and with it every request in flight.
-func TestHangupReloads(t *testing.T) {
+// Guards against SIGHUP ending the process, which is the default, and with it every request in flight.
+func TestHangupReloadsSettings(t *testing.T) {
 	for name, test := range map[string]struct {
 		file string
 		want string
 	}{
-		"sound file":       {"../../../samples/node.ini", "settings_reloaded"},
+		"valid file":       {"../../../samples/node.ini", "settings_reloaded"},
 		"file with faults": {"../../../cmd/comfreyhoist/testdata/node.ini", "settings_refused"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP))
 			for deadline := time.Now().Add(5 * time.Second); !out.contains(test.want); time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(deadline) {
-					t.Fatal("no " + test.want)
+					t.Fatal("the log has no event " + test.want)
 				}
 			}
 		})
