--- a/internal/process/pause/pause.go
+++ b/internal/process/pause/pause.go
@@ -1,9 +1,9 @@
-// Package pause waits for a time, or until a context ends.
+// Package pause waits for a duration, until a time or after a failure, or until a context ends.
 //
 // # Usage
 //
 //	for pause.For(ctx, time.Second) {
-//		look()
+//		poll()
 //	}
 package pause
 
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// For waits for the duration and reports false where the context ends before. It does not wait for a duration of
-// zero or less.
+// For waits for the duration. It reports whether the context was still active, and returns early when the context ends.
+// It does not wait if the duration is zero or less.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -28,25 +28,25 @@
 	}
 }
 
-// Until waits until the time and reports false where the context ends before.
+// Until waits until the time. It reports whether the context was still active, and returns early when the context ends.
 func Until(ctx context.Context, t time.Time) bool {
 	return For(ctx, time.Until(t))
 }
 
-// Backoff is the wait after failures in a row: First after the first one, and twice as long after each further one, up to
-// Longest. A Backoff is not safe for concurrent use.
+// Backoff is an exponential backoff after consecutive failures: Initial after the first one, and twice as long after each
+// further one, up to Max. A Backoff is not safe for concurrent use.
 type Backoff struct {
 	Initial, Max time.Duration
 
 	next time.Duration
 }
 
-// Wait waits after a failure and reports false where the context ends before.
+// Wait waits after a failure. It reports whether the context was still active, and returns early when the context ends.
 func (b *Backoff) Wait(ctx context.Context) bool {
 	d := max(b.next, b.Initial)
 	b.next = min(2*d, b.Max)
 	return For(ctx, d)
 }
 
-// Reset forgets the failures, after a success.
+// Reset starts over with the initial backoff. It is called after a success.
 func (b *Backoff) Reset() { b.next = 0 }
