--- a/internal/process/terminal/terminal.go
+++ b/internal/process/terminal/terminal.go
@@ -1,4 +1,4 @@
-// Package terminal prints tables for people.
+// Package terminal writes aligned text tables.
 //
 // # Usage
 //
@@ -17,16 +17,16 @@
 	"github.com/gravitational/trace"
 )
 
-// columnPadding is the least number of spaces between columns.
+// columnPadding is the minimum number of spaces between columns.
 const columnPadding = 2
 
-// Table prints rows in columns as wide as their widest cells.
+// Table writes rows in columns that are as wide as their widest cells.
 type Table struct {
-	// writer keeps the first error and gives it back on Flush.
+	// writer keeps the first error and returns it from Flush.
 	writer *tabwriter.Writer
 }
 
-// NewTable returns a table that is printed to w, with the headings as its first row; none for no such row.
+// NewTable returns a table that writes to w. The headings are its first row, unless there are none.
 func NewTable(w io.Writer, headings ...any) *Table {
 	t := &Table{writer: tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', 0)}
 	if len(headings) > 0 {
@@ -35,13 +35,13 @@
 	return t
 }
 
-// Section begins a further table under a title.
+// Section starts another table with a title.
 func (t *Table) Section(title string, headings ...any) {
 	_, _ = fmt.Fprintf(t.writer, "\n%s\n", title)
 	t.Row(headings...)
 }
 
-// Row prints one row.
+// Row adds one row.
 func (t *Table) Row(cells ...any) {
 	for i, cell := range cells {
 		if i > 0 {
@@ -52,7 +52,7 @@
 	_, _ = fmt.Fprintln(t.writer)
 }
 
-// Flush prints what is still to be printed and returns the first error.
+// Flush writes all rows to w and returns the first error.
 func (t *Table) Flush() error {
 	return trace.Wrap(t.writer.Flush())
 }
