--- a/cmd/comfreyhoist/check.go
+++ b/cmd/comfreyhoist/check.go
@@ -16,7 +16,7 @@
 )
 
 const checkHelp = `Checks a settings file, team documents, or both, and prints each fault with file, line,
-section, key and reason. Exits with 1 where there is a fault.
+section, key and reason. Exits with 1 if there are faults.
 
 Example:
   comfreyhoist check -settings samples/node.ini samples/documents/*.ini`
@@ -38,7 +38,7 @@
 
 func check(w io.Writer, settingsPath string, documentPaths []string) error {
 	if settingsPath == "" && len(documentPaths) == 0 {
-		return trace.BadParameter("name a settings file, documents, or both")
+		return trace.BadParameter("no files to check: name a settings file, documents, or both")
 	}
 	faults, err := checkSettings(settingsPath)
 	if err != nil {
--- a/cmd/comfreyhoist/document.go
+++ b/cmd/comfreyhoist/document.go
@@ -18,7 +18,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/terminal"
 )
 
-// apiFlags holds the flags of the commands that call a node's administration API.
+// apiFlags holds the flags of the commands that call the administration API of a node.
 type apiFlags struct {
 	address string
 	token   string
@@ -26,13 +26,13 @@
 	json    bool
 }
 
-// operatorTimeout bounds one call of the administration API.
+// operatorTimeout is the default timeout of one call of the administration API.
 const operatorTimeout = 10 * time.Second
 
 func (t *apiFlags) register(flags *flag.FlagSet) {
 	flags.StringVar(&t.address, "address", "127.0.0.1:7003", "IP and port of a node's administration API")
 	flags.StringVar(&t.token, "token", "", "bearer token; better set as COMFREYHOIST_TOKEN, which other users can't see")
-	flags.DurationVar(&t.timeout, "timeout", operatorTimeout, "time for one call")
+	flags.DurationVar(&t.timeout, "timeout", operatorTimeout, "timeout of one call")
 	flags.BoolVar(&t.json, "json", false, "print JSON instead of a table")
 }
 
@@ -40,7 +40,7 @@
 	return operator.NewClient(operator.ClientConfig{Address: t.address, Token: t.token, Timeout: t.timeout})
 }
 
-// clientCommand returns a command that calls a node's administration API.
+// clientCommand returns a command that calls the administration API of a node.
 func clientCommand(name, usage, help string, flags *flag.FlagSet, t *apiFlags, run func(context.Context, []string) error) *ffcli.Command {
 	t.register(flags)
 	return &ffcli.Command{
@@ -113,7 +113,7 @@
 	})
 }
 
-// explainPutError adds how an edit with an open end is sent again.
+// explainPutError adds to the error of an edit whose outcome is unknown how to send the edit again.
 func explainPutError(err error) error {
 	var refusal *operator.Error
 	if errors.As(err, &refusal) && refusal.Code == operator.CodeUnsettled {
--- a/cmd/comfreyhoist/drain.go
+++ b/cmd/comfreyhoist/drain.go
@@ -13,12 +13,12 @@
 	var t apiFlags
 	flags := flag.NewFlagSet("comfreyhoist drain", flag.ContinueOnError)
 	usage := "comfreyhoist drain -address 10.0.1.21:7003"
-	help := "begin the planned stop of a node: it takes no new work, finishes what it has and ends"
+	help := "begin the planned stop of a node: it takes no new requests, finishes those in flight and ends"
 	return clientCommand("drain", usage, help, flags, &t, func(ctx context.Context, _ []string) error {
 		if err := t.client().Drain(ctx); err != nil {
 			return trace.Wrap(err)
 		}
-		fmt.Println("the node drains")
+		fmt.Println("the node is draining")
 		return nil
 	})
 }
--- a/cmd/comfreyhoist/events.go
+++ b/cmd/comfreyhoist/events.go
@@ -19,7 +19,7 @@
   comfreyhoist events
   comfreyhoist events -markdown docs`
 
-// pageMode is the mode of the pages written.
+// pageMode is the file mode of the written pages.
 const pageMode = 0o644
 
 func eventsCommand() *ffcli.Command {
--- a/cmd/comfreyhoist/main.go
+++ b/cmd/comfreyhoist/main.go
@@ -1,4 +1,4 @@
-// Command comfreyhoist is the product: the node that stands beside each backend server, and the operators' commands.
+// Command comfreyhoist runs the node beside a backend server, and has the commands for operators.
 package main
 
 import (
@@ -49,14 +49,14 @@
 	}
 }
 
-// The exit codes of failures.
+// The exit codes of failed commands.
 const (
 	exitFailure = 1
 	exitUsage   = 2
 )
 
-// reportError prints the error and returns the exit code. Help that was asked for is no failure; ffcli has printed it, as
-// it has where arguments were missing.
+// reportError prints the error and returns the exit code. It prints nothing for flag.ErrHelp, because ffcli has already
+// printed the help. Help that was requested is no failure; help for missing arguments is.
 func reportError(err error, arguments []string) int {
 	switch {
 	case !errors.Is(err, flag.ErrHelp):
--- a/cmd/comfreyhoist/main_test.go
+++ b/cmd/comfreyhoist/main_test.go
@@ -21,7 +21,7 @@
 	is.Equal(out.String(), "")
 }
 
-func TestCheckNamesEachFault(t *testing.T) {
+func TestCheckReportsEachFault(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	err := check(&out, "testdata/node.ini", []string{"testdata/first.ini", "testdata/second.ini"})
--- a/cmd/comfreyhoist/node.go
+++ b/cmd/comfreyhoist/node.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// maxBufferedLogLines is how many log lines may wait to be written. A reader that doesn't keep up loses lines, and holds up no
-// request.
+// maxBufferedLogLines is the number of log lines that are buffered. If the reader of the log is too slow, lines are dropped
+// instead of delaying requests.
 const maxBufferedLogLines = 1000
 
 func runNode(ctx context.Context, s *settings.Settings, config string) error {
@@ -57,13 +57,13 @@
 		return trace.BadParameter("log.level: %v", err)
 	}
 	lines := diode.NewWriter(os.Stdout, maxBufferedLogLines, 0, func(dropped int) {
-		fmt.Fprintln(os.Stderr, "comfreyhoist: log lines lost:", dropped)
+		fmt.Fprintln(os.Stderr, "comfreyhoist: log lines dropped:", dropped)
 	})
 	defer func() { _ = lines.Close() }()
 	log := events.NewLog(lines, level, s.Node.Name)
 	var group conc.WaitGroup
 	defer group.Wait()
-	// A process that doesn't take SIGHUP is ended by it, also while it drains.
+	// SIGHUP ends a process that doesn't handle it, so it is handled during the drain too.
 	reloadCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	reload.New(reload.Config{Arguments: []string{"-config", config}, Log: log}).Run(reloadCtx, &group)
--- a/cmd/comfreyhoist/version.go
+++ b/cmd/comfreyhoist/version.go
@@ -14,7 +14,7 @@
 Example:
   comfreyhoist version`
 
-// version is the version that the catalogue's entries count from.
+// version is the version of the program. The entries of the event catalogue name the version that introduced them.
 const version = "0.1"
 
 func versionCommand() *ffcli.Command {
