--- a/cmd/hoistlab/capacity.go
+++ b/cmd/hoistlab/capacity.go
@@ -17,14 +17,14 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/report"
 )
 
-const capacityHelp = `Starts fleets of real, idle node processes, one size after the other, and measures what control costs
-a node: processor time, memory and bytes, leaders and followers apart, the platform's calls, and the time until
-a changed document is in force everywhere. Prints a table with slopes and writes capacity.json.
+const capacityHelp = `Starts fleets of real, idle node processes, one size after the other, and measures the cost of the
+control plane: processor time, memory and bytes of a node, for leaders and followers separately, the calls of the
+platform, and the time until a changed document is in force everywhere. Prints a table with slopes and writes capacity.json.
 
 Example:
   hoistlab capacity -nodes 6,12,24,48 -window 10s`
 
-// capacityFlags are the flags of the command.
+// capacityFlags holds the flags of the capacity command.
 type capacityFlags struct {
 	nodes   string
 	zones   int
@@ -39,14 +39,14 @@
 	c := &capacityFlags{}
 	flags.StringVar(&c.nodes, "nodes", "6,12,24,48", "numbers of nodes, separated by commas")
 	flags.IntVar(&c.zones, "zones", 3, "number of availability zones")
-	flags.DurationVar(&c.settle, "settle", 5*time.Second, "time between readiness and the window")
-	flags.DurationVar(&c.window, "window", 10*time.Second, "time over which costs are counted")
+	flags.DurationVar(&c.settle, "settle", 5*time.Second, "time between readiness and the measurement window")
+	flags.DurationVar(&c.window, "window", 10*time.Second, "length of the measurement window")
 	flags.IntVar(&c.changes, "changes", 5, "documents changed at each size")
 	flags.StringVar(&c.out, "out", "out", "directory for JSON and the nodes' logs")
 	return &ffcli.Command{
 		Name:       "capacity",
 		ShortUsage: "hoistlab capacity [-nodes 6,12,24,48]",
-		ShortHelp:  "measure what control costs a node at several fleet sizes",
+		ShortHelp:  "measure the cost of the control plane at several fleet sizes",
 		LongHelp:   capacityHelp,
 		FlagSet:    flags,
 		Exec:       func(ctx context.Context, _ []string) error { return measureCapacity(ctx, c) },
--- a/cmd/hoistlab/fleet.go
+++ b/cmd/hoistlab/fleet.go
@@ -11,11 +11,11 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/fleet"
 )
 
-// readyTimeout bounds the start of a fleet.
+// readyTimeout limits the time until a started fleet is ready.
 const readyTimeout = 30 * time.Second
 
-// withFleet builds the program, starts a fleet and runs f on it. The nodes' logs go to standard error where they are
-// wanted.
+// withFleet builds comfreyhoist, starts a fleet and runs f on it. The nodes' logs go to standard error if verbose is set,
+// and are discarded otherwise.
 func withFleet(ctx context.Context, config fleet.Config, verbose bool, f func(*fleet.Fleet) error) error {
 	return withBinary(ctx, func(_, binary string) error {
 		config.Binary, config.Output = binary, io.Discard
@@ -31,7 +31,7 @@
 	})
 }
 
-// withBinary builds the program in a directory that is there while f runs.
+// withBinary builds comfreyhoist in a temporary directory and calls f. The directory is removed afterwards.
 func withBinary(ctx context.Context, f func(directory, binary string) error) error {
 	directory, err := os.MkdirTemp("", "hoistlab")
 	if err != nil {
@@ -45,7 +45,7 @@
 	return f(directory, binary)
 }
 
-// startFleet starts a fleet and waits until it is ready. It must be stopped, also after an error.
+// startFleet starts a fleet and waits until it is ready. The caller must stop the fleet even if there is an error.
 func startFleet(ctx context.Context, config fleet.Config) (*fleet.Fleet, error) {
 	f, err := fleet.Start(ctx, config)
 	if err != nil {
--- a/cmd/hoistlab/latency.go
+++ b/cmd/hoistlab/latency.go
@@ -16,7 +16,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/report"
 )
 
-// latencyFlags are the flags of the command.
+// latencyFlags holds the flags of the latency command.
 type latencyFlags struct {
 	duration time.Duration
 	rate     float64
@@ -28,13 +28,13 @@
 	flags := flag.NewFlagSet("hoistlab latency", flag.ContinueOnError)
 	l := &latencyFlags{}
 	flags.DurationVar(&l.duration, "duration", 15*time.Second, "length of the run")
-	flags.Float64Var(&l.rate, "rate", 300, "requests a second, through the nodes and straight to the backend servers each")
+	flags.Float64Var(&l.rate, "rate", 300, "requests per second through the nodes, and the same rate directly to the backend servers")
 	flags.Uint64Var(&l.seed, "seed", 1, "seed of the load")
 	flags.StringVar(&l.out, "out", "out", "directory for JSON")
 	return &ffcli.Command{
 		Name:       "latency",
 		ShortUsage: "hoistlab latency [-rate 300]",
-		ShortHelp:  "measure what the nodes add to a call, against the backend servers called directly",
+		ShortHelp:  "measure the latency that the nodes add, compared with direct calls to the backend servers",
 		FlagSet:    flags,
 		Exec:       func(ctx context.Context, _ []string) error { return latency(ctx, l) },
 	}
@@ -61,7 +61,7 @@
 	return trace.Wrap(fleet.WriteTable(os.Stdout, rows))
 }
 
-// constantTimeChain returns the chain with backend servers that take the same time for every request.
+// constantTimeChain returns the chain deployment with the same service time for every request.
 func constantTimeChain() fleet.Deployment {
 	d := fleet.Chain()
 	for i := range d.Services {
@@ -70,7 +70,7 @@
 	return d
 }
 
-// streams returns one stream through the nodes and one past them, to the same backend servers at the same rate.
+// streams returns two streams to the same backend servers at the same rate: one through the nodes, and one direct.
 func (l *latencyFlags) streams(f *fleet.Fleet) []load.Stream {
 	through := load.Stream{
 		Name:    "through the nodes",
--- a/cmd/hoistlab/main.go
+++ b/cmd/hoistlab/main.go
@@ -1,4 +1,5 @@
-// Command hoistlab runs experiments: stand-ins, load, faults and reports around real nodes.
+// Command hoistlab runs experiments on real nodes, with stand-in backend servers and stores, generated load, injected
+// faults and reports.
 package main
 
 import (
@@ -52,7 +53,7 @@
 	return &ffcli.Command{
 		Name:       "demo",
 		ShortUsage: "hoistlab demo",
-		ShortHelp:  "flood a small fleet with archive browsing while urgent work goes on",
+		ShortHelp:  "flood a small fleet with low-priority requests while urgent requests continue",
 		FlagSet:    flags,
 		Exec:       func(ctx context.Context, _ []string) error { return demo(ctx, *duration, *verbose) },
 	}
--- a/cmd/hoistlab/once.go
+++ b/cmd/hoistlab/once.go
@@ -14,20 +14,20 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/once"
 )
 
-// onceInstances gives two instances to each availability zone.
+// onceInstances is the number of instances of a service: two in each availability zone.
 const onceInstances = 6
 
-// ownersSettleTime is the time in which the homes are agreed.
+// ownersSettleTime is how long to wait until the nodes agree on the key owners.
 const ownersSettleTime = 3 * time.Second
 
 func onceCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("hoistlab once", flag.ContinueOnError)
 	duration := flags.Duration("duration", time.Minute, "length of the run")
 	seed := flags.Uint64("seed", 1, "seed of the faults and the callers")
-	callers := flags.Int("callers", 12, "callers that send bookings, one after the other")
-	calm := flags.Bool("calm", false, "without faults")
+	callers := flags.Int("callers", 12, "callers, each of which sends one booking after the other")
+	calm := flags.Bool("calm", false, "inject no faults")
 	polite := flags.Bool("polite", false, "send each booking once, and idempotent requests as well")
-	outage := flags.String("outage", "", "platform or zone: what is away for the whole run, in the place of other faults")
+	outage := flags.String("outage", "", "platform or zone: what is unavailable for the whole run, instead of other faults")
 	verbose := flags.Bool("verbose", false, "print the nodes' logs")
 	return &ffcli.Command{
 		Name:       "once",
@@ -58,7 +58,7 @@
 		return trace.Wrap(err)
 	}
 	if len(r.Violations) > 0 {
-		return trace.BadParameter("%d promises were broken with seed %d", len(r.Violations), seed)
+		return trace.BadParameter("%d violations with seed %d", len(r.Violations), seed)
 	}
 	return nil
 }
--- a/cmd/hoistlab/overload.go
+++ b/cmd/hoistlab/overload.go
@@ -16,7 +16,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/scenario"
 )
 
-// overloadFlags are the flags of the command.
+// overloadFlags holds the flags of the overload command.
 type overloadFlags struct {
 	deployments string
 	scenarios   string
@@ -85,8 +85,8 @@
 
 const directoryMode = 0o755
 
-// runConfigs returns every run: each scenario of each deployment with each variant. The baseline is a command of this
-// program itself.
+// runConfigs returns one configuration for each combination of deployment, scenario and variant. The baseline variant runs
+// a command of hoistlab itself.
 func (o *overloadFlags) runConfigs(binary, labBinary string) []scenario.Config {
 	variants := []scenario.Variant{{Name: "product", Binary: binary}}
 	if o.previous != "" {
--- a/cmd/hoistlab/soak.go
+++ b/cmd/hoistlab/soak.go
@@ -17,15 +17,15 @@
 func soakCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("hoistlab soak", flag.ContinueOnError)
 	seed := flags.Uint64("seed", 1, "first seed of the faults and the callers")
-	seeds := flags.Uint64("seeds", 1, "how many seeds, one after the other")
-	duration := flags.Duration("duration", 30*time.Second, "for how long faults are injected, for each seed")
+	seeds := flags.Uint64("seeds", 1, "number of seeds, run one after the other")
+	duration := flags.Duration("duration", 30*time.Second, "time during which faults are injected, for each seed")
 	instances := flags.Int("instances", 1, "backend servers of each service in each availability zone")
-	rate := flags.Float64("rate", 0, "requests of callers in a second; 0 for the default")
-	logDirectory := flags.String("logs", "", "directory for the nodes' settings and logs; empty for one that is removed")
+	rate := flags.Float64("rate", 0, "requests of callers per second; 0 for the default")
+	logDirectory := flags.String("logs", "", "directory for the nodes' settings and logs; if empty, a temporary directory is used and removed")
 	return &ffcli.Command{
 		Name:       "soak",
 		ShortUsage: "hoistlab soak [-seed N] [-seeds N] [-duration D] [-logs DIR]",
-		ShortHelp:  "run nodes that go by routes under faults, and check what callers and backend servers see",
+		ShortHelp:  "run nodes that follow routes under injected faults, and check the guarantees to callers and backend servers",
 		FlagSet:    flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			config := soak.Config{Duration: *duration, Instances: *instances, Rate: *rate, Output: os.Stderr}
@@ -44,7 +44,7 @@
 	})
 }
 
-// runSeeds plays one seed after the other; each has a directory of its own below the parent.
+// runSeeds runs one seed after the other, each with its own directory below the parent.
 func runSeeds(ctx context.Context, config soak.Config, seed, seeds uint64, parent string) error {
 	failedSeeds := 0
 	for config.Seed = seed; config.Seed < seed+seeds; config.Seed++ {
@@ -64,7 +64,7 @@
 		}
 	}
 	if failedSeeds > 0 {
-		return trace.BadParameter("%d of %d seeds broke a promise", failedSeeds, seeds)
+		return trace.BadParameter("%d of %d seeds had violations", failedSeeds, seeds)
 	}
 	return nil
 }
--- a/cmd/hoistlab/standins.go
+++ b/cmd/hoistlab/standins.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// Values of a stand-in backend server where no flag says otherwise.
+// The default flag values of a stand-in backend server.
 const (
 	defaultSlots       = 35
 	defaultConnections = 300
@@ -60,10 +60,10 @@
 	flags.StringVar(&c.Address, "address", "127.0.0.1:7200", "IP and port to listen on")
 	flags.StringVar(&c.NodeBackend, "node_backend", "127.0.0.1:7003", "the local node's address for announcements")
 	flags.StringVar(&c.NodeCaller, "node_caller", "127.0.0.1:7001", "the local node's address for calls to other services")
-	flags.IntVar(&c.Slots, "slots", defaultSlots, "requests that run at once")
-	flags.IntVar(&c.Connections, "connections", defaultConnections, "connections that are given")
-	flags.IntVar(&c.Behaviour.Queue, "queue", defaultQueue, "requests that may wait for a slot")
-	flags.DurationVar(&c.Behaviour.ServiceTime, "service_time", defaultServiceTime, "mean time of a request")
+	flags.IntVar(&c.Slots, "slots", defaultSlots, "number of requests that run concurrently")
+	flags.IntVar(&c.Connections, "connections", defaultConnections, "number of connections that the backend server accepts")
+	flags.IntVar(&c.Behaviour.Queue, "queue", defaultQueue, "maximum number of requests that are queued for a slot")
+	flags.DurationVar(&c.Behaviour.ServiceTime, "service_time", defaultServiceTime, "mean service time of a request")
 	calls := flags.String("calls", "", "service/path that each request calls with GET, separated by commas")
 	return &ffcli.Command{
 		Name:       "backend",
@@ -77,7 +77,7 @@
 	}
 }
 
-// parseCalls reads service/path pairs.
+// parseCalls parses a list of service/path pairs.
 func parseCalls(list string) []server.DownstreamCall {
 	var calls []server.DownstreamCall
 	for _, item := range strings.Split(list, ",") {
@@ -91,12 +91,12 @@
 
 func baselineCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("hoistlab "+fleet.BaselineCommand, flag.ContinueOnError)
-	address := flags.String("address", "127.0.0.1:7001", "IP and port to take calls on")
+	address := flags.String("address", "127.0.0.1:7001", "IP and port to listen on")
 	instances := flags.String("instances", "", "service=address of each backend server, separated by commas")
 	return &ffcli.Command{
 		Name:       fleet.BaselineCommand,
 		ShortUsage: "hoistlab baseline -instances access=127.0.0.1:7200,access=127.0.0.1:7201",
-		ShortHelp:  "run the naive baseline in the place of one node",
+		ShortHelp:  "run the naive baseline instead of a node",
 		FlagSet:    flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			return trace.Wrap(baseline.Serve(ctx, *address, baseline.New(parseInstances(*instances))))
@@ -104,7 +104,7 @@
 	}
 }
 
-// parseInstances reads service=address pairs.
+// parseInstances parses a list of service=address pairs and returns the addresses by service.
 func parseInstances(list string) map[string][]string {
 	instances := map[string][]string{}
 	for _, item := range strings.Split(list, ",") {
@@ -124,8 +124,8 @@
 	flags.StringVar(&s.Service, "service", "", "service to call")
 	flags.StringVar(&s.Method, "method", http.MethodGet, "HTTP method")
 	flags.StringVar(&s.Path, "path", "/", "path to call")
-	flags.Float64Var(&s.Rate, "rate", 50, "requests a second")
-	flags.DurationVar(&s.Timeout, "timeout", time.Second, "patience of the callers")
+	flags.Float64Var(&s.Rate, "rate", 50, "requests per second")
+	flags.DurationVar(&s.Timeout, "timeout", time.Second, "how long a caller waits for the response")
 	flags.IntVar(&s.Resends, "resends", 0, "how often a failed request is sent again")
 	return &ffcli.Command{
 		Name:       "load",
