--- a/internal/lab/server/endpoints.go
+++ b/internal/lab/server/endpoints.go
@@ -11,39 +11,39 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// Paths of the endpoints at which the server tells of itself.
+// Paths of the endpoints that report the server's health and load.
 const (
 	HealthPath = "/healthz"
 	LoadPath   = "/load"
 )
 
-// Health is what the health endpoint tells.
+// Health is the status that the health endpoint reports.
 type Health string
 
-// The healths. Failing comes with status 503.
+// Values of Health. The endpoint sends Failing with status 503.
 const (
 	Healthy Health = "healthy"
 	Failing Health = "failing"
 )
 
-// Load is what the load endpoint tells.
+// Load is the response of the load endpoint.
 type Load struct {
 	Slots   int `json:"slots"`
 	Busy    int `json:"busy"`
 	Waiting int `json:"waiting"`
 }
 
-// EndpointFaults is how the health and load endpoints mislead. The zero value tells the truth.
+// EndpointFaults makes the health and load endpoints report stale or false values. The zero value makes them accurate.
 type EndpointFaults struct {
-	// Lag is how old what they tell may be.
+	// Lag is the maximum age of the reported values.
 	Lag time.Duration `json:"lag"`
-	// Health is told in the place of the truth; empty for the truth.
+	// Health replaces the actual health if it is not empty.
 	Health Health `json:"health,omitempty"`
-	// Load is told in the place of the truth; nil for the truth.
+	// Load replaces the actual load if it is not nil.
 	Load *Load `json:"load,omitempty"`
 }
 
-// status is the truth at a moment.
+// status is the actual health and load of the server at one moment.
 type status struct {
 	health Health
 	load   Load
@@ -59,10 +59,10 @@
 	return current
 }
 
-// minObserveInterval is the time between looks at the truth where the endpoints don't lag.
+// minObserveInterval is the time between two observations of the status when Lag is shorter.
 const minObserveInterval = 10 * time.Millisecond
 
-// observe takes down what the endpoints tell, as often as they lag.
+// observe records the status that the endpoints report, once per lag interval.
 func (s *Server) observe(ctx context.Context) {
 	for ctx.Err() == nil {
 		current := s.status()
@@ -74,7 +74,7 @@
 	}
 }
 
-// countQuery counts a question at an endpoint and returns what was last taken down.
+// countQuery counts a query of the health or load endpoint and returns the last observed status and the endpoint faults.
 func (s *Server) countQuery() (status, EndpointFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/server/endpoints_test.go
+++ b/internal/lab/server/endpoints_test.go
@@ -14,7 +14,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-func TestEndpointsLagAndLie(t *testing.T) {
+func TestEndpointsReportStaleAndFalseValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const lag = time.Second
@@ -28,7 +28,7 @@
 		b := s.Behaviour()
 		b.FailFast = true
 		s.SetBehaviour(b)
-		is.Equal(get(s, HealthPath), `200 "healthy"`) // as it was
+		is.Equal(get(s, HealthPath), `200 "healthy"`) // still the status observed before the change
 		time.Sleep(lag)
 		synctest.Wait()
 		is.Equal(get(s, HealthPath), `503 "failing"`)
@@ -41,7 +41,7 @@
 	})
 }
 
-// get returns the status and the body of what an endpoint answers.
+// get returns the status code and the body of an endpoint's response.
 func get(s *Server, path string) string {
 	w := httptest.NewRecorder()
 	s.router().ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, http.NoBody))
--- a/internal/lab/server/handle.go
+++ b/internal/lab/server/handle.go
@@ -18,19 +18,19 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/backend"
 )
 
-// Report is what a server tells an experiment about itself.
+// Report holds the ledger and the counters that a server reports to an experiment.
 type Report struct {
 	Service string `json:"service"`
 	Runs    []Run  `json:"runs"`
 	Crashes int    `json:"crashes"`
-	// Shed counts the requests that got no slot and no place in the queue.
+	// Shed counts the requests that were refused because all slots were busy and the queue was full.
 	Shed            int `json:"shed"`
 	PeakConnections int `json:"peak_connections"`
-	// EndpointQueries counts the questions at the health and load endpoints.
+	// EndpointQueries counts the queries of the health and load endpoints.
 	EndpointQueries int `json:"asked"`
 }
 
-// Report returns the ledger and the counters.
+// Report returns the contents of the ledger and the counters.
 func (s *Server) Report() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +145,7 @@
 	return time.Duration(float64(b.ServiceTime) * factor)
 }
 
-// callAll makes the calls to other services and returns the first status that is not OK.
+// callAll makes the calls to other services and returns the first status that is not 200 OK.
 func (s *Server) callAll(r *http.Request, b Behaviour) int {
 	for _, d := range b.Calls {
 		if !strings.HasPrefix(r.URL.Path, d.Prefix) {
@@ -180,7 +180,7 @@
 // announceInterval is the time between announcements.
 const announceInterval = 500 * time.Millisecond
 
-// announce tells the local node again and again that the server is there.
+// announce announces the server to the local node periodically, five times as often while announcements fail.
 func (s *Server) announce(ctx context.Context) {
 	for ctx.Err() == nil {
 		interval := announceInterval
--- a/internal/lab/server/ledger.go
+++ b/internal/lab/server/ledger.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// RequestHeader carries the load generator's name of a request down the chain.
+// RequestHeader carries the load generator's request ID down the call chain.
 const RequestHeader = "X-Lab-Request"
 
-// Run is what the ledger holds about one request.
+// Run is the ledger entry of one request.
 type Run struct {
 	Request string `json:"request"`
 	Key     string `json:"key,omitempty"`
 	Started int    `json:"started"`
 	Ended   int    `json:"ended"`
-	// First and Last are when the request first and last started here.
+	// First and Last are when the request was first and last started on this server.
 	First time.Time `json:"first"`
 	Last  time.Time `json:"last"`
 }
 
-// Ledger counts how often each request ran here.
+// Ledger counts how often each request ran on one server.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string]*Run
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -1,5 +1,5 @@
-// Package server is a stand-in for a backend server: slots, service time, calls to other services through the local
-// node, faults, health and load endpoints that may lag or lie, and a ledger of which request ran how often.
+// Package server simulates a backend server: slots, service time, calls to other services through the local node,
+// faults, health and load endpoints that may report stale or false values, and a ledger that counts the runs of each request.
 //
 // # Usage
 //
@@ -23,49 +23,49 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// Config sets a Server up.
+// Config configures a Server.
 type Config struct {
 	Service string
 	Address string
-	// NodeBackend is the local node's address for announcements.
+	// NodeBackend is the address to which the server sends its announcements to the local node.
 	NodeBackend string
-	// NodeCaller is the local node's address for calls to other services.
+	// NodeCaller is the address of the local node for calls to other services.
 	NodeCaller string
 	Slots      int
-	// AnnouncedSlots is what the server says of its slots, where that isn't the truth; 0 for the truth.
+	// AnnouncedSlots is the number of slots that the server announces if it differs from Slots; 0 for Slots.
 	AnnouncedSlots int
 	Connections    int
 	Behaviour      Behaviour
 }
 
-// Behaviour is how the server works until it is changed.
+// Behaviour controls how the server handles requests. It can be changed while the server runs.
 type Behaviour struct {
-	// ServiceTime is the mean time that a request holds a slot.
+	// ServiceTime is the mean time for which a request holds a slot, without its calls to other services.
 	ServiceTime time.Duration `json:"service_time"`
-	// Spread is the part of ServiceTime by which single requests differ, from 0 to 1.
+	// Spread is the largest relative deviation of a request's service time from ServiceTime, from 0 to 1.
 	Spread float64 `json:"spread"`
-	// ColdFactor multiplies ServiceTime right after each start; it falls to 1 over ColdTime. 0 for no cold start.
+	// ColdFactor multiplies ServiceTime right after each start and falls to 1 over ColdTime. 0 means no cold start.
 	ColdFactor float64       `json:"cold_factor"`
 	ColdTime   time.Duration `json:"cold_time"`
-	// Queue is how many requests may wait for a slot; more are shed with 503.
+	// Queue is the largest number of requests that wait for a slot. Further requests are shed with 503.
 	Queue int `json:"queue"`
-	// Calls are made, one after the other, for each request.
+	// Calls are the calls to other services that each request makes, one after the other.
 	Calls []DownstreamCall `json:"calls"`
-	// FailFast answers every request with 500 at once.
+	// FailFast answers every request with 500 immediately.
 	FailFast bool `json:"fail_fast"`
-	// FailRate is the part of the requests, from 0 to 1, that run, make their calls and then end with 500.
+	// FailRate is the fraction of requests, from 0 to 1, that run, make their calls and then fail with 500.
 	FailRate float64 `json:"fail_rate"`
-	// CrashOn closes the listener and all connections when a body holds the text; empty for never.
+	// CrashOn closes the listener and all connections when a request body contains this text; empty for never.
 	CrashOn string `json:"crash_on"`
-	// RestartAfter is how long a crash lasts.
+	// RestartAfter is the time between a crash and the next start.
 	RestartAfter time.Duration `json:"restart_after"`
-	// Echo answers with the request's own body.
+	// Echo answers each request with its own body.
 	Echo bool `json:"echo"`
-	// Hung makes the server neither answer nor announce itself, though it accepts connections.
+	// Hung makes the server accept connections without answering requests or announcing itself.
 	Hung bool `json:"hung"`
-	// Leaving is announced to the node.
+	// Leaving is the value of that name in the announcements.
 	Leaving bool `json:"leaving"`
-	// Endpoints is how the health and load endpoints mislead.
+	// Endpoints holds the faults of the health and load endpoints.
 	Endpoints EndpointFaults `json:"endpoints"`
 }
 
@@ -74,11 +74,11 @@
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
-	// Prefix limits the call to requests whose path begins with it; empty for all.
+	// Prefix limits the call to requests whose path begins with it; empty for all requests.
 	Prefix string `json:"prefix"`
 }
 
-// Server is one stand-in.
+// Server is a simulated backend server.
 type Server struct {
 	config Config
 	slots  chan struct{}
@@ -98,7 +98,7 @@
 	ledger          *Ledger
 }
 
-// New returns a server that does not run yet.
+// New returns a server that is not running yet.
 func New(config Config) *Server {
 	return &Server{
 		config:    config,
@@ -110,12 +110,12 @@
 	}
 }
 
-// Address returns where the server takes requests.
+// Address returns the address at which the server accepts requests.
 func (s *Server) Address() string {
 	return s.config.Address
 }
 
-// Busy returns how many requests hold a slot.
+// Busy returns the number of requests that hold a slot.
 func (s *Server) Busy() int {
 	return len(s.slots)
 }
@@ -125,21 +125,21 @@
 	return s.ledger
 }
 
-// SetBehaviour changes how the server works from now on.
+// SetBehaviour replaces the behaviour. It affects requests that arrive later.
 func (s *Server) SetBehaviour(b Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behaviour = b
 }
 
-// Behaviour returns how the server works.
+// Behaviour returns the current behaviour.
 func (s *Server) Behaviour() Behaviour {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.behaviour
 }
 
-// Run serves and announces itself until the context ends. After a crash it starts again.
+// Run serves requests and announces the server until the context ends. It restarts the server after each crash.
 func (s *Server) Run(ctx context.Context) error {
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -177,10 +177,10 @@
 }
 
 const (
-	// listenTimeout is how long the server waits for its port. After a crash, a process that is being started at the same moment may
-	// hold the port still.
+	// listenTimeout is how long the server retries to listen on its port. After a crash, a process that is being started
+	// at that moment may still hold a copy of the old socket.
 	listenTimeout = time.Second
-	// listenRetryInterval is the time between trials.
+	// listenRetryInterval is the time between two attempts to listen.
 	listenRetryInterval = 5 * time.Millisecond
 )
 
@@ -200,7 +200,7 @@
 	s.started = now
 }
 
-// coldStartFactor returns the factor by which requests take longer now because of a recent start.
+// coldStartFactor returns the factor by which the service time is longer now because of a recent start.
 func (s *Server) coldStartFactor(b Behaviour, now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,13 +224,13 @@
 	return router
 }
 
-// countingListener counts the open connections of a server. One counts until the server closes it.
+// countingListener counts the open connections of a server. A connection counts until the server closes it.
 type countingListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and counts it.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -246,7 +246,7 @@
 	once   sync.Once
 }
 
-// Close takes the connection out of the count before the other end can learn that it is closed.
+// Close decrements the connection count before the other end can notice that the connection is closed.
 func (c *countedConnection) Close() error {
 	c.once.Do(func() { c.server.countConnection(-1) })
 	return c.Conn.Close()
