--- a/internal/lab/store/http.go
+++ b/internal/lab/store/http.go
@@ -11,7 +11,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/platform"
 )
 
-// Handler returns the HTTP API of the store, and /faults and /counts for experiments.
+// Handler returns the HTTP API of the store, with the extra endpoints /faults and /counts for experiments.
 func (s *Store) Handler() http.Handler {
 	router := httprouter.New()
 	router.GET("/v1/key", s.read(s.handleGet))
@@ -54,7 +54,7 @@
 	}
 }
 
-// applyFaults counts the call and makes it fail or wait as the faults say.
+// applyFaults counts the call, delays it, and fails it if the store is down. It reports whether the call failed.
 func (s *Store) applyFaults(w http.ResponseWriter, count func(*Counts)) bool {
 	s.mu.Lock()
 	count(&s.counts)
@@ -80,7 +80,7 @@
 	return http.StatusOK, changes
 }
 
-// leasePollInterval is how often a waiting watch looks for lapsed leases.
+// leasePollInterval is how often a waiting watch checks for expired leases.
 const leasePollInterval = 100 * time.Millisecond
 
 func (s *Store) handleWatch(r *http.Request) (int, any) {
@@ -125,7 +125,7 @@
 	return http.StatusOK, entry
 }
 
-// maxValueSize is the largest value in bytes.
+// maxValueSize is the size limit of a value in bytes.
 const maxValueSize = 1 << 20
 
 func (s *Store) handleGrant(r *http.Request) (int, any) {
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -1,5 +1,5 @@
-// Package store is a stand-in for the platform's key-value service: compare-and-swap, leases and watches, with the
-// service's faults: outages, slow answers, reads that lag, restored older content, and answers lost after the write took effect.
+// Package store simulates the platform's key-value service: compare-and-swap, leases and watches, and the faults of the
+// service: outages, slow responses, stale reads, restored older content, and responses lost after the write took effect.
 //
 // # Usage
 //
@@ -18,27 +18,27 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/platform"
 )
 
-// Faults are what the stand-in does wrong.
+// Faults selects the faults that the store injects.
 type Faults struct {
-	// Down refuses every call.
+	// Down fails every call.
 	Down bool `json:"down"`
-	// Delay holds back every answer.
+	// Delay delays every response.
 	Delay time.Duration `json:"delay"`
-	// LoseAnswers carries out writes and then breaks the connection.
+	// LoseAnswers carries out writes and then closes the connection without a response.
 	LoseAnswers bool `json:"lose_answers"`
-	// LoseWrites breaks the connection before a write is carried out.
+	// LoseWrites closes the connection before the write is carried out.
 	LoseWrites bool `json:"lose_writes"`
-	// Lag makes reads, lists and watches show the content of so long ago.
+	// Lag is the age of the content that reads, lists and watches return.
 	Lag time.Duration `json:"lag"`
 }
 
-// Counts are the calls that the stand-in took.
+// Counts are the numbers of calls that the store received.
 type Counts struct {
 	Reads  uint64 `json:"reads"`
 	Writes uint64 `json:"writes"`
 }
 
-// Store is the key-value service in memory.
+// Store is an in-memory key-value service.
 type Store struct {
 	mu       sync.Mutex
 	entries  map[string]storedEntry
@@ -50,12 +50,12 @@
 	faults   Faults
 	counts   Counts
 	history  []Snapshot
-	// writes are the latest swaps, and holds those that are to be held back, by key.
+	// writes are the most recent swaps. holds are the pending holds by key.
 	writes []Write
 	holds  map[string]*Hold
 }
 
-// Snapshot is all keys of a store at one moment.
+// Snapshot is the content of a store at one moment.
 type Snapshot struct {
 	at       time.Time
 	entries  map[string]storedEntry
@@ -79,36 +79,36 @@
 	}
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Faults returns what goes wrong now.
+// Faults returns the faults that are injected now.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the numbers of calls received so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Snapshot returns the content as it is.
+// Snapshot returns the current content.
 func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snapshotAt(time.Now())
 }
 
-// Restore puts older content back, as a platform does that was restored from a copy. Leases live on, and keys under
-// leases that are over stay away.
+// Restore replaces the content by an older snapshot, as when a platform is restored from a backup. Leases are not
+// rolled back, and keys whose lease has expired are not restored.
 func (s *Store) Restore(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,8 +120,8 @@
 	s.recordChange()
 }
 
-// WithAdvancedRevision returns the content as it is after the given number of further writes, which left nothing behind. A
-// platform restored to it shows no revision that went back.
+// WithAdvancedRevision returns the snapshot with the revision increased by the given number of writes, which leave no
+// other trace. Restoring it hides from clients that the revision went back.
 func (c Snapshot) WithAdvancedRevision(writes uint64) Snapshot {
 	c.revision += writes
 	return c
@@ -131,7 +131,7 @@
 	return Snapshot{at: now, entries: maps.Clone(s.entries), deleted: maps.Clone(s.deleted), revision: s.revision}
 }
 
-// visible returns the content that reads show: the newest, or with the lag fault an older one.
+// visible returns the content that reads see: the current content, or an older snapshot under the lag fault.
 func (s *Store) visible(now time.Time) Snapshot {
 	newest := Snapshot{entries: s.entries, deleted: s.deleted, revision: s.revision}
 	if s.faults.Lag <= 0 {
@@ -154,7 +154,7 @@
 	return found.entry, ok
 }
 
-// swap carries a write out and keeps it in the record.
+// swap carries out a write and records it.
 func (s *Store) swap(w platform.Swap, held bool) (platform.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,7 +179,7 @@
 	return entry, true
 }
 
-// changesAfter returns the changes under the prefix after the revision, and a channel that closes with the next change.
+// changesAfter returns the changes under the prefix after the revision, and a channel that is closed by the next change.
 func (s *Store) changesAfter(prefix string, after uint64) (platform.Changes, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,7 +219,7 @@
 	return true
 }
 
-// expireLeases removes the leases that are over and the keys under them.
+// expireLeases removes expired leases and the keys attached to them.
 func (s *Store) expireLeases(now time.Time) {
 	for id, until := range s.leases {
 		if now.Before(until) {
@@ -241,10 +241,10 @@
 	s.recordChange()
 }
 
-// maxHistory is how many older contents are kept for the lag fault.
+// maxHistory is the number of older snapshots kept for the lag fault.
 const maxHistory = 256
 
-// recordChange tells the waiting watches of a change, and keeps the content.
+// recordChange adds the current content to the history and wakes the waiting watches.
 func (s *Store) recordChange() {
 	s.history = append(s.history, s.snapshotAt(time.Now()))
 	s.history = s.history[max(0, len(s.history)-maxHistory):]
