--- a/internal/lab/kv/kv.go
+++ b/internal/lab/kv/kv.go
@@ -1,14 +1,14 @@
-// Package kv is a stand-in for the platform's store that a test drives by hand. It implements store.Store in memory, with
-// the misbehaviour that the platform's page allows: leases that lapse or pause in an outage, watches that hear nothing
-// and are cut, a history that is dropped, writes whose answer is lost or that are done late, and single callers that are
-// refused.
+// Package kv simulates the platform's store for tests that control it step by step. It implements store.Store in memory,
+// with the faults that the platform's documentation allows: leases that expire or pause during an outage, watches that
+// report no changes or are interrupted, dropped history, writes whose response is lost or that are carried out late, and
+// calls refused for single nodes.
 //
 // # Usage
 //
 //	s := kv.New()
-//	one, two := s.As("node_1"), s.As("node_2")
+//	one, two := s.ForNode("node_1"), s.ForNode("node_2")
 //	s.SetFaults(kv.Faults{RefuseNodes: map[string]bool{"node_2": true}})
-//	s.Operator("op/config", value)
+//	s.ForcePut("op/config", value)
 package kv
 
 import (
@@ -22,42 +22,42 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/store"
 )
 
-// Faults are in force until they are set anew.
+// Faults selects the faults that the store injects until they are replaced.
 type Faults struct {
-	// Down makes every call fail, and LapseLeases lets leases run out meanwhile.
+	// Down makes every call fail. ExpireLeases lets leases expire during the outage.
 	Down         bool
 	ExpireLeases bool
 	// RefuseNodes fails the calls of single nodes.
 	RefuseNodes map[string]bool
-	// StallWatches makes watches hear nothing, also of what happened before.
+	// StallWatches makes watches report no changes, not even earlier ones.
 	StallWatches bool
-	// LoseAnswers carries writes out and fails them.
+	// LoseAnswers carries writes out and reports them as failed.
 	LoseAnswers bool
-	// LateWrites fails writes and carries them out when Settle is called, if their condition still holds.
+	// LateWrites fails writes and carries them out when CompleteLateWrites is called, if their condition still holds then.
 	LateWrites bool
 }
 
-// errUnavailable is how calls fail.
-var errUnavailable = errors.New("no answer")
+// errUnavailable is the error of calls that fail because of a fault.
+var errUnavailable = errors.New("store unavailable")
 
-// lease is one grant.
+// lease is one granted lease.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// Store is the store.
+// Store is an in-memory store.
 type Store struct {
 	mu       sync.Mutex
 	faults   Faults
 	revision uint64
 	items    map[string]store.Item
 	history  []store.Event
-	// compacted is the revision up to which the history is gone.
+	// compacted is the revision up to which the history was dropped.
 	compacted  uint64
 	leases     map[uint64]*lease
 	lateWrites []store.Write
-	// changed is closed with each change, and cut with each Cut.
+	// changed is closed by each change, and cut by each call of Compact.
 	changed chan struct{}
 	cut     chan struct{}
 	calls   int
@@ -74,7 +74,7 @@
 	}
 }
 
-// SetFaults puts faults into force.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,14 +84,14 @@
 	s.faults = f
 }
 
-// resumeLeases gives leases their whole time after an outage in which they paused.
+// resumeLeases restarts all leases with their full TTL after an outage in which they were paused.
 func (s *Store) resumeLeases() {
 	for _, l := range s.leases {
 		l.expires = time.Now().Add(l.ttl)
 	}
 }
 
-// Compact drops the history and cuts all watches.
+// Compact drops the history and interrupts all watches.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	s.cut = make(chan struct{})
 }
 
-// CompleteLateWrites carries out the writes that were held back.
+// CompleteLateWrites carries out the writes that the LateWrites fault delayed.
 func (s *Store) CompleteLateWrites() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,28 +111,28 @@
 	s.lateWrites = nil
 }
 
-// ForcePut writes a key without a condition.
+// ForcePut writes a key without a condition, as an operator of the platform can.
 func (s *Store) ForcePut(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = s.put(store.Write{Key: key, Value: value, Expected: s.items[key].Revision})
 }
 
-// Revoke deletes a key though its lease goes on.
+// Revoke deletes a key without ending its lease.
 func (s *Store) Revoke(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls made so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Item returns a key, of revision 0 where it does not exist.
+// Item returns the item of the key, with revision 0 if the key does not exist.
 func (s *Store) Item(key string) store.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +140,7 @@
 	return s.items[key]
 }
 
-// ForNode returns the store as one node sees it.
+// ForNode returns the store as a client on the node sees it.
 func (s *Store) ForNode(node string) store.Store {
 	return &client{store: s, node: node}
 }
@@ -196,13 +196,13 @@
 	s.changed = make(chan struct{})
 }
 
-// client is the store as one node sees it.
+// client is the store as seen by one node.
 type client struct {
 	store *Store
 	node  string
 }
 
-// beginCall counts a call and reports how it fails. The store stays locked where it doesn't.
+// beginCall locks the store and counts a call. If a fault makes the call fail, it unlocks the store and returns the error.
 func (c *client) beginCall() error {
 	c.store.mu.Lock()
 	c.store.calls++
@@ -242,7 +242,8 @@
 	return snapshot, nil
 }
 
-// Watch waits for changes. One from before the dropped history hears nothing until something changes.
+// Watch waits for changes. A watch from before the compacted revision waits for the next change and then fails with
+// store.ErrCompacted.
 func (c *client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (store.Changes, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -275,7 +276,7 @@
 	}
 }
 
-// changes returns what a watch after the revision has to tell now.
+// changes returns the changes under the prefix after the revision.
 func (c *client) changes(prefix string, after uint64) (store.Changes, error) {
 	s := c.store
 	if s.faults.StallWatches {
@@ -310,7 +311,7 @@
 	return revision, err
 }
 
-// Grant returns a new lease.
+// Grant returns the ID of a new lease.
 func (c *client) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
 	if err := c.beginCall(); err != nil {
 		return 0, err
@@ -321,7 +322,7 @@
 	return c.store.revision, nil
 }
 
-// Renew keeps a lease.
+// Renew extends a lease by its TTL.
 func (c *client) Renew(_ context.Context, id uint64) error {
 	if err := c.beginCall(); err != nil {
 		return err
