--- a/internal/lab/proxy/network.go
+++ b/internal/lab/proxy/network.go
@@ -1,10 +1,10 @@
-// Package proxy is a fault-injecting TCP proxy. A Network stands between named ends: each end listens behind a
-// proxy of its own, and dials from an IP of its own, so that faults can be set for each pair and direction.
+// Package proxy is a fault-injecting TCP proxy. A Network connects named endpoints. Each endpoint listens behind its own
+// proxy and dials from its own IP, so that faults can be set for each pair of endpoints and each direction.
 //
 // # Usage
 //
 //	network := proxy.NewNetwork(1)
-//	network.Name("127.1.0.1", "access_0")
+//	network.RegisterIP("127.1.0.1", "access_0")
 //	address, err := network.Listen(ctx, "access_1", target)
 //	network.Set("access_0", "access_1", proxy.Fault{Cut: true})
 //	network.SilenceOpen("access_0", "access_1")
@@ -22,31 +22,32 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Fault is what happens to the bytes from one end to another.
+// Fault describes what happens to the bytes from one endpoint to another.
 type Fault struct {
-	// Cut holds all bytes back until the fault is taken away, as a partition does.
+	// Cut holds all bytes back until the fault is removed, as a network partition does.
 	Cut bool
-	// Delay holds each chunk of bytes back.
+	// Delay delays each chunk.
 	Delay time.Duration
-	// Jitter adds a random delay of up to this much.
+	// Jitter is the upper limit of a random delay that is added to Delay.
 	Jitter time.Duration
-	// TruncateAfter closes the connection after so many bytes; 0 for never.
+	// TruncateAfter closes the connection after this many bytes; 0 for never.
 	TruncateAfter int64
 	// Corrupt flips a bit in the middle of every chunk.
 	Corrupt bool
-	// CorruptRandomly flips a bit at a random place of every chunk.
+	// CorruptRandomly flips a bit at a random position of every chunk.
 	CorruptRandomly bool
-	// Duplicate passes every chunk on twice.
+	// Duplicate forwards every chunk twice.
 	Duplicate bool
-	// SwapChunks exchanges chunks between the connections that carry bytes at the same time.
+	// SwapChunks exchanges chunks between connections that carry bytes at the same time.
 	SwapChunks bool
-	// MinChunkSize spares chunks of fewer bytes from damage: from TruncateAfter, Corrupt, Scatter, Duplicate and Cross.
+	// MinChunkSize is the size in bytes below which chunks are exempt from TruncateAfter, Corrupt, CorruptRandomly,
+	// Duplicate and SwapChunks.
 	MinChunkSize int
-	// MaxDamagedChunks is how many chunks are damaged in all; 0 for no bound.
+	// MaxDamagedChunks limits the number of chunks that are damaged in total; 0 for no limit.
 	MaxDamagedChunks int
 }
 
-// withoutDamage returns the fault as it is for chunks that are spared.
+// withoutDamage returns the fault without the effects that change the bytes.
 func (f Fault) withoutDamage() Fault {
 	return Fault{Cut: f.Cut, Delay: f.Delay, Jitter: f.Jitter}
 }
@@ -56,7 +57,7 @@
 	to   string
 }
 
-// Network holds the proxies and the faults between them.
+// Network holds the proxies and the faults between the endpoints.
 type Network struct {
 	group conc.WaitGroup
 
@@ -68,18 +69,18 @@
 	connections  map[*proxiedConn]bool
 	swapChannels map[link]chan []byte
 	traffic      map[link]*Traffic
-	// damaged counts the chunks that the fault in force has damaged.
+	// damaged counts the chunks that the current fault of each link has damaged.
 	damaged map[link]int
 }
 
-// Traffic is what has passed from one end to another.
+// Traffic counts what was forwarded from one endpoint to another.
 type Traffic struct {
 	Bytes int64
-	// Chunks are reads from the network, which come close to messages where these are small.
+	// Chunks counts the reads from the network. For small messages it is close to the number of messages.
 	Chunks int64
 }
 
-// NewNetwork returns a network without faults. The seed drives its random delays.
+// NewNetwork returns a network without faults. The seed determines the random delays and bit positions.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
 		random:       rand.New(rand.NewPCG(seed, seed)),
@@ -93,14 +94,14 @@
 	}
 }
 
-// RegisterIP says which end dials from the IP.
+// RegisterIP sets the name of the endpoint that dials from the IP.
 func (n *Network) RegisterIP(ip, name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.names[ip] = name
 }
 
-// Set puts a fault on the bytes from one end to the other, in that direction only.
+// Set sets the fault of the bytes from one endpoint to another, in that direction only.
 func (n *Network) Set(from, to string, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,7 +110,7 @@
 	n.notifyChange()
 }
 
-// SetBoth puts a fault on both directions between every end of one group and every end of the other.
+// SetBoth sets the fault for both directions between every endpoint of one group and every endpoint of the other.
 func (n *Network) SetBoth(group, other []string, f Fault) {
 	for _, a := range group {
 		for _, b := range other {
@@ -119,7 +120,7 @@
 	}
 }
 
-// Clear takes all faults away. Connections that were silenced stay silent.
+// Clear removes all faults. Connections that were silenced stay silent.
 func (n *Network) Clear() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,12 +128,13 @@
 	n.notifyChange()
 }
 
-// SilenceOpen makes the open connections from one end to the other silent for good. New ones work.
+// SilenceOpen silences the open connections from one endpoint to another permanently and
+// returns their number. New connections work.
 func (n *Network) SilenceOpen(from, to string) int {
 	return n.forEachConnection(from, to, func(c *proxiedConn) { c.silence() })
 }
 
-// ResetOpen closes the open connections from one end to the other.
+// ResetOpen closes the open connections from one endpoint to another and returns their number.
 func (n *Network) ResetOpen(from, to string) int {
 	return n.forEachConnection(from, to, func(c *proxiedConn) { c.close() })
 }
@@ -150,7 +152,8 @@
 	return count
 }
 
-// Listen passes connections on to the target, which is the end of the given name, and returns where it listens.
+// Listen starts a proxy that forwards connections to the target, which is the endpoint with the given name. It returns
+// the address of the proxy.
 func (n *Network) Listen(ctx context.Context, name, target string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -161,7 +164,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Traffic returns what has passed from one end to another so far, by the names of both.
+// Traffic returns what was forwarded between endpoints so far, by the name of the sender and then of the receiver.
 func (n *Network) Traffic() map[string]map[string]Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -187,7 +190,7 @@
 	t.Chunks++
 }
 
-// Wait returns when all proxies have ended, after their contexts did.
+// Wait waits until all proxies have ended. They end after their contexts.
 func (n *Network) Wait() {
 	n.group.Wait()
 }
@@ -227,14 +230,15 @@
 	delete(n.connections, c)
 }
 
-// fault returns the fault in force and a channel that closes when faults change.
+// fault returns the current fault of the link and a channel that is closed when faults change.
 func (n *Network) fault(l link) (Fault, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.faults[l], n.changed
 }
 
-// faultForChunk returns the fault in force for a chunk of so many bytes.
+// faultForChunk returns the fault to apply to a chunk of the given size, and counts the chunk as
+// damaged unless it is exempt.
 func (n *Network) faultForChunk(l link, bytes int) Fault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -263,10 +267,11 @@
 	return f.Delay + time.Duration(n.random.Int64N(int64(f.Jitter)))
 }
 
-// swapTimeout is how long a chunk waits for another connection's.
+// swapTimeout is how long a chunk waits for a chunk of another connection.
 const swapTimeout = 20 * time.Millisecond
 
-// swapChunk returns the chunk of another connection of the link, which gets this one, or this one where none comes.
+// swapChunk exchanges the chunk for one of another connection of the link. It returns the chunk itself
+// if no other chunk arrives within swapTimeout.
 func (n *Network) swapChunk(l link, chunk []byte) []byte {
 	copied := slices.Clone(chunk)
 	channel := n.swapChannel(l)
--- a/internal/lab/proxy/pair.go
+++ b/internal/lab/proxy/pair.go
@@ -56,7 +56,7 @@
 	group.Wait()
 }
 
-// chunkSize is the most bytes that are passed on at once.
+// chunkSize is the maximum number of bytes forwarded at once.
 const chunkSize = 32 << 10
 
 func (c *proxiedConn) forward(ctx context.Context, l link, from, to net.Conn) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// forwardChunk writes one chunk as the fault in force says, and reports whether the connection goes on.
+// forwardChunk writes one chunk, changed as the fault requires, and reports whether the connection stays open.
 func (c *proxiedConn) forwardChunk(ctx context.Context, l link, to net.Conn, chunk []byte, forwarded *int64) bool {
 	if !c.awaitUncut(ctx, l) {
 		return false
@@ -105,7 +105,7 @@
 	return err == nil
 }
 
-// awaitUncut waits while the link is cut, for good where the connection is silenced.
+// awaitUncut waits while the link is cut, and until the connection closes if it is silenced. It reports whether bytes may pass.
 func (c *proxiedConn) awaitUncut(ctx context.Context, l link) bool {
 	for {
 		f, changed := c.network.fault(l)
