--- a/internal/lab/fleet/address.go
+++ b/internal/lab/fleet/address.go
@@ -12,11 +12,11 @@
 	"github.com/gravitational/trace"
 )
 
-// fleetCount counts the fleets of this process.
+// fleetCount is the number of fleets that this process has created.
 var fleetCount atomic.Uint64
 
-// subnet is a part of the loopback addresses that a fleet has to itself, also beside the fleets of other processes.
-// A node that starts again so finds its ports free.
+// subnet selects a range of loopback addresses for one fleet. Fleets of other processes most likely get other ranges, so a
+// node that restarts finds its ports free.
 type subnet uint16
 
 func newSubnet() subnet {
@@ -24,30 +24,30 @@
 }
 
 const (
-	// minSecondByte keeps a fleet's addresses away from 127.0.0.1.
+	// minSecondByte keeps the addresses of a fleet away from 127.0.0.1.
 	minSecondByte = 1
-	// secondByteCount is how many values the second byte of an address may have.
+	// secondByteCount is the number of values of the second byte of an address.
 	secondByteCount = 250
-	// hostsPerThirdByte is how many addresses are used below one third byte.
+	// hostsPerThirdByte is the number of addresses used for each value of the third byte.
 	hostsPerThirdByte = 250
 )
 
-// ip returns the IP of the fleet's node of the number, from 0.
+// ip returns the IP of the node with the number, counted from 0.
 func (s subnet) ip(number int) string {
 	second := minSecondByte + int(s)%secondByteCount
 	third := (int(s)/secondByteCount + number/hostsPerThirdByte) % secondByteCount
 	return fmt.Sprintf("127.%d.%d.%d", second, third, 1+number%hostsPerThirdByte)
 }
 
-// The ports of nodes lie below those that systems give to outgoing connections: one from the same IP would else take the port
-// of a node that has not started yet, or starts again.
+// The ports of nodes lie below the range that the system uses for outgoing connections. An outgoing connection from the
+// same IP could otherwise take the port of a node that has not started yet or is restarting.
 const (
 	firstPort = 20001
 	lastPort  = 32000
 )
 
-// freeAddresses returns addresses on the IP whose ports were free a moment ago. No process is started meanwhile: until its program
-// begins, it would hold copies of the sockets and so keep the ports.
+// freeAddresses returns addresses on the IP whose ports were free a moment ago. It blocks the start of processes meanwhile:
+// a new process holds copies of the sockets until its program begins, which would keep the ports in use.
 func freeAddresses(ip string, count int) ([]string, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
@@ -55,13 +55,13 @@
 	for port := firstPort; port <= lastPort && len(addresses) < count; port++ {
 		l, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(port)))
 		if err != nil {
-			continue // taken: the next one may be free
+			continue // in use: try the next port
 		}
 		defer func() { _ = l.Close() }()
 		addresses = append(addresses, l.Addr().String())
 	}
 	if len(addresses) < count {
-		return nil, trace.LimitExceeded("no free ports on %s", ip)
+		return nil, trace.LimitExceeded("not enough free ports on %s", ip)
 	}
 	return addresses, nil
 }
--- a/internal/lab/fleet/address_test.go
+++ b/internal/lab/fleet/address_test.go
@@ -14,8 +14,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// Outgoing connections from a node's IP never take the port of a node that has not started yet.
-func TestNodesHavePortsOfTheirOwn(t *testing.T) {
+// An outgoing connection from a node's IP must not take the port of a node that has not started yet.
+func TestNodePortsAreNotUsedByOutgoingConnections(t *testing.T) {
 	is := is.New(t)
 	const ip, lowestOutgoing = "127.251.251.1", 32768
 	first, err := freeAddresses(ip, 5)
@@ -35,7 +35,8 @@
 	}
 }
 
-// Pattern: tests that start processes side by side. A process that is being started holds copies of all sockets for a moment.
+// Guards against ports that look free but are in use when other tests start processes at the same time: a process that is
+// being started briefly holds copies of all sockets.
 func TestPortsAreFreeWhileProcessesStart(t *testing.T) {
 	is := is.New(t)
 	const ip = "127.251.251.2"
@@ -60,5 +61,6 @@
 	}
 }
 
-// processStartTime lets processes that were being started while the test itself closed a listener begin.
+// processStartTime is long enough for processes that were being started when the test closed its listener to begin their
+// program and release their copies of the socket.
 const processStartTime = 10 * time.Millisecond
--- a/internal/lab/fleet/deployment.go
+++ b/internal/lab/fleet/deployment.go
@@ -26,16 +26,17 @@
 	Name      string
 	Document  string
 	Instances int
-	// FirstZone is the place of the first instance's availability zone in the deployment's list; the others follow it.
+	// FirstZone is the index in Deployment.Zones of the first instance's availability zone. Further instances use the
+	// following zones in turn.
 	FirstZone int
 	Slots     int
-	// AnnouncedSlots is what the backend servers say of their slots; 0 for the truth.
+	// AnnouncedSlots is the number of slots that the backend servers announce; 0 for Slots.
 	AnnouncedSlots int
 	Connections    int
 	Behaviour      server.Behaviour
 }
 
-// Chain returns a deployment of two services, of which the first calls the second.
+// Chain returns a deployment of two services, the first of which calls the second.
 func Chain() Deployment {
 	return Deployment{
 		Zones: []string{"lisbon_1", "lisbon_2", "lisbon_3"},
@@ -100,7 +101,7 @@
 	return trace.Wrap(err)
 }
 
-// FetchDump reads the state dump of the node whose backend listener is at the address.
+// FetchDump reads the state dump of the node whose backend listener has the address.
 func FetchDump(ctx context.Context, address string) (node.Dump, error) {
 	var dump node.Dump
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/dump", http.NoBody)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts a whole small deployment on loopback: real node processes, stand-in backend servers and a
-// stand-in platform.
+// Package fleet starts a small complete deployment on loopback: real node processes, simulated backend servers and a
+// simulated platform.
 //
 // # Usage
 //
@@ -29,18 +29,18 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/store"
 )
 
-// Config sets a Fleet up.
+// Config configures a Fleet.
 type Config struct {
-	// Binary is the path of the built comfreyhoist program, or with Baseline that of hoistlab.
+	// Binary is the path of the built comfreyhoist program, or of hoistlab if Baseline is set.
 	Binary     string
 	Deployment Deployment
-	// Output takes the logs of the nodes.
+	// Output receives the logs of the nodes.
 	Output io.Writer
-	// Baseline puts the naive baseline in the place of the nodes.
+	// Baseline runs the baseline balancer instead of the nodes.
 	Baseline bool
-	// Seed drives the random parts of the network's faults.
+	// Seed determines the random parts of the network faults.
 	Seed uint64
-	// ExtraFlags are further flags for every node.
+	// ExtraFlags are additional flags for every node.
 	ExtraFlags []string
 }
 
@@ -48,9 +48,9 @@
 type Fleet struct {
 	config Config
 	Store  *store.Store
-	// StoreURL is where the platform's stand-in listens, past the network's faults.
+	// StoreURL is the address of the simulated platform, without the network faults.
 	StoreURL string
-	// Network stands between the nodes, and between each node and the platform.
+	// Network connects the nodes with each other and with the platform.
 	Network *proxy.Network
 	Nodes   []*Node
 
@@ -61,7 +61,7 @@
 	http        *http.Server
 }
 
-// Start starts everything. Stop must be called, also after an error.
+// Start starts the platform, the backend servers and the nodes. Stop must be called, even after an error.
 func Start(ctx context.Context, config Config) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	f := &Fleet{config: config, subnet: newSubnet(), Store: store.New(), Network: proxy.NewNetwork(config.Seed), cancel: cancel}
@@ -84,7 +84,7 @@
 	return f, nil
 }
 
-// Stop asks all nodes to stop, waits for them, and ends the stand-ins.
+// Stop asks all nodes to stop, waits for them, and then stops the backend servers and the platform.
 func (f *Fleet) Stop() {
 	for _, n := range f.Nodes {
 		n.Resume()
@@ -110,10 +110,10 @@
 	return addresses
 }
 
-// readyPoll is the time between looks at a node that is not ready.
+// readyPoll is the time between two checks of a node that is not ready.
 const readyPoll = 50 * time.Millisecond
 
-// WaitReady waits until every node knows every other. It fails at once where a backend server could not run.
+// WaitReady waits until every node knows all others. It returns an error immediately if a backend server failed.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, n := range f.Nodes {
 		for !f.isReady(ctx, n) {
@@ -141,8 +141,8 @@
 	return dump.Board.Members.CountAcceptingRequests() == len(f.Nodes) && answersCallers(ctx, n.Caller)
 }
 
-// answersCallers waits until the node, which lets callers wait while it learns of services, has answered one. The
-// answer itself, that the path is unknown, doesn't matter.
+// answersCallers reports whether the node has answered a caller. A node makes callers wait until it has learned of the
+// services. The answer is that the path is unknown, which is enough here.
 func answersCallers(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/", http.NoBody)
 	if err != nil {
@@ -168,7 +168,7 @@
 	return trace.Wrap(err)
 }
 
-// PlatformEndpoint is the platform's name in the Network; nodes go by their own names.
+// PlatformEndpoint is the platform's name in the Network. Nodes use their own names.
 const PlatformEndpoint = "platform"
 
 func (f *Fleet) putDocuments(ctx context.Context) error {
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// addInstance starts a backend server and, but for the baseline, its node.
+// addInstance starts a backend server and, unless the fleet runs the baseline, its node.
 func (f *Fleet) addInstance(ctx context.Context, s Service, number int) error {
 	n, err := f.newNode(ctx, s, number)
 	if err != nil {
@@ -230,7 +230,7 @@
 	return n, nil
 }
 
-// OperatorToken may edit every document of a fleet.
+// OperatorToken authorizes edits of every document of a fleet.
 const OperatorToken = "operator-token-of-the-lab"
 
 func (f *Fleet) arguments(n *Node, peerListen string) []string {
@@ -249,7 +249,7 @@
 	}, f.config.ExtraFlags...)
 }
 
-// startBaseline serves every node's caller address with the naive baseline, in a process of its own as the node's.
+// startBaseline runs the baseline balancer at every node's caller address, each in its own process as a node would be.
 func (f *Fleet) startBaseline() error {
 	var instances []string
 	for _, n := range f.Nodes {
@@ -264,10 +264,10 @@
 	return nil
 }
 
-// BaselineCommand is the command of hoistlab that runs the baseline in the place of one node.
+// BaselineCommand is the hoistlab command that runs the baseline balancer instead of a node.
 const BaselineCommand = "baseline"
 
-// Build builds the product's program into the directory and returns its path.
+// Build builds the comfreyhoist program into the directory and returns its path.
 func Build(ctx context.Context, directory string) (string, error) {
 	path := directory + "/comfreyhoist"
 	build := exec.CommandContext(ctx, "go", "build", "-o", path, "github.com/comfreyhoist/comfreyhoist/cmd/comfreyhoist")
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -17,7 +17,7 @@
 	os.Exit(harness.Main(m))
 }
 
-func TestWholePath(t *testing.T) {
+func TestRequestRunsOnceOnEachService(t *testing.T) {
 	is := is.New(t)
 	f := harness.Start(t, fleet.Config{Deployment: fleet.Chain()})
 	results := load.Run(t.Context(), load.Config{
@@ -45,5 +45,5 @@
 		}
 	}
 	is.Equal(runs["crew-scheduling"], len(results)) // each request ran once on the first service
-	is.Equal(runs["access"], len(results))          // and called the second once
+	is.Equal(runs["access"], len(results))          // and called the second service once
 }
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -12,14 +12,15 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/server"
 )
 
-// Node is one node process with its stand-in backend server.
+// Node is one node process with its simulated backend server.
 type Node struct {
 	Name    string
 	Zone    string
 	Service string
-	// IP is what the node connects from.
+	// IP is the address from which the node connects.
 	IP string
-	// Caller, Backend and Operator are the node's own listeners; Peer is the network's in front of the node.
+	// Caller, Backend and Operator are the addresses of the node's own listeners. Peer is the address of the proxy in
+	// front of its peer listener.
 	Caller   string
 	Peer     string
 	Backend  string
@@ -31,7 +32,7 @@
 
 	mu      sync.Mutex
 	process *exec.Cmd
-	// serverErr is why the backend server could not run, if it could not.
+	// serverErr is the error that ended the backend server, if any.
 	serverErr error
 }
 
@@ -40,7 +41,7 @@
 		return
 	}
 	if n.output != nil {
-		_, _ = fmt.Fprintf(n.output, "backend server of node %s: %v\n", n.Name, err)
+		_, _ = fmt.Fprintf(n.output, "backend server of node %s failed: %v\n", n.Name, err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -53,7 +54,7 @@
 	return n.serverErr
 }
 
-// Start starts the node's process, for the first time or after it ended.
+// Start starts the node's process, initially or after it has ended.
 func (n *Node) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,36 +63,36 @@
 	return trace.Wrap(n.process.Start())
 }
 
-// AppendFlags adds flags for the next start.
+// AppendFlags adds flags that take effect at the next start.
 func (n *Node) AppendFlags(flags ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.command = append(n.command, flags...)
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits until it has ended.
 func (n *Node) Kill() {
 	n.signal(syscall.SIGKILL)
 	n.wait()
 }
 
-// Freeze stops the process in the middle of what it does, until Resume.
+// Freeze suspends the process until Resume.
 func (n *Node) Freeze() {
 	n.signal(syscall.SIGSTOP)
 }
 
-// Resume lets a frozen process go on.
+// Resume continues a suspended process.
 func (n *Node) Resume() {
 	n.signal(syscall.SIGCONT)
 }
 
-// Terminate asks the process to stop, as a planned stop does, and waits until it has ended by itself.
+// Terminate asks the process to stop, as for a planned shutdown, and waits until it has ended.
 func (n *Node) Terminate() {
 	n.signal(syscall.SIGTERM)
 	n.wait()
 }
 
-// PID returns the id of the process, or 0.
+// PID returns the process ID, or 0 if the process is not running.
 func (n *Node) PID() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/fleet/summary.go
+++ b/internal/lab/fleet/summary.go
@@ -13,7 +13,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/load"
 )
 
-// StreamSummary sums up the requests of one stream.
+// StreamSummary summarizes the requests of one stream.
 type StreamSummary struct {
 	Stream   string         `json:"stream"`
 	Rank     int            `json:"rank"`
@@ -25,7 +25,7 @@
 	Reasons  map[string]int `json:"reasons"`
 }
 
-// Summarize returns a row for each stream, most urgent first.
+// Summarize returns a summary for each stream, most urgent first.
 func Summarize(results []load.Result) []StreamSummary {
 	byStream := map[string]*StreamSummary{}
 	latencies := map[string]*hdrhistogram.Histogram{}
@@ -56,7 +56,7 @@
 	return rows
 }
 
-// WriteTable prints the rows.
+// WriteTable prints the summaries as a table.
 func WriteTable(w io.Writer, rows []StreamSummary) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "rank\tstream\tsent\tgood\tgood %\tmedian\tp99")
