--- a/internal/lab/load/budget.go
+++ b/internal/lab/load/budget.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// connectionFileRatio is the part of the files that the process may open which goes to callers' connections. The other ends
-	// of the fleet that stand in the same process need the rest.
+	// connectionFileRatio is the fraction of the process's open-file limit that the callers' connections may use. The other
+	// ends of connections that are in the same process, such as those of the backend servers, need the rest.
 	connectionFileRatio = 0.4
-	// minConnections is what each stream may have at least.
+	// minConnections is the smallest number of connections that neededConnections returns. It is also the limit of all
+	// streams together if the open-file limit is unknown.
 	minConnections = 64
-	// timeoutsPerRequest is for how many times its patience each request of a stream may be on its way with its resends, and some room.
+	// timeoutsPerRequest is how many timeouts a request may take with its resends. It includes a reserve.
 	timeoutsPerRequest = 3
 )
 
-// maxConnections returns how many connections all streams together may have by what the process may open.
+// maxConnections returns the connection limit of all streams together, based on the process's open-file limit.
 func maxConnections() int {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
@@ -26,8 +27,8 @@
 	return int(math.Min(connectionFileRatio*float64(files.Cur), math.MaxInt32))
 }
 
-// divideConnections shares the connections out between the streams. Those that need few get all that they need, so that a flood
-// can't take the connections of the others: what it sends beyond its own is not sent at all.
+// divideConnections divides the connections among the streams. Streams that need few get all that they need, so that a
+// flood can't take the connections of the others: requests beyond a stream's limit are not sent at all.
 func divideConnections(connections int, streams []Stream) []int {
 	order := make([]int, len(streams))
 	for i := range order {
@@ -43,19 +44,19 @@
 	return shares
 }
 
-// neededConnections is how many connections the stream has at most while nothing bounds it.
+// neededConnections returns the largest number of connections that the stream uses without a limit.
 func (s Stream) neededConnections() int {
 	return max(minConnections, int(min(timeoutsPerRequest*s.Rate*s.Timeout.Seconds(), math.MaxInt32)))
 }
 
-// NoConnection is the reason of a request for which its caller had no connection left.
+// NoConnection is the reason of a request that was not sent because its stream had no connection left.
 const NoConnection = "no_connection"
 
-// connectionLimiter are those that one stream may have.
+// connectionLimiter limits the number of connections of one stream.
 type connectionLimiter chan struct{}
 
-// tryAcquire takes a connection, and reports false where there is none. Waiting would use up the caller's patience, and so
-// send requests that their caller gives up right away.
+// tryAcquire takes a connection if one is free and reports whether it did. It does not wait, because waiting would use up
+// the request's timeout, and the request would be sent only to be canceled right away.
 func (c connectionLimiter) tryAcquire() bool {
 	select {
 	case c <- struct{}{}:
--- a/internal/lab/load/budget_test.go
+++ b/internal/lab/load/budget_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestConnectionsAreDivided(t *testing.T) {
+func TestDivideConnections(t *testing.T) {
 	small := Stream{Rate: 150, Timeout: time.Second}
 	flood := Stream{Rate: 5000, Timeout: 2 * time.Second}
 	tests := map[string]struct {
@@ -21,8 +21,8 @@
 	}{
 		"enough for all":             {40000, []Stream{flood, small}, []int{30000, 450}},
 		"a flood takes what is left": {8000, []Stream{small, flood, small}, []int{450, 7100, 450}},
-		"equal parts of too few":     {100, []Stream{small, flood}, []int{50, 50}},
-		"never none":                 {1, []Stream{small, flood}, []int{1, 1}},
+		"equal shares of too few":    {100, []Stream{small, flood}, []int{50, 50}},
+		"at least one each":          {1, []Stream{small, flood}, []int{1, 1}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -32,8 +32,9 @@
 	}
 }
 
-// A flood beyond what is answered keeps to its connections, and the rest is told so.
-func TestFloodKeepsToItsConnections(t *testing.T) {
+// A flood beyond what the target can answer must stay within its connection limit, and the other requests must be
+// reported as unsent.
+func TestFloodStaysWithinItsConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	const limit = 10
 	var open, peak atomic.Int32
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load is an open-loop load generator: it sends requests at a rate, whether or not earlier ones were
-// answered, and records every outcome that a caller was told.
+// Package load is an open-loop load generator: it sends requests at a given rate, whether or not earlier requests were
+// answered, and records the outcome that each caller received.
 //
 // # Usage
 //
@@ -24,7 +24,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/caller"
 )
 
-// Stream is one kind of requests at one rate.
+// Stream is a series of requests of one kind at one rate.
 type Stream struct {
 	Name    string
 	Service string
@@ -32,22 +32,22 @@
 	Path    string
 	Body    string
 	Rank    int
-	// Caller is what the caller calls itself; empty for its IP.
+	// Caller is the name that the caller gives in its requests; empty to be identified by its IP.
 	Caller string
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate  float64
 	Start time.Duration
 	// Stop is when the stream ends; 0 for the end of the run.
 	Stop time.Duration
-	// Resends is how often a caller sends a failed request again.
+	// Resends is how often a caller resends a failed request.
 	Resends int
-	// Direct sends straight to the backend servers at Targets, past the nodes.
+	// Direct sends the requests directly to the backend servers at Targets, bypassing the nodes.
 	Direct bool
-	// Targets go before those of the Config.
+	// Targets, if set, replace those of the Config.
 	Targets []string
-	// Added marks the load that a trigger adds to the ordinary load of the same name.
+	// Added marks the load that a trigger adds to the ordinary stream of the same name.
 	Added bool
-	// Timeout is the caller's patience and the deadline that it sends.
+	// Timeout is how long the caller waits for a response. It is also the deadline that the caller sends.
 	Timeout time.Duration
 }
 
@@ -59,44 +59,45 @@
 	return "/call/" + s.Service + s.Path
 }
 
-// Config sets a run up.
+// Config configures a run.
 type Config struct {
 	Streams []Stream
 	// Targets are the caller addresses of nodes.
 	Targets  []string
 	Duration time.Duration
 	Seed     uint64
-	// Connections is how many requests may be on their way at once, for all streams together; 0 for as many as the
-	// process can open connections for.
+	// Connections limits the requests in flight of all streams together; 0 for as many as the process can open
+	// connections for.
 	Connections int
 }
 
-// Result is one request as its caller saw it.
+// Result is the outcome of one request as seen by its caller.
 type Result struct {
 	Stream string `json:"stream"`
-	// Added, Service and Path are those of the stream.
+	// Added, Service and Path are copied from the stream.
 	Added   bool   `json:"added,omitempty"`
 	Service string `json:"service"`
 	Path    string `json:"path"`
 	Rank    int    `json:"rank"`
 	ID      string `json:"id"`
-	// Sent and Took count from the start of the run.
+	// Sent is the time from the start of the run to the first send. Latency is the time from the first send to the end
+	// of the last.
 	Sent    time.Duration `json:"sent"`
 	Latency time.Duration `json:"took"`
 	Status  int           `json:"status"`
 	Outcome string        `json:"outcome"`
 	Reason  string        `json:"reason"`
-	// RetryAfter is the last answer's header of that name.
+	// RetryAfter is the Retry-After header of the last response.
 	RetryAfter string `json:"retry_after,omitempty"`
 	Sends      int    `json:"sends"`
 }
 
-// OK reports whether the caller got a whole good answer.
+// OK reports whether the caller received a complete successful response.
 func (r Result) OK() bool {
 	return r.Status == http.StatusOK
 }
 
-// Run sends all streams and returns every result.
+// Run sends all streams and returns the results of all requests.
 func Run(ctx context.Context, config Config) []Result {
 	g := &generator{
 		config: config,
@@ -118,7 +119,7 @@
 
 const (
 	idlePerTarget = 256
-	// completionTimeout is how long the last requests may take.
+	// completionTimeout is how long requests may take after the end of the streams.
 	completionTimeout = 10 * time.Second
 )
 
@@ -131,7 +132,7 @@
 	results []Result
 }
 
-// sendStream starts the requests of a stream at random times that give its rate.
+// sendStream sends the requests of a stream at random times, as a Poisson process of its rate.
 func (g *generator) sendStream(ctx context.Context, s Stream, limiter connectionLimiter, random *rand.Rand) {
 	stop := g.config.Duration
 	if s.Stop > 0 {
