--- a/internal/lab/once/check.go
+++ b/internal/lab/once/check.go
@@ -13,38 +13,38 @@
 type Report struct {
 	Bookings int `json:"bookings"`
 	Sends    int `json:"sends"`
-	// Outcomes counts what callers were told; "" stands for no answer.
+	// Outcomes counts the outcomes that callers received; "" stands for no response.
 	Outcomes map[string]int `json:"outcomes"`
 	Reasons  map[string]int `json:"reasons"`
-	// Kinds says how each kind of key fared.
+	// Kinds has the counts of each kind of key.
 	Kinds map[KeyKind]KindCount `json:"kinds"`
-	// FirstSends says, for an outage, how the first sends of each kind of key fared at the nodes of each zone.
+	// FirstSends has, for a run with an outage, the counts of first sends by kind of key and zone of the node.
 	FirstSends map[string]FirstSendCounts `json:"shares,omitempty"`
-	// Violations are the promises that were broken; none are expected.
+	// Violations are the broken guarantees. None are expected.
 	Violations []string `json:"violations"`
-	// Failed are the sends that callers who use nodes that are up saw fail.
+	// Failed are the sends for which Send.Failed reports true.
 	Failed []Send `json:"-"`
 }
 
-// KindCount counts the bookings of one kind of key.
+// KindCount counts the bookings with one kind of key.
 type KindCount struct {
 	Bookings int `json:"bookings"`
-	// Ran counts those that were told to have run.
+	// Ran counts the bookings whose callers were told that they ran.
 	Ran int `json:"ran"`
-	// FirstRan counts those whose first send was told so.
+	// FirstRan counts the bookings whose callers were told so by the first send.
 	FirstRan int `json:"first_ran"`
-	// FirstMedian and FirstHigh are the median and the 99th percentile of how long those took.
+	// FirstMedian and FirstP99 are the median and the 99th percentile of the latency of those first sends.
 	FirstMedian time.Duration `json:"first_median"`
 	FirstP99    time.Duration `json:"first_p99"`
 }
 
-// keyStarts is one key in the ledgers.
+// keyStarts counts the starts of the requests of one key, with the time of the first.
 type keyStarts struct {
 	count int
 	first time.Time
 }
 
-// Check compares what callers were told with the ledgers.
+// Check compares the outcomes that callers received with the ledgers.
 func Check(bookings []Booking, runs []server.Run) Report {
 	report := Report{
 		Bookings: len(bookings),
@@ -106,7 +106,7 @@
 	}
 }
 
-// addLatencies adds how long the first sends took that ran.
+// addLatencies adds the latency of the first sends that ran.
 func (r *Report) addLatencies(bookings []Booking) {
 	latencies := map[KeyKind][]time.Duration{}
 	for _, b := range bookings {
@@ -122,33 +122,34 @@
 	}
 }
 
-// check looks at every answer of one booking.
+// check checks all responses of one booking.
 func (r *Report) check(b Booking, starts map[string]keyStarts) {
 	firstBody := ""
 	for _, s := range b.Sends {
 		if s.Key == "" {
-			continue // an idempotent request, or one that got no further than its entry
+			continue // an idempotent request, or a request that got no further than its entry node
 		}
 		recorded, found := starts[s.Key]
 		switch s.Outcome {
 		case "ran":
 			if s.Status == http.StatusOK && !found {
-				r.addViolation("booking %s was told ran under %s, which is in no ledger", b.ID, s.Key)
+				r.addViolation("booking %s: the caller was told that key %s ran, but no ledger has the key", b.ID, s.Key)
 			}
 			if firstBody != "" && s.Body != firstBody {
-				r.addViolation("booking %s got two answers: %q and %q", b.ID, firstBody, s.Body)
+				r.addViolation("booking %s: the caller received two different responses: %q and %q", b.ID, firstBody, s.Body)
 			}
 			firstBody = s.Body
 		case "not_run":
 			if found && !isExplained(b, s, recorded.first) {
-				r.addViolation("booking %s was told not_run (%s) under %s, which ran %s after the send began",
+				r.addViolation("booking %s: the caller was told not_run (%s) for key %s, which ran %s after the send began",
 					b.ID, s.Reason, s.Key, recorded.first.Sub(s.Begin))
 			}
 		}
 	}
 }
 
-// isExplained reports whether a later send of the caller can have run what an earlier one was told not to have run.
+// isExplained reports whether a later send of the same key was in progress at startedAt. In that case the run belongs to
+// the later send and does not contradict the not_run outcome of the earlier send.
 func isExplained(b Booking, earlier Send, startedAt time.Time) bool {
 	for _, s := range b.Sends {
 		if s.Key == earlier.Key && s.Begin.After(earlier.Begin) && s.Begin.Before(startedAt) && s.End.After(startedAt) {
--- a/internal/lab/once/faults.go
+++ b/internal/lab/once/faults.go
@@ -15,14 +15,14 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// faults carries out a schedule that a seed gives.
+// faults runs a schedule of faults that is determined by a seed.
 type faults struct {
 	fleet  *fleet.Fleet
 	random *rand.Rand
 	output io.Writer
 	start  time.Time
 	group  conc.WaitGroup
-	// available marks the nodes whose process is frozen, killed or rolled now.
+	// available holds the nodes whose process no fault affects now.
 	available chan *fleet.Node
 }
 
@@ -35,15 +35,15 @@
 }
 
 const (
-	// minPause and mostPause lie between two faults. Faults last longer than that, so that they overlap.
+	// minPause and maxPause limit the time between two faults. Faults usually last longer, so that they overlap.
 	minPause = 300 * time.Millisecond
 	maxPause = 1500 * time.Millisecond
-	// minFaultDuration and mostFault are how long one fault lasts: up to well beyond the term of an epoch.
+	// minFaultDuration and maxFaultDuration limit the duration of a fault. The maximum is well above the term of an epoch.
 	minFaultDuration = 500 * time.Millisecond
 	maxFaultDuration = 7 * time.Second
 )
 
-// run starts faults until the context ends, and then waits for the last to pass.
+// run starts faults until the context ends, and then waits until the last has ended.
 func (f *faults) run(ctx context.Context) {
 	for pause.For(ctx, f.between(minPause, maxPause)) {
 		f.startFault(ctx)
@@ -57,7 +57,7 @@
 	return low + time.Duration(f.random.Int64N(int64(high-low)))
 }
 
-// startFault starts one fault. All random choices are made here, in the goroutine of run.
+// startFault starts one fault. It makes all random choices itself, in the goroutine of run, so that the seed determines them.
 func (f *faults) startFault(ctx context.Context) {
 	duration := f.between(minFaultDuration, maxFaultDuration)
 	nodes := f.fleet.Nodes
@@ -86,7 +86,7 @@
 	_, _ = fmt.Fprintf(f.output, "%7.3f %s\n", time.Since(f.start).Seconds(), fmt.Sprintf(format, values...))
 }
 
-// withAvailableNode runs a fault of one process, which no other fault touches meanwhile. Half of the processes stay alone.
+// withAvailableNode runs a fault on a process that no other fault affects meanwhile. Half of the processes stay unaffected.
 func (f *faults) withAvailableNode(fault func(*fleet.Node)) {
 	if len(f.available) <= len(f.fleet.Nodes)/2 {
 		return
@@ -126,14 +126,14 @@
 	f.restart(n)
 }
 
-// cutZone takes an availability zone off from the others and from the platform.
+// cutZone cuts an availability zone off from the others and from the platform.
 func (f *faults) cutZone(ctx context.Context, zone string, duration time.Duration) {
 	inside, outside := splitZone(f.fleet, zone)
 	f.log("cut %s off for %s", zone, duration)
 	f.cutBetween(ctx, inside, outside, duration)
 }
 
-// splitZone returns the nodes of the zone, and everything else.
+// splitZone returns the names of the nodes in the zone, and of all other endpoints.
 func splitZone(f *fleet.Fleet, zone string) (inside, outside []string) {
 	outside = []string{fleet.PlatformEndpoint}
 	for _, n := range f.Nodes {
@@ -159,7 +159,7 @@
 	})
 }
 
-// failPlatform makes the platform down, slow, or lose its answers.
+// failPlatform makes the platform unavailable, slow, or lose its responses.
 func (f *faults) failPlatform(ctx context.Context, duration time.Duration) {
 	choices := []store.Faults{{Down: true}, {Delay: 700 * time.Millisecond}, {LoseAnswers: true}}
 	chosen := choices[f.random.IntN(len(choices))]
--- a/internal/lab/once/once.go
+++ b/internal/lab/once/once.go
@@ -15,30 +15,30 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// Config sets a run up.
+// Config configures a run.
 type Config struct {
 	Fleet    *fleet.Fleet
 	Service  string
 	Duration time.Duration
-	// Seed gives the schedule of faults and what callers do.
+	// Seed determines the schedule of faults and the actions of callers.
 	Seed uint64
-	// Callers is how many goroutines send bookings.
+	// Callers is the number of goroutines that send bookings.
 	Callers int
 	// NoFaults runs without faults.
 	NoFaults bool
-	// SingleSend callers send each booking once, to a node that is up, and idempotent requests as well.
+	// SingleSend makes callers send each booking once, to a node that is up, and idempotent requests as well.
 	SingleSend bool
-	// Outage takes the platform or the first availability zone away for the whole run; the report's shares begin when
-	// the epochs agreed before have ended.
+	// Outage makes the platform or the first availability zone unreachable for the whole run. Report.FirstSends then
+	// counts from when the epochs agreed before the outage have ended.
 	Outage Outage
-	// Output takes the schedule as it is carried out.
+	// Output receives the schedule of faults as it is carried out.
 	Output io.Writer
 }
 
-// settleTime is how long late copies get to show up after the last fault and the last send.
+// settleTime is how long late copies may still arrive after the last fault and the last send, before the check.
 const settleTime = 1500 * time.Millisecond
 
-// Run sends bookings while faults go on, and checks the outcomes.
+// Run sends bookings while faults occur, and checks the outcomes.
 func Run(ctx context.Context, config Config) Report {
 	start := time.Now()
 	running, cancel := context.WithTimeout(ctx, config.Duration)
@@ -73,7 +73,7 @@
 	return all
 }
 
-// Deployment returns instances in three availability zones, with slots for few, so that some requests are shed.
+// Deployment returns a service in three availability zones, with so few slots that some requests are shed.
 func Deployment(instances int) fleet.Deployment {
 	return fleet.Deployment{
 		Zones: []string{"lisbon_1", "lisbon_2", "lisbon_3"},
--- a/internal/lab/once/outage.go
+++ b/internal/lab/once/outage.go
@@ -9,10 +9,10 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/store"
 )
 
-// Outage is what is away for a whole run.
+// Outage selects what is unreachable for a whole run.
 type Outage string
 
-// The outages.
+// Values of Outage.
 const (
 	NoOutage       Outage = ""
 	PlatformOutage Outage = "platform"
@@ -20,7 +20,7 @@
 	ZoneOutage Outage = "zone"
 )
 
-// outageSettleTime is the time after which no epoch holds that was agreed before the outage.
+// outageSettleTime is the time after which every epoch agreed before the outage has ended.
 var outageSettleTime = homes.DefaultTiming.Horizon + homes.DefaultTiming.TakeoverDelay + 2*time.Second
 
 func (o Outage) start(f *fleet.Fleet) {
@@ -37,13 +37,13 @@
 	f.Store.SetFaults(store.Faults{})
 }
 
-// FirstSendCounts is what the callers of first sends of bookings were told.
+// FirstSendCounts counts the outcomes of the first sends of bookings.
 type FirstSendCounts struct {
 	Sent int `json:"sent"`
 	Ran  int `json:"ran"`
-	// Refused counts those that were told not_admitted or not_run, with a reason.
+	// Refused counts the sends that were told not_admitted or not_run.
 	Refused int `json:"refused"`
-	// SlowestRefusal is how long the slowest of these took.
+	// SlowestRefusal is the largest latency of the refused sends.
 	SlowestRefusal time.Duration `json:"slowest_refusal"`
 }
 
