--- a/internal/lab/scenario/deployments.go
+++ b/internal/lab/scenario/deployments.go
@@ -17,21 +17,21 @@
 	Valokisko   = "valokisko"
 )
 
-// Deployment is a fleet with its ordinary load and the parts of it that the scenarios turn against it.
+// Deployment is a fleet with its ordinary load, and the streams and the service that the triggers affect.
 type Deployment struct {
 	Name  string
 	Fleet fleet.Deployment
 	// Streams are the ordinary load.
 	Streams []load.Stream
-	// LeastUrgent and Most name the streams of the least and the most urgent work.
+	// LeastUrgent and MostUrgent name the streams of the least and the most urgent work.
 	LeastUrgent string
 	MostUrgent  string
-	// DeepService is the service at the end of the chains.
+	// DeepService is the service at the end of the call chains.
 	DeepService string
 }
 
-// Deployments returns both deployments by name, with the services, slots and connections that they have. Service
-// times are long, so that slots and not the processor of one machine bound what the fleet can do.
+// Deployments returns both deployments by name, with their services, slots and connections. Service times are long, so
+// that the slots and not the processors of one machine limit the throughput of the fleet.
 func Deployments() map[string]Deployment {
 	return map[string]Deployment{
 		LustreLimpo: lustreLimpo(),
@@ -109,10 +109,10 @@
 	idempotent bool
 }
 
-// deadline holds for every kind; the callers' own are shorter.
+// deadline is the deadline of every kind. The callers' own deadlines are not longer.
 const deadline = 3 * time.Second
 
-// queuePerSlot is how many requests may wait in a backend server for each of its slots.
+// queuePerSlot is the queue length of a backend server for each of its slots.
 const queuePerSlot = 20
 
 func service(name string, instances, slots, connections int, serviceTime time.Duration, kinds []kind, calls []server.DownstreamCall) fleet.Service {
--- a/internal/lab/scenario/ideal.go
+++ b/internal/lab/scenario/ideal.go
@@ -9,9 +9,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/load"
 )
 
-// Ideal returns the rate in requests a second at which each stream could be served: the streams take what they need
-// of every service on their chains, most urgent first, until the slots are used up. Streams of one rank share by
-// their rates.
+// Ideal returns the highest rate in requests per second at which each stream can be served. Streams use the slots of every
+// service on their call chains, most urgent first, until the slots are used up. Streams of the same rank share the slots
+// in proportion to their rates.
 func Ideal(d fleet.Deployment, streams []load.Stream) map[string]float64 {
 	left := capacities(d)
 	ordered := slices.Clone(streams)
@@ -28,7 +28,7 @@
 	return ideal
 }
 
-// capacities returns the slots of each service.
+// capacities returns the number of slots of each service.
 func capacities(d fleet.Deployment) map[string]float64 {
 	left := map[string]float64{}
 	for _, s := range d.Services {
@@ -37,7 +37,7 @@
 	return left
 }
 
-// allocateRank scales the streams of one rank by one factor so that they fit into what is left.
+// allocateRank scales the streams of one rank by a common factor so that they fit into the remaining slots.
 func allocateRank(d fleet.Deployment, streams []load.Stream, left, ideal map[string]float64) {
 	needed := map[string]float64{}
 	for _, s := range streams {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Calls returns how often a request for the path runs on each service of its chain.
+// Calls returns how often a request for the path runs on each service of its call tree.
 func Calls(d fleet.Deployment, service, path string) map[string]float64 {
 	calls := map[string]float64{service: 1}
 	for _, s := range d.Services {
@@ -76,15 +76,15 @@
 	return calls
 }
 
-// slotsPerRate returns how many slots of each service one request a second for the path holds, on average. A request holds
-// its slot while it waits for its calls.
+// slotsPerRate returns the mean number of slots of each service that one request per second for the path occupies. A
+// request occupies its slot while it waits for its calls.
 func slotsPerRate(d fleet.Deployment, service, path string) map[string]float64 {
 	slots := map[string]float64{}
 	addSlotTime(d, service, path, slots)
 	return slots
 }
 
-// addSlotTime adds what a request and its calls need to slots, and returns for how many seconds it holds its own.
+// addSlotTime adds the slot time in seconds of a request and its calls to slots, and returns the request's own.
 func addSlotTime(d fleet.Deployment, service, path string, slots map[string]float64) float64 {
 	holdTime := 0.0
 	for _, s := range d.Services {
--- a/internal/lab/scenario/measure.go
+++ b/internal/lab/scenario/measure.go
@@ -10,43 +10,44 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/load"
 )
 
-// Result is what one run of a scenario gave.
+// Result is the result of one run of a scenario.
 type Result struct {
 	Deployment string `json:"deployment"`
 	Scenario   string `json:"scenario"`
 	Variant    string `json:"variant"`
 	Seed       uint64 `json:"seed"`
-	// Goodput is in whole requests a second, answered well and in time.
+	// Goodput is the rate in requests per second of root requests that were answered successfully and in time.
 	GoodputBefore float64 `json:"goodput_before"`
 	GoodputDuring float64 `json:"goodput_during"`
 	GoodputAfter  float64 `json:"goodput_after"`
-	// IdealDuring is what the slots of the fleet allow while the trigger is on.
+	// IdealDuring is the goodput that the fleet's slots allow during the trigger.
 	IdealDuring float64 `json:"ideal_during"`
-	// Recovery is the time after the last trigger until goodput is back for good; -1 for not in the run.
+	// Recovery is the time from the end of the last trigger until goodput has recovered; -1 if it does not recover
+	// during the run.
 	Recovery time.Duration `json:"recovery"`
-	// Unsent counts the requests whose callers had no connection left; they count as failed.
+	// Unsent counts the requests that were not sent because no connection was left. They count as failed.
 	Unsent int `json:"unsent"`
-	// Wasted is the part of all runs on backend servers that were for requests that failed in the end.
+	// Wasted is the fraction of all runs on backend servers that were for requests that failed in the end.
 	Wasted float64 `json:"wasted"`
-	// Amplification is the runs on backend servers over those that each sent request needs.
+	// Amplification is the number of runs on backend servers divided by the number that the sent requests need.
 	Amplification float64        `json:"amplification"`
 	Streams       []StreamResult `json:"streams"`
-	// Series is goodput by stream in each window of SeriesWindow.
+	// Series is the goodput of each stream in consecutive windows of length SeriesWindow.
 	Series map[string][]float64 `json:"series"`
 }
 
-// StreamResult is how one stream fared.
+// StreamResult is the result of one stream.
 type StreamResult struct {
 	Name string `json:"name"`
 	Rank int    `json:"rank"`
-	// Good are the parts of the requests that were answered well in each phase, from 0 to 1.
+	// GoodBefore, GoodDuring and GoodAfter are the fractions of requests answered successfully in each phase, from 0 to 1.
 	GoodBefore float64 `json:"good_before"`
 	GoodDuring float64 `json:"good_during"`
 	GoodAfter  float64 `json:"good_after"`
-	// Goodput is in good answers a second while the trigger is on, and Ideal what the slots allow.
+	// Goodput is in successful responses per second during the trigger. Ideal is the rate that the slots allow.
 	Goodput float64 `json:"rate"`
 	Ideal   float64 `json:"ideal"`
-	// OrdinaryGoodDuring is the part of the ordinary requests, without those that the trigger added.
+	// OrdinaryGoodDuring is GoodDuring of the ordinary requests, without those that the trigger added.
 	OrdinaryGoodDuring float64       `json:"kept_during"`
 	Median             time.Duration `json:"median"`
 	P99                time.Duration `json:"p99"`
@@ -55,11 +56,11 @@
 const (
 	// SeriesWindow is the length of one window of a series.
 	SeriesWindow = 500 * time.Millisecond
-	// preTriggerMargin is left out before a trigger, because it still meets the requests sent then.
+	// preTriggerMargin is the time before a trigger that is left out, because the trigger affects requests sent then.
 	preTriggerMargin = time.Second
-	// recoveredRatio is the part of the earlier goodput that counts as recovered.
+	// recoveredRatio is the fraction of the earlier success ratio that counts as recovered.
 	recoveredRatio = 0.95
-	// requiredWindows is how many windows in a row must have recovered.
+	// requiredWindows is the number of consecutive windows that must have recovered.
 	requiredWindows = 4
 )
 
@@ -113,7 +114,7 @@
 	}
 }
 
-// slowedDeployment returns the deployment as it is while the first trigger is on.
+// slowedDeployment returns the deployment with the service times that hold during the first trigger.
 func slowedDeployment(config Config) fleet.Deployment {
 	d := config.Deployment.Fleet
 	services := slices.Clone(d.Services)
@@ -127,7 +128,7 @@
 	return d
 }
 
-// streamsDuringTrigger returns the load while the first trigger is on.
+// streamsDuringTrigger returns the load during the first trigger.
 func streamsDuringTrigger(config Config) []load.Stream {
 	var streams []load.Stream
 	for _, s := range config.Deployment.Streams {
@@ -137,7 +138,7 @@
 	return streams
 }
 
-// goodput counts the requests that were sent within the span and answered well, a second.
+// goodput returns the rate per second of requests that were sent within the span and answered successfully.
 func goodput(results []load.Result, s span) float64 {
 	good := 0
 	for _, r := range results {
@@ -190,8 +191,9 @@
 	return found
 }
 
-// recovery returns how long after the end of the trigger the share of good answers was back for good. Shares are
-// compared, not rates, because random arrivals make the rate of single windows waver.
+// recovery returns the time from the end of the trigger to the first of requiredWindows consecutive windows in which the
+// ratio of successful responses has recovered, or -1 if there are none. It compares ratios instead of rates, because
+// random arrivals make the rate of single windows fluctuate.
 func recovery(results []load.Result, end, duration time.Duration) time.Duration {
 	threshold := recoveredRatio * goodRatio(results, span{settleTime, DurationBefore - preTriggerMargin})
 	recoveredWindows := 0
@@ -208,7 +210,7 @@
 	return -1
 }
 
-// waste compares the runs on all backend servers with what the requests needed.
+// waste returns the fraction of runs spent on failed requests, and the number of runs divided by the number needed.
 func waste(config Config, results []load.Result, started map[string]int) (wasted, amplification float64) {
 	needed, runs, failedRuns := 0.0, 0.0, 0.0
 	for _, r := range results {
--- a/internal/lab/scenario/run.go
+++ b/internal/lab/scenario/run.go
@@ -13,28 +13,28 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// Variant is what stands between callers and backend servers.
+// Variant is the system under test between callers and backend servers.
 type Variant struct {
 	Name string
-	// Binary is the product's program, or that of hoistlab for the naive baseline.
+	// Binary is the path of the comfreyhoist program, or of hoistlab for the baseline balancer.
 	Binary   string
 	Baseline bool
 }
 
-// Config sets a run up.
+// Config configures a run.
 type Config struct {
 	Deployment Deployment
 	Scenario   Scenario
 	Variant    Variant
 	Seed       uint64
-	// Output takes the logs of the nodes.
+	// Output receives the logs of the nodes.
 	Output io.Writer
 }
 
-// readyTimeout bounds the start of a fleet.
+// readyTimeout limits the time until a fleet is ready.
 const readyTimeout = 30 * time.Second
 
-// Run starts the deployment, takes it through the scenario and measures it.
+// Run starts the deployment, runs the scenario on it and returns the measurements.
 func Run(ctx context.Context, config Config) (Result, error) {
 	f, err := fleet.Start(ctx, fleet.Config{
 		Binary:     config.Variant.Binary,
@@ -70,7 +70,7 @@
 	})
 }
 
-// applySlowdowns changes the service time of the deep service while a trigger says so.
+// applySlowdowns changes the service time of the deep service during the triggers that slow it down.
 func applySlowdowns(ctx context.Context, f *fleet.Fleet, config Config, start time.Time) {
 	for i, trigger := range config.Scenario.spans() {
 		factor := config.Scenario.Triggers[i].Slowdown
@@ -95,7 +95,7 @@
 	}
 }
 
-// startsByRequest sums up how often each request was started on all backend servers.
+// startsByRequest returns how often each request was started on all backend servers together.
 func startsByRequest(f *fleet.Fleet) map[string]int {
 	started := map[string]int{}
 	for _, n := range f.Nodes {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,11 +1,11 @@
 // Package scenario runs overload experiments: a deployment under its ordinary load, a trigger that overloads it, and
-// the time after the trigger, with the product, an earlier build of it, or the naive baseline.
+// the time after the trigger. They run with the current program, an earlier build of it, or the baseline balancer.
 //
 // # Usage
 //
 //	result, err := scenario.Run(ctx, scenario.Config{Deployment: d, Scenario: s, Variant: v, Seed: 1})
 //
-// The Result gives goodput before, during and after the trigger, the time to recover, and what was wasted.
+// The Result gives the goodput before, during and after the trigger, the recovery time, and the wasted work.
 package scenario
 
 import (
@@ -14,21 +14,21 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/load"
 )
 
-// Phase times of every scenario.
+// Durations of the phases of every scenario.
 const (
-	// DurationBefore is the ordinary load before the trigger.
+	// DurationBefore is the time of ordinary load before the first trigger.
 	DurationBefore = 6 * time.Second
-	// TriggerDuration is how long a trigger lasts.
+	// TriggerDuration is the duration of a trigger.
 	TriggerDuration = 8 * time.Second
-	// DurationAfter is the ordinary load after the last trigger.
+	// DurationAfter is the time of ordinary load after the last trigger.
 	DurationAfter = 12 * time.Second
-	// TriggerInterval is the pause between two triggers in a row.
+	// TriggerInterval is the time between the end of a trigger and the start of the next.
 	TriggerInterval = 4 * time.Second
-	// settleTime is left out at the start of each phase's figures.
+	// settleTime is left out at the start of a phase when its figures are computed.
 	settleTime = 2 * time.Second
 )
 
-// Trigger is what overloads a deployment for a time.
+// Trigger overloads a deployment for a limited time.
 type Trigger struct {
 	// Flood multiplies the rate of the least urgent stream.
 	Flood float64
@@ -40,17 +40,17 @@
 	Slowdown float64
 }
 
-// Scenario is a trigger, once or twice, with callers that send again or don't.
+// Scenario is a sequence of one or two triggers, with callers that may resend failed requests.
 type Scenario struct {
 	Name string
 	Text string
-	// Triggers follow each other with a pause between them.
+	// Triggers run one after the other, TriggerInterval apart.
 	Triggers []Trigger
-	// Resends is how often every caller sends a failed request again at once.
+	// Resends is how often every caller resends a failed request immediately.
 	Resends int
 }
 
-// Scenarios are all experiments, in the order of the report.
+// Scenarios lists all scenarios in the order of the report.
 var Scenarios = []Scenario{
 	{
 		Name:     "flood_least",
@@ -84,7 +84,7 @@
 	},
 }
 
-// Find returns the scenario of the name.
+// Find returns the scenario with the name.
 func Find(name string) (Scenario, bool) {
 	for _, s := range Scenarios {
 		if s.Name == name {
@@ -94,13 +94,13 @@
 	return Scenario{}, false
 }
 
-// span is a stretch of a run.
+// span is a time interval, relative to the start of a run.
 type span struct {
 	start time.Duration
 	end   time.Duration
 }
 
-// spans returns when each trigger is on.
+// spans returns the time interval of each trigger.
 func (s Scenario) spans() []span {
 	var spans []span
 	start := DurationBefore
@@ -111,13 +111,13 @@
 	return spans
 }
 
-// Duration returns the length of the whole run.
+// Duration returns the duration of the whole run.
 func (s Scenario) Duration() time.Duration {
 	spans := s.spans()
 	return spans[len(spans)-1].end + DurationAfter
 }
 
-// streams returns the ordinary load and what each trigger adds to it.
+// streams returns the ordinary load and the load that each trigger adds.
 func (s Scenario) streams(d Deployment) []load.Stream {
 	var streams []load.Stream
 	for _, o := range d.Streams {
@@ -136,7 +136,7 @@
 	return streams
 }
 
-// addedRatio returns how many times its ordinary rate the trigger adds to a stream.
+// addedRatio returns the rate that the trigger adds to a stream, as a multiple of the stream's ordinary rate.
 func (t Trigger) addedRatio(d Deployment, s load.Stream) float64 {
 	factor := max(t.Surge, 1)
 	if s.Name == d.LeastUrgent {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestRecoveryIsWhenGoodAnswersAreBackForGood(t *testing.T) {
+func TestRecoveryIsTheTimeUntilSuccessesAreBack(t *testing.T) {
 	is := is.New(t)
 	var results []load.Result
 	for sent := time.Duration(0); sent < 30*time.Second; sent += 10 * time.Millisecond {
