--- a/internal/lab/capacity/bench_test.go
+++ b/internal/lab/capacity/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/membership"
 )
 
-// The planned fleet.
+// Size of the planned fleet.
 const (
 	plannedNodes     = 2100
 	plannedServices  = 380
@@ -19,7 +19,7 @@
 	nodesPerZone     = (plannedNodes + plannedZones - 1) / plannedZones
 )
 
-// plannedRecords returns the records that every node holds at the planned size.
+// plannedRecords returns the records that every node of the planned fleet holds.
 func plannedRecords(sequence uint64) []membership.Record {
 	var records []membership.Record
 	for i := range plannedNodes {
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkMergeAll takes in everything, as a node does that has just started.
+// BenchmarkMergeAll merges all records, as a node does after its start.
 func BenchmarkMergeAll(b *testing.B) {
 	records := plannedRecords(2)
 	b.ReportAllocs()
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkMergeOne takes in one changed member.
+// BenchmarkMergeOne merges one changed member.
 func BenchmarkMergeOne(b *testing.B) {
 	store := membership.NewRecords()
 	store.Merge(plannedRecords(2)...)
@@ -71,7 +71,7 @@
 	}
 }
 
-// BenchmarkDigest sums up all records, as each heartbeat's answer does.
+// BenchmarkDigest computes the digest of all records, as every heartbeat reply requires.
 func BenchmarkDigest(b *testing.B) {
 	store := membership.NewRecords()
 	store.Merge(plannedRecords(2)...)
@@ -81,7 +81,7 @@
 	}
 }
 
-// BenchmarkSince looks for changes where there are none, as nearly every heartbeat's answer does.
+// BenchmarkSince looks for changes when there are none, as nearly every heartbeat reply does.
 func BenchmarkSince(b *testing.B) {
 	store := membership.NewRecords()
 	store.Merge(plannedRecords(2)...)
@@ -92,7 +92,7 @@
 	}
 }
 
-// BenchmarkZoneValue encodes one zone's members as its leader writes them, and tells the size.
+// BenchmarkZoneValue encodes the members of one availability zone as its leader writes them, and reports the size.
 func BenchmarkZoneValue(b *testing.B) {
 	var records []membership.Record
 	for i := range nodesPerZone {
@@ -110,7 +110,7 @@
 	b.ReportMetric(float64(size), "B/zone")
 }
 
-// BenchmarkParseDocument reads one document, as every node does for every change.
+// BenchmarkParseDocument parses one document, as every node does for every change.
 func BenchmarkParseDocument(b *testing.B) {
 	source := []byte(documentOf("service-1", 1))
 	b.ReportAllocs()
@@ -122,7 +122,7 @@
 	}
 }
 
-// BenchmarkStateSize tells how many bytes of records every node holds and receives when it starts.
+// BenchmarkStateSize reports the size in bytes of the records that every node holds and receives when it starts.
 func BenchmarkStateSize(b *testing.B) {
 	records := plannedRecords(2)
 	size := 0
--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,13 +1,13 @@
-// Package capacity measures what the control plane costs while no caller sends anything: real node processes of
-// several fleet sizes, and for each the processor time, memory and bytes of a node, of leaders and of followers apart,
-// the platform's calls, and the time until a changed document is in force everywhere.
+// Package capacity measures the cost of the control plane without any caller traffic. It runs fleets of several sizes with
+// real node processes and measures the processor time, memory and bytes of each node, for leaders and followers
+// separately, the calls to the platform, and the time until a changed document is in force on all nodes.
 //
 // # Usage
 //
 //	runs, err := capacity.Measure(ctx, capacity.Config{Binary: path, Sizes: []int{6, 12, 24}, Zones: 3, Window: 10 * time.Second})
 //	err = capacity.WriteTable(os.Stdout, runs)
 //
-// docs/CAPACITY.md draws the slopes from it.
+// docs/CAPACITY.md uses the slopes that it prints.
 package capacity
 
 import (
@@ -23,25 +23,25 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/server"
 )
 
-// Config sets a measurement up.
+// Config configures a measurement.
 type Config struct {
 	// Binary is the path of the built comfreyhoist program.
 	Binary string
-	// Sizes are the numbers of nodes, measured one after the other.
+	// Sizes are the numbers of nodes to measure, one after the other.
 	Sizes []int
 	// Zones is the number of availability zones.
 	Zones int
-	// Settle is the time between the readiness of a fleet and the window.
+	// Settle is the time from when a fleet is ready to the start of the window.
 	Settle time.Duration
-	// Window is how long costs are counted.
+	// Window is the duration over which costs are counted.
 	Window time.Duration
-	// Changes is how many documents are changed, one after the other.
+	// Changes is the number of documents to change, one after the other.
 	Changes int
-	// Output takes the logs of the nodes.
+	// Output receives the logs of the nodes.
 	Output io.Writer
 }
 
-// Run is the measurement of one size.
+// Run is the measurement of one fleet size.
 type Run struct {
 	Nodes    int           `json:"nodes"`
 	Zones    int           `json:"zones"`
@@ -51,38 +51,38 @@
 	Ready    time.Duration `json:"ready"`
 	Leader   Cost          `json:"leader"`
 	Follower Cost          `json:"follower"`
-	// PlatformReads and PlatformWrites are calls a second, all nodes together.
+	// PlatformReads and PlatformWrites are calls per second, of all nodes together.
 	PlatformReads  float64 `json:"platform_reads"`
 	PlatformWrites float64 `json:"platform_writes"`
-	// InForce are the times from the acceptance of each change until the last node had it in force.
+	// InForce has, for each change, the time from its acceptance until the last node had it in force.
 	InForce []time.Duration `json:"in_force"`
-	// MachineBusy is the part of all processors, from 0 to 1, that was busy during the window, whoever used them.
+	// MachineBusy is the utilization of all processors of the machine during the window, from 0 to 1, by any process.
 	MachineBusy float64 `json:"machine_busy"`
 }
 
-// Cost is the mean of the nodes of one role.
+// Cost is the mean cost of the nodes with one role.
 type Cost struct {
 	Nodes int `json:"nodes"`
-	// Core is the part of one processor, from 0 to 1.
+	// Core is the utilization of one processor, where 1 is a whole processor.
 	Core float64 `json:"core"`
-	// Memory is the resident memory in bytes, the mean and the largest.
+	// Memory and MaxMemory are the mean and the largest resident memory in bytes.
 	Memory    float64 `json:"memory"`
 	MaxMemory float64 `json:"max_memory"`
-	// Sent and Received are bytes a second between nodes; Platform is both directions to the platform.
+	// Sent and Received are bytes per second between nodes. Platform is bytes per second to and from the platform.
 	Sent     float64 `json:"sent"`
 	Received float64 `json:"received"`
 	Platform float64 `json:"platform"`
-	// MaxBytes is the highest sum of the three of any one node.
+	// MaxBytes is the largest sum of Sent, Received and Platform of any node.
 	MaxBytes float64 `json:"max_bytes"`
 }
 
 const (
-	// instancesPerService is about what the planned fleet has.
+	// instancesPerService is close to the mean of the planned fleet.
 	instancesPerService = 6
-	// startTimeout bounds the start of a fleet.
+	// startTimeout limits the time until a fleet is ready.
 	startTimeout = 90 * time.Second
 	labSlots     = 35
-	// labConnections is what each stand-in backend server gives.
+	// labConnections is the connection limit that each simulated backend server announces.
 	labConnections = 300
 )
 
@@ -124,7 +124,7 @@
 	return run, trace.Wrap(err)
 }
 
-// measureWindow counts the costs of the nodes over the window.
+// measureWindow measures the costs of the nodes over the window.
 func (r *Run) measureWindow(ctx context.Context, f *fleet.Fleet) error {
 	before, err := takeSnapshot(f)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// idleDeployment returns a deployment of so many nodes in so many availability zones, whose services have documents like those of a real team.
+// idleDeployment returns a deployment with the given numbers of nodes and availability zones, and realistic documents.
 func idleDeployment(size, zones int) fleet.Deployment {
 	d := fleet.Deployment{}
 	for i := range zones {
@@ -166,7 +166,7 @@
 	return d
 }
 
-// documentOf returns a document of six kinds; the edit makes it differ from the others.
+// documentOf returns a document with six kinds. The edit number makes its versions differ.
 func documentOf(service string, edit int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# Edit %d.\n[service]\nname = %s\nteam = %s-team\nattempts = 2\n", edit, service, service)
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -20,10 +20,10 @@
 		values map[int]float64
 		want   Slope
 	}{
-		"line":      {[]int{6, 12, 24}, map[int]float64{6: 16, 12: 22, 24: 34}, Slope{Base: 10, PerNode: 1}},
-		"level":     {[]int{6, 12}, map[int]float64{6: 5, 12: 5}, Slope{Base: 5}},
-		"one size":  {[]int{6}, map[int]float64{6: 7}, Slope{Base: 7}},
-		"no figure": {nil, nil, Slope{}},
+		"line":     {[]int{6, 12, 24}, map[int]float64{6: 16, 12: 22, 24: 34}, Slope{Base: 10, PerNode: 1}},
+		"level":    {[]int{6, 12}, map[int]float64{6: 5, 12: 5}, Slope{Base: 5}},
+		"one size": {[]int{6}, map[int]float64{6: 7}, Slope{Base: 7}},
+		"no runs":  {nil, nil, Slope{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestBytesArePutDownToBothEnds(t *testing.T) {
+func TestBytesBetween(t *testing.T) {
 	is := is.New(t)
 	after := snapshot{traffic: map[string]map[string]proxy.Traffic{
 		"a":        {"b": {Bytes: 10}, "platform": {Bytes: 100}},
@@ -46,13 +46,13 @@
 		"platform": {"a": {Bytes: 50}},
 	}}
 	before := snapshot{traffic: map[string]map[string]proxy.Traffic{"a": {"b": {Bytes: 4}}}}
-	is.Equal(bytesBetween(before, after, "a", ""), 6.0)           // sent to nodes since before
+	is.Equal(bytesBetween(before, after, "a", ""), 6.0)           // sent to nodes since the earlier snapshot
 	is.Equal(bytesBetween(before, after, "", "a"), 5.0)           // received from nodes
-	is.Equal(bytesBetween(before, after, "a", "platform"), 100.0) // to the platform
+	is.Equal(bytesBetween(before, after, "a", "platform"), 100.0) // sent to the platform
 	is.Equal(bytesBetween(before, after, "platform", "a"), 50.0)
 }
 
-func TestReadsItsOwnProcess(t *testing.T) {
+func TestReadOwnProcess(t *testing.T) {
 	is := is.New(t)
 	memory, err := residentMemory(os.Getpid())
 	is.NoErr(err)
@@ -65,7 +65,7 @@
 	is.True(machine.busy > 0 && machine.busy <= machine.total)
 }
 
-func TestDeploymentHasItsSizeAndSoundDocuments(t *testing.T) {
+func TestIdleDeploymentHasItsSizeAndValidDocuments(t *testing.T) {
 	is := is.New(t)
 	instances := 0
 	for _, s := range idleDeployment(20, 3).Services {
--- a/internal/lab/capacity/change.go
+++ b/internal/lab/capacity/change.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// changeTimeout bounds the wait for a change to be in force everywhere.
+	// changeTimeout limits the time until a change is in force on all nodes.
 	changeTimeout = 30 * time.Second
-	// changePoll is the time between looks at a node that does not have a change yet.
+	// changePoll is the time between two checks of a node that has not applied a change yet.
 	changePoll = 100 * time.Millisecond
-	// operatorTimeout bounds one call of the administration API.
+	// operatorTimeout is the timeout of one call of the operators' API.
 	operatorTimeout = 5 * time.Second
 )
 
-// changeDocuments changes documents through nodes in turn and returns how long each change took from its acceptance
-// until the last node had it in force, by the nodes' own clocks, which are one on a single machine.
+// changeDocuments changes documents through several nodes in turn and returns, for each change, the time from its
+// acceptance until the last node had it in force. It uses the nodes' clocks, which are the same clock on a single machine.
 func changeDocuments(ctx context.Context, f *fleet.Fleet, changes int) ([]time.Duration, error) {
 	var durations []time.Duration
 	for i := range changes {
@@ -60,7 +60,7 @@
 	return last.Sub(accepted), nil
 }
 
-// awaitInForce waits until the node has the revision and returns since when.
+// awaitInForce waits until the node has the revision in force and returns the time since which it has.
 func awaitInForce(ctx context.Context, n *fleet.Node, service string, revision uint64) (time.Time, error) {
 	for {
 		dump, err := fleet.FetchDump(ctx, n.Backend)
@@ -70,7 +70,7 @@
 			}
 		}
 		if err := sleep(ctx, changePoll); err != nil {
-			return time.Time{}, trace.Wrap(err, "%s has not taken revision %d", n.Name, revision)
+			return time.Time{}, trace.Wrap(err, "node %s does not have revision %d in force", n.Name, revision)
 		}
 	}
 }
--- a/internal/lab/capacity/sample.go
+++ b/internal/lab/capacity/sample.go
@@ -15,7 +15,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/store"
 )
 
-// snapshot is the state of all counters at one moment.
+// snapshot holds the values of all counters at one moment.
 type snapshot struct {
 	at            time.Time
 	processorTime map[string]time.Duration
@@ -46,21 +46,21 @@
 const (
 	// tick is the unit of processor time in /proc.
 	tick = 10 * time.Millisecond
-	// userField and systemField are counted from the field after the program's name.
+	// userField and systemField are field indexes in /proc/PID/stat, counted from the field after the program's name.
 	userField   = 11
 	systemField = 12
 )
 
-// processorTime returns what the process has used of the processors.
+// processorTime returns the processor time that the process has used.
 func processorTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, trace.ConvertSystemError(err)
 	}
-	// The name may hold spaces; it ends with the last bracket.
+	// The name may contain spaces; it ends at the last closing parenthesis.
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	if len(fields) <= systemField {
-		return 0, trace.BadParameter("/proc/%d/stat is short", pid)
+		return 0, trace.BadParameter("/proc/%d/stat has too few fields", pid)
 	}
 	ticks := 0
 	for _, field := range []int{userField, systemField} {
@@ -85,7 +85,7 @@
 			return kilobytes * 1024, nil
 		}
 	}
-	return 0, trace.NotFound("/proc/%d/status has no VmRSS", pid)
+	return 0, trace.NotFound("/proc/%d/status has no VmRSS line", pid)
 }
 
 // machineTime is the time that all processors of the machine have spent since it started, in ticks.
@@ -94,7 +94,7 @@
 	total float64
 }
 
-// The idle fields of the first line of /proc/stat.
+// Indexes of the idle times in the first line of /proc/stat.
 const (
 	idleField   = 3
 	ioWaitField = 4
@@ -135,7 +135,7 @@
 	return found, nil
 }
 
-// setCosts works the costs out of two snapshots.
+// setCosts computes the costs between two snapshots.
 func (r *Run) setCosts(f *fleet.Fleet, before, after snapshot, leaderNames map[string]bool) {
 	seconds := after.at.Sub(before.at).Seconds()
 	for _, n := range f.Nodes {
@@ -158,7 +158,8 @@
 	r.MachineBusy = (after.machine.busy - before.machine.busy) / (after.machine.total - before.machine.total)
 }
 
-// bytesBetween returns the bytes from one end to another; an empty name stands for all nodes.
+// bytesBetween returns the number of bytes sent from one endpoint to another between the snapshots. An empty name stands
+// for all nodes.
 func bytesBetween(before, after snapshot, from, to string) float64 {
 	var bytes int64
 	for source, targets := range after.traffic {
--- a/internal/lab/capacity/table.go
+++ b/internal/lab/capacity/table.go
@@ -12,18 +12,18 @@
 	"github.com/gravitational/trace"
 )
 
-// Slope is a line through the runs: a value at no nodes, and what each node adds.
+// Slope is a line through the measurements: the value at zero nodes, and the increase for each node.
 type Slope struct {
 	Base    float64 `json:"base"`
 	PerNode float64 `json:"per_node"`
 }
 
-// At returns the value of the line at a number of nodes.
+// At returns the value of the line at the number of nodes.
 func (s Slope) At(nodes int) float64 {
 	return s.Base + s.PerNode*float64(nodes)
 }
 
-// Fit returns the line with the least squares through the values of the runs.
+// Fit returns the least-squares line through the values of the runs.
 func Fit(runs []Run, value func(Run) float64) Slope {
 	var sumX, sumY, sumXX, sumXY float64
 	for _, r := range runs {
@@ -42,11 +42,11 @@
 	return Slope{Base: (sumY - perNode*sumX) / count, PerNode: perNode}
 }
 
-// column is one figure of the table.
+// column is one measured value of the table.
 type column struct {
 	header string
 	value  func(Run) float64
-	// decimals are the digits after the point.
+	// decimals is the number of digits after the decimal point.
 	decimals int
 }
 
@@ -72,7 +72,7 @@
 	{"machine busy %", func(r Run) float64 { return percent * r.MachineBusy }, 0},
 }
 
-// WriteTable prints a column for each run, and the slope of each figure.
+// WriteTable prints a column for each run, and the slope of each value.
 func WriteTable(w io.Writer, runs []Run) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	header := []string{"figure"}
@@ -103,7 +103,7 @@
 	return c.Sent + c.Received + c.Platform
 }
 
-// changeTimeQuantile returns the time within which the given part of the changes were in force everywhere.
+// changeTimeQuantile returns the given quantile, from 0 to 1, of the times until a change was in force on all nodes.
 func (r Run) changeTimeQuantile(quantile float64) time.Duration {
 	if len(r.InForce) == 0 {
 		return 0
