--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report writes the results of experiments: tables for people, JSON for programs, and plots.
+// Package report writes the results of experiments as text tables, JSON and plots.
 //
 // # Usage
 //
@@ -25,7 +25,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/scenario"
 )
 
-// WriteTable prints one line for each result and one for each of its streams.
+// WriteTable prints a line for each result and a line for each of its streams.
 func WriteTable(w io.Writer, results []scenario.Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(t, "deployment\tscenario\tvariant\tbefore/s\tduring/s\tideal/s\t% of ideal\tafter/s\trecovery\twasted\tamplification\tunsent")
@@ -77,7 +77,7 @@
 
 const fileMode = 0o644
 
-// colours of the lines of a plot, in the order of the streams.
+// colours are the colours of the lines of a plot, in the order of the streams.
 var colours = []color.Color{
 	color.RGBA{R: 200, A: 255},
 	color.RGBA{G: 130, A: 255},
@@ -91,7 +91,7 @@
 	plotHeight = 12 * vg.Centimeter
 )
 
-// Plot draws the goodput of each stream over time. The ending of the path names the format.
+// Plot draws the goodput of each stream over time. The extension of the path selects the file format.
 func Plot(path string, r scenario.Result) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, %s, %s", r.Deployment, r.Scenario, r.Variant)
