--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline is what the product is measured against: a naive client-side balancer that goes round robin over
-// all instances, retries three times at every level, and sheds nothing.
+// Package baseline is a simple client-side balancer to compare comfreyhoist with. It uses all instances round robin, retries
+// three times at every level of the call chain, and sheds nothing.
 //
 // # Usage
 //
@@ -21,17 +21,17 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/caller"
 )
 
-// Retries is how often a failed request is sent again at each level.
+// Retries is how often a failed request is retried at each level of the call chain.
 const Retries = 3
 
-// Balancer passes calls on to backend servers.
+// Balancer forwards calls to backend servers.
 type Balancer struct {
 	instances map[string][]string
 	next      atomic.Uint64
 	client    *http.Client
 }
 
-// New returns a balancer over the addresses of each service's backend servers.
+// New returns a balancer for the addresses of each service's backend servers.
 func New(instances map[string][]string) *Balancer {
 	return &Balancer{
 		instances: instances,
