--- a/cmd/comfreyhoist/drain.go
+++ b/cmd/comfreyhoist/drain.go
@@ -18,7 +18,7 @@
 		if err := t.client().Drain(ctx); err != nil {
 			return trace.Wrap(err)
 		}
-		fmt.Println("the node is draining")
+		fmt.Println("the node drains")
 		return nil
 	})
 }
