--- a/internal/control/board/board.go
+++ b/internal/control/board/board.go
@@ -1,13 +1,15 @@
-// Package board is the blackboard of a node: plain sections that controllers read and write, one writer for each
-// section, and the one goroutine that owns them.
+// Package board holds the shared control state of a node. The state is divided into sections. Each section has one
+// controller that writes it, and a single goroutine, that of Loop.Run, applies all updates.
 //
 // # Usage
 //
 //	loop := board.NewLoop(initial)
-//	loop.Post(func(b *board.Board) { b.Backend.Service = "access" })
+//	go loop.Run(ctx)
+//	loop.Post(ctx, func(b *board.Board) { b.Backend.Service = "access" })
 //	now := loop.Snapshot()
 //
-// Traffic goroutines read snapshots. A snapshot never changes: whoever writes a section replaces its maps and slices.
+// All other goroutines read snapshots. A snapshot never changes: an update replaces the maps and slices of a section
+// instead of modifying them.
 package board
 
 import (
@@ -24,7 +26,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/outcome"
 )
 
-// Board is the whole blackboard.
+// Board is the control state of a node.
 type Board struct {
 	Self             Self             `json:"self"`
 	Backend          Backend          `json:"backend"`
@@ -34,57 +36,58 @@
 	Platform         Platform         `json:"platform"`
 	KeyOwners        KeyOwners        `json:"homes"`
 	ZoneReachability ZoneReachability `json:"reach"`
-	// Routes are those in force, where the node goes by routes; nil while none are known.
+	// Routes are the routes in force. Nil while none are known, and on a node configured by documents.
 	Routes *routes.Table `json:"routes,omitempty"`
 }
 
-// Self says who the node is and whether it leaves. Written by the node.
+// Self identifies the node and holds the state of its planned stop. Written by the node.
 type Self struct {
 	Node          string `json:"node"`
 	Zone          string `json:"zone"`
 	Region        string `json:"region"`
 	PeerAddress   string `json:"peer_address"`
 	CallerAddress string `json:"caller_address"`
-	// Incarnation is the start of the node's process.
+	// Incarnation identifies this start of the node's process.
 	Incarnation uint64 `json:"incarnation"`
-	// Draining says that callers are to go elsewhere.
+	// Draining reports whether callers must use other nodes.
 	Draining bool `json:"draining"`
-	// Leaving says that other nodes are to go elsewhere too: the backend server gets no more work from here.
+	// Leaving reports whether other nodes must not send requests here either: this node accepts none for its backend
+	// server any more.
 	Leaving bool `json:"leaving"`
-	// Successor is the node that gets the remembered keys of this one when it leaves.
+	// Successor is the node that takes over the keys remembered here when this node leaves.
 	Successor string `json:"successor"`
-	// AnswersFor lists the earlier nodes, with their incarnations, whose keys were handed over to this one.
+	// AnswersFor lists the former key owners, with their incarnations, that handed their keys over to this node.
 	AnswersFor string `json:"answers_for"`
 }
 
-// Backend is the local backend server, as it announced itself. Written by the backend listener.
+// Backend is the state of the local backend server, from its announcements. Written by the backend listener.
 type Backend struct {
 	Service        string `json:"service"`
 	Address        string `json:"address"`
 	Slots          int    `json:"slots"`
 	MaxConnections int    `json:"connections"`
-	// Instance names the start of the backend server that announced itself; empty where it gave no name.
+	// Instance names the start of the backend server's process; empty if the announcement did not name it.
 	Instance    string    `json:"instance,omitempty"`
 	Leaving     bool      `json:"leaving"`
 	AnnouncedAt time.Time `json:"announced_at"`
-	// State is whether the backend server is there.
+	// State is whether the backend server is reachable.
 	State liveness.State `json:"state"`
 }
 
-// IsLost reports whether the backend server announced itself and is not there now.
+// IsLost reports whether the backend server announced itself and is now unreachable.
 func (b Backend) IsLost() bool {
 	return b.State == liveness.Refusing || b.State == liveness.Silent
 }
 
-// Members are the nodes known here. Written by the zone controller.
+// Members are the nodes known to this node. Written by the zone controller or the members controller.
 type Members struct {
 	// ByNode holds every member that is not down.
 	ByNode map[string]membership.Member `json:"by_node"`
-	// ByService lists the members with a backend server that takes work.
+	// ByService lists, for each service, the members that accept requests.
 	ByService map[string][]membership.Member `json:"by_service"`
 }
 
-// CountAcceptingRequests counts the members with a backend server that takes work.
+// CountAcceptingRequests returns the number of members that accept requests.
 func (m Members) CountAcceptingRequests() int {
 	count := 0
 	for _, members := range m.ByService {
@@ -93,12 +96,12 @@
 	return count
 }
 
-// AcceptsRequests reports whether requests for the service may be sent to the node.
+// AcceptsRequests reports whether the node accepts requests for the service.
 func (m Members) AcceptsRequests(service, node string) bool {
 	return slices.ContainsFunc(m.ByService[service], func(member membership.Member) bool { return member.Node == node })
 }
 
-// CountInZone counts the members of the zone.
+// CountInZone returns the number of members in the availability zone.
 func (m Members) CountInZone(zone string) int {
 	count := 0
 	for _, member := range m.ByNode {
@@ -109,7 +112,7 @@
 	return count
 }
 
-// SortedInZone returns the members of the zone by name.
+// SortedInZone returns the members in the availability zone, sorted by name.
 func (m Members) SortedInZone(zone string) []membership.Member {
 	var members []membership.Member
 	for _, member := range m.ByNode {
@@ -126,7 +129,7 @@
 	ByService map[string]DocumentInForce `json:"by_service"`
 }
 
-// LastAccepted returns the service whose document was accepted last, or false where there is no document.
+// LastAccepted returns the service whose document was accepted last. It reports false if there are no documents.
 func (d Documents) LastAccepted() (string, bool) {
 	newest, found := "", false
 	for service, inForce := range d.ByService {
@@ -137,71 +140,74 @@
 	return newest, found
 }
 
-// DocumentInForce is one document and its revision.
+// DocumentInForce is a document that the node applies, and its revision.
 type DocumentInForce struct {
 	Revision uint64 `json:"revision"`
-	// Operation and Editor name the edit and who made it; Accepted is when it was written to the platform.
+	// Operation is the id of the edit, Editor is who made it, and AcceptedAt is when it was written to the platform.
 	Operation  string             `json:"operation"`
 	Editor     string             `json:"editor"`
 	AcceptedAt time.Time          `json:"accepted"`
 	Document   *document.Document `json:"document"`
-	// InForceSince is since when this node goes by the revision.
+	// InForceSince is the time at which this node began to apply the revision.
 	InForceSince time.Time `json:"in_force"`
 }
 
 // Leader is the leader of the node's availability zone. Written by the zone controller.
 type Leader struct {
-	// Node is empty while nobody is known to lead.
+	// Node is the leader's name; empty while no leader is known.
 	Node        string `json:"node"`
 	PeerAddress string `json:"peer_address"`
-	// IsSelf says that this node leads under a lease, and so may write to the platform for its zone.
+	// IsSelf reports whether this node leads under a lease. Only then may it write to the platform for its zone.
 	IsSelf bool `json:"is_self"`
-	// Leased says that the leader holds a lease; without one it only spreads what the zone holds.
+	// Leased reports whether the leader holds a lease. Without a lease it only distributes the records that the nodes of
+	// the zone hold already.
 	Leased bool `json:"leased"`
-	// Role is this node's own part.
+	// Role is the role of this node in the zone.
 	Role membership.Role `json:"role"`
-	// Term is that of this node's own lease.
+	// Term is the term of this node's own lease.
 	Term uint64 `json:"term"`
 }
 
-// Platform tells how the platform answers. Written by the zone controller.
+// Platform holds whether the platform answers, and since when. Written by the zone controller or the members
+// controller.
 type Platform struct {
 	Reachable bool      `json:"reachable"`
 	Since     time.Time `json:"since"`
 }
 
-// ZoneReachability tells which availability zones the leader of the node's own can't reach. Written by the zone controller.
+// ZoneReachability holds the availability zones that the leader of this node's zone can't reach. Written by the zone
+// controller.
 type ZoneReachability struct {
-	// UnreachableSince holds since when each of these zones gave no answer.
+	// UnreachableSince maps each unreachable zone to the time since which it has not answered.
 	UnreachableSince map[string]time.Time `json:"unreached"`
 }
 
-// KeyOwners say which nodes remember keys. Written by the homes controller.
+// KeyOwners are the nodes that remember idempotency keys. Written by the homes controller.
 type KeyOwners struct {
-	// Shards are the agreed epochs of each availability zone's shard.
+	// Shards holds the agreed epochs of each shard, by availability zone.
 	Shards map[string]outcome.Shard `json:"shards"`
 }
 
-// Loop owns a Board.
+// Loop owns a Board, applies updates to it and publishes snapshots.
 type Loop struct {
 	board    Board
 	inbox    chan func(*Board)
 	snapshot atomic.Pointer[Board]
-	// changed is closed, and replaced, when the board changes.
+	// changed holds a channel that is closed and replaced at each change of the board.
 	changed atomic.Pointer[chan struct{}]
 }
 
-// inboxLength is how many updates may wait.
+// inboxLength is the number of updates that may be pending before Post blocks.
 const inboxLength = 1024
 
-// NewLoop returns a loop around the initial board. Run must be started for posts to be carried out.
+// NewLoop returns a loop that owns the initial board. Updates are applied only while Run is running.
 func NewLoop(initial Board) *Loop {
 	l := &Loop{board: initial, inbox: make(chan func(*Board), inboxLength)}
 	l.publish()
 	return l
 }
 
-// Run carries out updates, one after the other, until the context ends.
+// Run applies updates one at a time until the context ends.
 func (l *Loop) Run(ctx context.Context) {
 	for {
 		select {
@@ -214,7 +220,7 @@
 	}
 }
 
-// Post hands an update to the loop. It waits while the inbox is full.
+// Post queues an update. It blocks while the queue is full, until the context ends.
 func (l *Loop) Post(ctx context.Context, update func(*Board)) {
 	select {
 	case l.inbox <- update:
@@ -222,7 +228,7 @@
 	}
 }
 
-// Do hands an update to the loop and waits until the snapshot shows it.
+// Do queues an update and waits until the snapshot includes it, or until the context ends.
 func (l *Loop) Do(ctx context.Context, update func(*Board)) {
 	done := make(chan struct{})
 	l.Post(ctx, func(b *Board) {
@@ -236,7 +242,7 @@
 	}
 }
 
-// Snapshot returns the board as it last was.
+// Snapshot returns the current state, which must not be modified.
 func (l *Loop) Snapshot() *Board {
 	return l.snapshot.Load()
 }
@@ -250,8 +256,8 @@
 	}
 }
 
-// Changed returns a channel that is closed at the next change. Whoever waits for a change takes the channel first and
-// reads the snapshot then.
+// Changed returns a channel that is closed at the next change. To miss no change, call Changed before reading the
+// snapshot.
 func (l *Loop) Changed() <-chan struct{} {
 	return *l.changed.Load()
 }
