--- a/internal/control/homes/controller.go
+++ b/internal/control/homes/controller.go
@@ -1,19 +1,20 @@
-// Package homes speaks to the platform about which nodes remember the keys of callers. The leader of each
-// availability zone keeps one record, its shard: it moves the end of the last epoch forward again and again, and
-// appends an epoch where the members changed. Every write is a compare-and-swap on the record last read, so the
-// epochs form one line, whoever writes and however late.
+// Package homes maintains the assignment of idempotency keys to the nodes that remember them, the key owners. The
+// leader of each availability zone maintains one record at the platform, the zone's shard, which is a sequence of
+// epochs. The leader regularly moves the end of the last epoch forward, and appends an epoch when the members of the
+// zone change. Every write is a compare-and-swap on the record last read, so concurrent or late writers cannot make the
+// epochs diverge.
 //
-// The end moves by the promise of the shard's two keepers, which costs the platform nothing. The record is written
-// where it changes otherwise, where a keeper gives no promise, and now and then to move the limit of the promises.
+// The end is moved by a promise of the shard's two keepers, without a call to the platform. The record is written when
+// anything else changes, when a keeper gives no promise, and at intervals to move the limit of the promises.
 //
-// A shard whose zone has been silent for some time, and has no leader at the platform, is kept by the leader of
-// another zone until its own returns.
+// If the end of a shard has passed for some time and its zone has no leader at the platform, the leader of another
+// zone maintains the shard until the zone has a leader again.
 //
 // # Usage
 //
 //	c := homes.NewController(homes.Config{...})
 //	zoneConfig.Sections = map[string]zone.Section{homes.Prefix: c.Section()}
-//	c.Run(ctx)
+//	c.Run(ctx, offerer)
 package homes
 
 import (
@@ -36,49 +37,50 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// Prefix begins the key of each shard's record in the platform.
+// Prefix is the prefix of the keys of the shards' records at the platform.
 const Prefix = "homes/"
 
-// Offerer spreads records that were made here.
+// Offerer distributes records that were created on this node to the other nodes.
 type Offerer interface {
 	Offer(ctx context.Context, records ...membership.Record)
 }
 
-// Config sets a Controller up.
+// Config configures a Controller.
 type Config struct {
 	Board    *board.Loop
 	Platform *platform.Client
 	Log      *events.Log
-	// Self is this process.
+	// Self is the name and incarnation of this node.
 	Self  outcome.Node
 	Peers *peer.Client
-	// Zones are all availability zones; the same list everywhere.
+	// Zones lists all availability zones. The list must be the same on all nodes.
 	Zones  []string
 	Timing Timing
 }
 
-// Timing holds the intervals of the shards.
+// Timing holds the intervals and delays for maintaining shards.
 type Timing struct {
-	// RenewInterval is the time between renewals.
+	// RenewInterval is the time between two renewals of a shard.
 	RenewInterval time.Duration
-	// MaxWriteInterval is the longest time between two writes of a record at the platform.
+	// MaxWriteInterval is the longest time between two writes of a record to the platform.
 	MaxWriteInterval time.Duration
-	// Horizon is how far beyond the present a renewal moves the end of the last epoch.
+	// Horizon is the time from a renewal to the end that it gives the last epoch.
 	Horizon time.Duration
-	// Window is how long callers may send a key again.
+	// Window is the time for which callers may send a key again.
 	Window time.Duration
-	// ElectionAllowance is how long the zone may be without a leader after a planned stop of the leader.
+	// ElectionAllowance is added to Horizon while the leader stops, for the time in which the zone has no leader.
 	ElectionAllowance time.Duration
-	// Reserve is how far the end may move without the platform, by the promise of the keepers. A shard that has lost
-	// both keepers at once stands still for that long.
+	// Reserve is how far the end may be moved by promises of the keepers, without a write to the platform. If a shard
+	// loses both keepers at once, it can't be renewed for up to that time.
 	Reserve time.Duration
-	// InitialKeeperDelay is how long after its start a leader leaves alone a shard that no zone has begun.
+	// InitialKeeperDelay is the time from the start of a leader's process until it may begin another zone's shard that
+	// has no epoch yet.
 	InitialKeeperDelay time.Duration
-	// TakeoverDelay is how long past its end another zone leaves a shard alone.
+	// TakeoverDelay is the time from the end of a shard until the leader of another zone may take it over.
 	TakeoverDelay time.Duration
 }
 
-// DefaultTiming holds where nothing else is set.
+// DefaultTiming holds the default intervals and delays.
 var DefaultTiming = Timing{
 	RenewInterval:     time.Second,
 	MaxWriteInterval:  2 * time.Minute,
@@ -91,21 +93,22 @@
 	TakeoverDelay:      3 * time.Second,
 }
 
-// Controller keeps shards.
+// Controller maintains shards while its node leads its availability zone, and answers as a keeper of shards.
 type Controller struct {
 	config  Config
 	started time.Time
-	// leaderSince is since when this node leads its zone; zero while it doesn't. It belongs to the goroutine of Run.
+	// leaderSince is the time at which this node became the leader of its zone; zero while it does not lead. Used only by
+	// the goroutine of Run.
 	leaderSince time.Time
-	// entries are the records last read or written, by shard. They belong to the goroutine of Run.
+	// entries holds the records last read or written, by shard. Used only by the goroutine of Run.
 	entries map[string]platform.Entry
-	// unacknowledged are the shards whose last write, of more than a new end, had no answer. Their ends don't move without
-	// the platform, because it may hold keepers that are not known here.
+	// unacknowledged holds the shards whose last write to the platform, of more than a new end, got no response. Their
+	// ends are not moved by promises, because the record at the platform may name other keepers.
 	unacknowledged map[string]bool
 
 	mu       sync.Mutex
 	promises *outcome.Promises
-	// watchedRevisions are the revisions of the records that the watch of the platform showed last, by shard.
+	// watchedRevisions holds the revision that the watch on the platform reported last, by shard.
 	watchedRevisions map[string]uint64
 }
 
@@ -121,12 +124,12 @@
 	}
 }
 
-// Section returns how shards come from the platform and get onto the board.
+// Section returns the functions that decode shards from the platform and publish them on the board.
 func (c *Controller) Section() zone.Section {
 	return zone.Section{Decode: c.decode, Publish: publishShards, Structure: shardStructure}
 }
 
-// Run renews shards until the context ends.
+// Run renews shards at each interval until the context ends.
 func (c *Controller) Run(ctx context.Context, offerer Offerer) {
 	ticker := time.NewTicker(c.config.Timing.RenewInterval)
 	defer ticker.Stop()
@@ -148,7 +151,7 @@
 		}
 		for _, shard := range c.config.Zones {
 			if c.maintainsShard(time.Now(), b, shard) && !c.maintainShard(ctx, offerer, b, shard) {
-				break // the platform does not answer, and the others must not wait for it as well
+				break // the platform does not answer; trying the other shards too would delay the promises below
 			}
 		}
 	} else {
@@ -160,7 +163,8 @@
 	}
 }
 
-// maintainsShard reports whether this zone keeps the shard: its own always, another one while its zone is silent.
+// maintainsShard reports whether the leader of this zone maintains the shard. It maintains the zone's own shard
+// always, a shard that it has taken over already, and the shard of another zone from TakeoverDelay after its end.
 func (c *Controller) maintainsShard(now time.Time, b *board.Board, shard string) bool {
 	if shard == b.Self.Zone {
 		return true
@@ -170,12 +174,13 @@
 		return now.Sub(c.started) > c.config.Timing.InitialKeeperDelay
 	}
 	silent := now.Sub(time.UnixMilli(last.Until)) > c.config.Timing.TakeoverDelay
-	silent = silent && now.Sub(c.leaderSince) > c.config.Timing.TakeoverDelay // A follower didn't get the ends of other zones' shards.
+	// While it followed, this node did not receive the new ends of other zones' shards.
+	silent = silent && now.Sub(c.leaderSince) > c.config.Timing.TakeoverDelay
 	return silent || last.Zone == b.Self.Zone
 }
 
-// maintainShard moves the end of the shard, by the keepers' promise or at the platform. It reports false where the platform was
-// needed and gave no answer.
+// maintainShard moves the end of the shard, by the keepers' promise or by a write to the platform. It reports false if
+// the platform was needed and did not answer.
 func (c *Controller) maintainShard(ctx context.Context, offerer Offerer, b *board.Board, shard string) bool {
 	entry, ok := c.cachedEntry(ctx, shard)
 	if !ok {
@@ -191,9 +196,8 @@
 	return hasLeader || c.writeShard(ctx, offerer, shard, entry)
 }
 
-// needsWrite reports whether the record at the platform is to be written: it differs from what this leader would write by
-// more than the end, the watch showed another one, or the limit up to which the end may move without the platform
-// comes too near.
+// needsWrite reports whether the record must be written to the platform: it differs by more than the end from what this
+// leader would write, the watch reported another revision, or the limit for promises is too near.
 func (c *Controller) needsWrite(now time.Time, b *board.Board, shard string, entry platform.Entry) bool {
 	known := b.KeyOwners.Shards[shard]
 	written := parseShard(entry.Value)
@@ -208,8 +212,8 @@
 	return !changed || next.Term != written.Term
 }
 
-// isLedByOtherZone reports whether another zone keeps the shard, still has nodes that may be homes, and has a leader at the
-// platform. Then the end is unknown here only because the two zones don't reach each other.
+// isLedByOtherZone reports whether another zone maintains the shard, still has eligible key owners, and has a leader at
+// the platform. In that case the end only looks expired to this node, because the two zones can't reach each other.
 func (c *Controller) isLedByOtherZone(ctx context.Context, b *board.Board, shard string) (bool, error) {
 	keeper := b.KeyOwners.Shards[shard].Last().Zone
 	if shard == b.Self.Zone || keeper == b.Self.Zone || len(eligibleOwners(b, keeper)) == 0 {
@@ -222,7 +226,7 @@
 	return err == nil, err
 }
 
-// writeShard writes the shard. It reports false where the platform gave no answer.
+// writeShard writes the shard to the platform. It reports false if the platform did not answer.
 func (c *Controller) writeShard(ctx context.Context, offerer Offerer, shard string, entry platform.Entry) bool {
 	b := c.config.Board.Snapshot()
 	written := parseShard(entry.Value)
@@ -253,7 +257,7 @@
 	return true
 }
 
-// cachedEntry returns the record as it was last read, and reads it where that isn't known.
+// cachedEntry returns the record as last read or written, and reads it from the platform if it is not cached.
 func (c *Controller) cachedEntry(ctx context.Context, shard string) (platform.Entry, bool) {
 	if cached, ok := c.entries[shard]; ok {
 		return cached, true
@@ -267,7 +271,7 @@
 	return read, true
 }
 
-// cacheEntry keeps an entry that the platform has just shown.
+// cacheEntry caches an entry that the platform has just returned.
 func (c *Controller) cacheEntry(shard string, entry platform.Entry) {
 	c.entries[shard] = entry
 	c.mu.Lock()
@@ -275,16 +279,16 @@
 	c.watchedRevisions[shard] = entry.Revision
 }
 
-// isCurrent reports whether the watch has shown no other revision since the entry was read or written. An older one is
-// shown by a platform that lags, or that was restored to older content.
+// isCurrent reports whether the watch has reported no other revision since the entry was read or written. The watch
+// reports an older revision if the platform lags, or was restored to older content.
 func (c *Controller) isCurrent(shard string, cached platform.Entry) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.watchedRevisions[shard] == cached.Revision
 }
 
-// mergeShards returns the shard that reaches further: a platform that was restored from an older copy must not take the
-// epochs back. Of two limits in one term the further one counts.
+// mergeShards returns the shard whose last epoch ends later, so that a platform restored from an older copy does not
+// revert epochs. If both have the same term, the later limit applies.
 func mergeShards(known, written outcome.Shard) outcome.Shard {
 	limit := max(known.Limit, written.Limit)
 	merged := written
@@ -315,8 +319,8 @@
 	}
 }
 
-// orLastMembers returns the homes of the last epoch where there are no members: the last node of a zone to leave keeps its
-// epoch going, because its successor answers for the keys until another node leads the zone.
+// orLastMembers returns the key owners of the last epoch if there are no members: the last node of a zone to leave
+// continues the epoch, because its successor answers for the keys until another node leads the zone.
 func orLastMembers(members []outcome.Member, written outcome.Shard) []outcome.Member {
 	if len(members) == 0 {
 		return written.Last().Members
@@ -324,7 +328,7 @@
 	return members
 }
 
-// eligibleOwners returns the nodes of the zone that may be homes, by name.
+// eligibleOwners returns the nodes of the zone that may be key owners, sorted by name.
 func eligibleOwners(b *board.Board, zone string) []outcome.Member {
 	var owners []outcome.Member
 	for service, members := range b.Members.ByService {
@@ -346,7 +350,7 @@
 	return []membership.Record{shardRecord(e.Key, e.Value)}
 }
 
-// shardRecord orders the versions of a shard by the end of their last epoch, which only grows.
+// shardRecord returns the record of a shard. Its versions are ordered by the end of the last epoch, which only grows.
 func shardRecord(key string, value []byte) membership.Record {
 	return membership.Record{
 		Key:     key,
--- a/internal/control/homes/controller_test.go
+++ b/internal/control/homes/controller_test.go
@@ -11,7 +11,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/outcome"
 )
 
-func TestWhichShardsALeaderKeeps(t *testing.T) {
+func TestLeaderMaintainsShards(t *testing.T) {
 	c := NewController(Config{Timing: DefaultTiming})
 	now := c.started.Add(time.Hour)
 	epoch := func(zone string, until time.Duration) outcome.Shard {
@@ -42,8 +42,8 @@
 	}
 }
 
-// The last node of a zone keeps its epoch going while it leaves; otherwise nobody would remember keys of the present.
-func TestHomesWhileTheLastNodeOfAZoneLeaves(t *testing.T) {
+// The last node of a zone must continue the epoch while it leaves; otherwise no node would own current keys.
+func TestKeyOwnersWhileLastNodeOfZoneLeaves(t *testing.T) {
 	up := membership.Member{Node: "access_0", Incarnation: 3, Zone: "lisbon_1", State: membership.Up}
 	last := []outcome.Member{{Node: outcome.Node{Name: "access_1", Incarnation: 4}, Service: "access"}}
 	for name, tc := range map[string]struct {
--- a/internal/control/homes/keeper.go
+++ b/internal/control/homes/keeper.go
@@ -13,12 +13,12 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// promiseTimeout bounds one question to a keeper.
+// promiseTimeout is the timeout for one query to a keeper.
 const promiseTimeout = 500 * time.Millisecond
 
-// chooseKeepers returns the node itself and a node of another availability zone, where there is one: then the loss of a
-// zone leaves a keeper who knows how far the shard was extended. The second keeper stays while it is up; the zones'
-// second keepers are spread over all nodes.
+// chooseKeepers returns this node and a node of another availability zone, or none if there is no such node. If one
+// zone is lost, the other keeper still knows how far the shard was extended. The second keeper is not replaced while it
+// is up. It is selected by a hash of zone and node, which distributes the zones' second keepers over all nodes.
 func (c *Controller) chooseKeepers(b *board.Board, written outcome.Shard) []outcome.Node {
 	if written.IsFirstKeeper(c.config.Self) && len(written.Keepers) > 1 && isEligibleKeeper(b, written.Keepers[1]) {
 		return written.Keepers
@@ -42,7 +42,8 @@
 	return ok && m.Incarnation == n.Incarnation && m.State == membership.Up && m.Zone != b.Self.Zone
 }
 
-// reserve is nothing for a node that leaves, so that nobody waits for its promises.
+// reserve returns how far the end may be moved by promises. It is 0 for a leaving node, so that no other node has to
+// wait for its promises.
 func (c *Controller) reserve(b *board.Board) time.Duration {
 	if b.Self.Draining || b.Backend.Leaving {
 		return 0
@@ -50,8 +51,8 @@
 	return c.config.Timing.Reserve
 }
 
-// writeBase returns the shard on which this node may build: what the platform holds, with the end to which the keepers
-// have moved it. It reports false where no keeper can be asked and the end may still move.
+// writeBase returns the shard that a write must start from: the shard at the platform, with the end to which the
+// keepers have moved it. It reports false if no keeper answers and the end may still be moved.
 func (c *Controller) writeBase(ctx context.Context, b *board.Board, shard string, written outcome.Shard) (outcome.Shard, bool) {
 	base := mergeShards(b.KeyOwners.Shards[shard], written)
 	if len(base.Keepers) == 0 || base.IsFirstKeeper(c.config.Self) {
@@ -68,7 +69,8 @@
 	return base.Extend(base.Limit), true
 }
 
-// fencePromise takes back a keeper's promise and returns the latest end that it promised.
+// fencePromise stops a keeper from giving further promises in the term and returns the latest end that it ever
+// promised.
 func (c *Controller) fencePromise(ctx context.Context, b *board.Board, shard string, term uint64, keeper outcome.Node) (int64, bool) {
 	query := peer.PromiseQuery{Shard: shard, Term: term, Fence: true, Incarnation: keeper.Incarnation}
 	result, ok := c.queryKeeper(ctx, b, keeper, query)
@@ -87,7 +89,7 @@
 	return result, err == nil && result.Known
 }
 
-// Promise answers as a keeper of a shard.
+// Promise answers a query as a keeper of a shard.
 func (c *Controller) Promise(query peer.PromiseQuery) peer.PromiseResult {
 	if query.Incarnation != c.config.Self.Incarnation {
 		return peer.PromiseResult{}
@@ -100,8 +102,8 @@
 	return peer.PromiseResult{Known: true, Granted: c.promises.Grant(query.Shard, query.Term, query.Until)}
 }
 
-// extendByPromise moves the end of a shard of which this node is the first keeper, by the promise of both, where no more than
-// the given time is left. It reports whether the end was moved.
+// extendByPromise moves the end of a shard by the promises of both keepers, if this node is the first keeper and no
+// more than maxRemaining is left until the end. It reports whether the end was moved.
 func (c *Controller) extendByPromise(ctx context.Context, offerer Offerer, shard string, maxRemaining time.Duration) bool {
 	b := c.config.Board.Snapshot()
 	known := b.KeyOwners.Shards[shard]
@@ -124,7 +126,8 @@
 	return true
 }
 
-// obtainPromises asks this node itself first, so that whoever asks it later learns of the end.
+// obtainPromises reports whether both keepers promise the new end. This node is queried first, so that a later query
+// to it returns that end.
 func (c *Controller) obtainPromises(ctx context.Context, b *board.Board, shard string, known outcome.Shard, until int64) bool {
 	for _, keeper := range known.Keepers {
 		query := peer.PromiseQuery{Shard: shard, Term: known.Term, Until: until, Incarnation: keeper.Incarnation}
