--- a/internal/control/members/members.go
+++ b/internal/control/members/members.go
@@ -1,12 +1,12 @@
-// Package members keeps the board's list of members in step with the platform's store, and this node's own entry in
-// the store in step with the board. The entry stands under a lease, so that it goes away with the node.
+// Package members updates the board's list of members from the platform's store, and this node's own entry in the
+// store from the board. The entry is bound to a lease, so that the store deletes it after the node has failed.
 //
 // # Usage
 //
 //	c := members.NewController(members.Config{Board: loop, Store: s, Log: log})
 //	c.Run(ctx)
 //
-// An entry is the JSON of a membership.Member under the key "members/" and the node's name.
+// An entry is a membership.Member as JSON. Its key is "members/" followed by the node's name.
 package members
 
 import (
@@ -27,50 +27,50 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// Prefix begins the keys of all entries.
+// Prefix is the prefix of the keys of all entries.
 const Prefix = "members/"
 
 const (
-	// leaseDuration is how long an entry outlives its node.
+	// leaseDuration is the time from the last renewal until the store deletes the entry.
 	leaseDuration = 4 * time.Second
-	// renewInterval is the time between renewals.
+	// renewInterval is the time between renewals of the lease.
 	renewInterval = 1300 * time.Millisecond
-	// checkInterval is the longest time between looks at whether the own entry still says what is so.
+	// checkInterval is the longest time between two checks of whether the own entry is up to date.
 	checkInterval = 300 * time.Millisecond
-	// writeTimeout bounds one call for the own entry.
+	// writeTimeout is the timeout for one call to the store about the own entry.
 	writeTimeout = 700 * time.Millisecond
-	// minWriteBackoff is the pause after a call that failed; each further one in a row doubles it, up to maxWriteRetry. An entry
-	// that lapsed in an outage of the store is back within two seconds of its end.
+	// minWriteBackoff is the backoff after a failed call. Each further failure in a row doubles it, up to maxWriteBackoff.
+	// With these values, an entry that expired during an outage of the store is restored within two seconds of its end.
 	minWriteBackoff = 150 * time.Millisecond
 	maxWriteBackoff = 600 * time.Millisecond
-	// watchTimeout is how long one watch waits.
+	// watchTimeout is how long one watch request waits for a change.
 	watchTimeout = 30 * time.Second
-	// refreshInterval is the time between looks for members that were kept long enough.
+	// refreshInterval is the time between checks for unconfirmed members whose retention has ended.
 	refreshInterval = time.Second
 )
 
-// Config sets a Controller up.
+// Config configures a Controller.
 type Config struct {
 	Board *board.Loop
 	Store store.Store
 	Log   *events.Limiter
 }
 
-// Controller is both halves: the list that is read, and the entry that is written.
+// Controller reads the list of members from the store and maintains this node's entry in it.
 type Controller struct {
 	config Config
 	roster *roster.Roster
 	entry  ownEntry
-	// missingAtRevision is the revision at which the store was last seen without the own entry.
+	// missingAtRevision is the latest revision at which the store was observed without the own entry.
 	missingAtRevision atomic.Uint64
 }
 
-// NewController returns a controller that knows nobody.
+// NewController returns a controller with an empty list of members.
 func NewController(config Config) *Controller {
 	return &Controller{config: config, roster: roster.New(roster.DefaultConfig)}
 }
 
-// Run works until the context ends.
+// Run reads members and maintains the own entry until the context ends.
 func (c *Controller) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -78,7 +78,7 @@
 	c.follow(ctx)
 }
 
-// rosterUpdate is what the follower saw, in the order it came.
+// rosterUpdate is a snapshot of all entries or a list of changes, as received by the follower.
 type rosterUpdate struct {
 	isSnapshot bool
 	revision   uint64
@@ -86,7 +86,7 @@
 	changes    []roster.Change
 }
 
-// follow keeps the board's members up to date. The roster belongs to this goroutine.
+// follow updates the board's members from the store. Only its goroutine uses the roster.
 func (c *Controller) follow(ctx context.Context) {
 	updates := make(chan rosterUpdate)
 	send := func(ctx context.Context, update rosterUpdate) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// parseEntries reads items. One that can't be read names nobody.
+// parseEntries parses items and skips those that are invalid.
 func (c *Controller) parseEntries(items []store.Item) []roster.Entry {
 	var entries []roster.Entry
 	for _, item := range items {
@@ -166,7 +166,7 @@
 
 func entryErrorText(err error) string {
 	if err == nil {
-		return "node or peer_address is missing"
+		return "node or peer_address is empty"
 	}
 	return err.Error()
 }
@@ -185,7 +185,7 @@
 	return changes
 }
 
-// publish writes the members to the board where they have changed.
+// publish writes the members to the board if they have changed.
 func (c *Controller) publish(ctx context.Context) {
 	next := groupMembers(c.roster.Members(time.Now()))
 	before := c.config.Board.Snapshot().Members
@@ -243,17 +243,17 @@
 	c.config.Log.Emit(time.Now(), events.PlatformLost, events.Fields{"error": err.Error()})
 }
 
-// ownEntry is what is known of this node's entry in the store.
+// ownEntry is the known state of this node's entry in the store.
 type ownEntry struct {
 	lease     uint64
 	renewedAt time.Time
 	revision  uint64
-	// isStored says that the store is known to hold written under the revision.
+	// isStored reports whether the store is known to hold storedMember at the revision.
 	isStored     bool
 	storedMember membership.Member
 }
 
-// maintainEntry keeps the own entry in the store.
+// maintainEntry keeps the own entry in the store up to date.
 func (c *Controller) maintainEntry(ctx context.Context) {
 	backoff := pause.Backoff{Initial: minWriteBackoff, Max: maxWriteBackoff}
 	for ctx.Err() == nil {
@@ -272,7 +272,7 @@
 	}
 }
 
-// waitForChange returns when the channel is closed, at the latest after the time.
+// waitForChange waits until the channel is closed, the timeout has passed or the context ends.
 func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -283,7 +283,7 @@
 	}
 }
 
-// updateEntry makes one call that is due, and reports true where none is.
+// updateEntry makes at most one call to the store. It reports true if none was due.
 func (c *Controller) updateEntry(ctx context.Context) (done bool, err error) {
 	own, known := OwnMember(c.config.Board.Snapshot())
 	if !known {
@@ -314,7 +314,7 @@
 	return nil
 }
 
-// renewLease keeps the lease. A lease that ended took the entry along.
+// renewLease renews the lease. If the lease has expired, the store has deleted the entry with it.
 func (c *Controller) renewLease(ctx context.Context) error {
 	start := time.Now()
 	err := c.config.Store.Renew(ctx, c.entry.lease)
@@ -349,8 +349,8 @@
 	return nil
 }
 
-// readRevision learns the revision of the entry that stands, such as that of an earlier process or of a write whose answer
-// was lost.
+// readRevision reads the revision of the entry in the store, which an earlier process may have written, or a write
+// whose response was lost.
 func (c *Controller) readRevision(ctx context.Context, node string) error {
 	item, err := c.config.Store.Get(ctx, Prefix+node)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -360,7 +360,7 @@
 	return nil
 }
 
-// OwnMember returns the entry of this node, or false while no backend server has announced itself.
+// OwnMember returns the entry of this node. It reports false while no backend server has announced itself.
 func OwnMember(b *board.Board) (membership.Member, bool) {
 	state := membership.Up
 	if b.Self.Leaving || b.Backend.Leaving {
--- a/internal/control/members/members_test.go
+++ b/internal/control/members/members_test.go
@@ -18,7 +18,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/kv"
 )
 
-// startController runs a node's controller until the context ends and returns its board.
+// startController runs the controller of a node until the context ends and returns the node's board.
 func startController(ctx context.Context, group *conc.WaitGroup, s *kv.Store, node string, incarnation uint64) *board.Loop {
 	loop := board.NewLoop(board.Board{
 		Self:    board.Self{Node: node, Zone: "zone_1", PeerAddress: node + ":1", Incarnation: incarnation},
@@ -35,42 +35,42 @@
 	return m, ok
 }
 
-func TestMembersThroughTroubleOfTheStore(t *testing.T) {
+func TestMembersDuringStoreFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		disturb func(s *kv.Store)
-		// unconfirmed is whether node_2's entry is missing right after.
+		// unconfirmed is whether node_2's entry is missing immediately after the disturbance.
 		unconfirmed bool
 	}{
 		"calm": {func(*kv.Store) {}, false},
-		"an outage in which leases lapse": {func(s *kv.Store) {
+		"outage in which leases expire": {func(s *kv.Store) {
 			s.SetFaults(kv.Faults{Down: true, ExpireLeases: true})
 			time.Sleep(10 * time.Second)
 			s.SetFaults(kv.Faults{})
 			time.Sleep(2 * time.Second)
 		}, false},
-		"an outage in which leases pause": {func(s *kv.Store) {
+		"outage in which leases are suspended": {func(s *kv.Store) {
 			s.SetFaults(kv.Faults{Down: true})
 			time.Sleep(10 * time.Second)
 			s.SetFaults(kv.Faults{})
 			time.Sleep(2 * time.Second)
 		}, false},
-		"one node is refused and its entry revoked": {func(s *kv.Store) {
+		"one node is refused and its entry deleted": {func(s *kv.Store) {
 			s.SetFaults(kv.Faults{RefuseNodes: map[string]bool{"node_2": true}})
 			s.Revoke("members/node_2")
 			time.Sleep(5 * time.Second)
 		}, true},
-		"an entry is revoked while its lease goes on": {func(s *kv.Store) {
+		"entry is deleted while its lease is valid": {func(s *kv.Store) {
 			s.Revoke("members/node_2")
 			time.Sleep(2 * time.Second)
 		}, false},
-		"answers to writes are lost": {func(s *kv.Store) {
+		"responses to writes are lost": {func(s *kv.Store) {
 			s.SetFaults(kv.Faults{LoseAnswers: true})
 			s.Revoke("members/node_2")
 			time.Sleep(2 * time.Second)
 			s.SetFaults(kv.Faults{})
 			time.Sleep(2 * time.Second)
 		}, false},
-		"writes are done late": {func(s *kv.Store) {
+		"writes are applied late": {func(s *kv.Store) {
 			s.SetFaults(kv.Faults{LateWrites: true})
 			s.Revoke("members/node_2")
 			time.Sleep(2 * time.Second)
@@ -94,14 +94,14 @@
 				m, ok := findMember(first, "node_2")
 				is.True(ok)
 				is.Equal(m.Unconfirmed, test.unconfirmed)
-				is.Equal(len(first.Snapshot().Members.ByService["keys"]), 2) // it gets requests all the while
+				is.Equal(len(first.Snapshot().Members.ByService["keys"]), 2) // node_2 accepts requests throughout
 			})
 		})
 	}
 }
 
-// A process that starts again under its name takes its entry over, and a node that says that it leaves gets nothing more.
-func TestEntryFollowsTheNode(t *testing.T) {
+// A restarted process takes over the entry of its node, and a leaving node is not listed as accepting requests.
+func TestEntryIsUpdatedOnRestartAndLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := kv.New()
