--- a/internal/control/routes/routes.go
+++ b/internal/control/routes/routes.go
@@ -1,5 +1,6 @@
-// Package routes holds the routes in force: which requests, by host and path, go to which services, and what each of
-// them may cost. A Table is complete, checked and never changes; a newer version replaces it whole.
+// Package routes holds the routing configuration: which services handle a request, by its host and path, and the
+// request's timeout, rank and number of attempts. A Table is validated and immutable; a newer version replaces all of
+// it.
 //
 // # Usage
 //
@@ -19,32 +20,33 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
 )
 
-// Cluster is a service that gets a part of a route's requests.
+// Cluster is a service that receives a fraction of a route's requests.
 type Cluster struct {
 	Service string `json:"service"`
-	// Weight is the part, against the sum of the route's weights.
+	// Weight divided by the sum of the route's weights is the fraction.
 	Weight int `json:"weight"`
 }
 
-// Route is one kind of request.
+// Route is the configuration of one kind of request.
 type Route struct {
 	Name string `json:"name"`
 	Host string `json:"host"`
-	// Prefix begins the paths of the route, and both begins and ends with a slash.
+	// Prefix is the prefix of the paths of the route. It begins and ends with a slash.
 	Prefix     string `json:"prefix"`
 	Idempotent bool   `json:"idempotent"`
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the longest time until a caller gets a response.
 	Timeout time.Duration `json:"timeout"`
-	// TargetLatency is the time within which an answer is worth most.
+	// TargetLatency is the latency within which a response has its full value.
 	TargetLatency time.Duration `json:"target"`
-	// Rank is 0 for the most urgent.
+	// Rank is the shedding rank; 0 is the most urgent and shed last.
 	Rank int `json:"rank"`
-	// MaxAttempts is how many backend servers may get one request.
+	// MaxAttempts is the number of backend servers to which one request may be sent.
 	MaxAttempts int       `json:"attempts"`
 	Clusters    []Cluster `json:"clusters"`
 }
 
-// Service returns the service that gets the request with the number, so that any run of numbers follows the weights.
+// Service returns the service for the request with the given number. Over any run of consecutive numbers, the requests
+// are distributed by weight.
 func (r *Route) Service(number uint64) string {
 	if len(r.Clusters) == 1 {
 		return r.Clusters[0].Service
@@ -63,32 +65,32 @@
 	return r.Clusters[len(r.Clusters)-1].Service
 }
 
-// goldenStep is 2^64 over the golden ratio. Multiples of it fall evenly over all numbers of 64 bits.
+// goldenStep is 2^64 divided by the golden ratio. Its multiples, modulo 2^64, are evenly distributed.
 const goldenStep = 0x9E3779B97F4A7C15
 
-// quasiRandom returns a point below total. Those of consecutive numbers fall evenly.
+// quasiRandom maps a number to a value below total. The values of consecutive numbers are evenly distributed.
 func quasiRandom(number, total uint64) uint64 {
 	const upperHalf = 32
 	return ((number * goldenStep) >> upperHalf) * total >> upperHalf
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits are the limits on the size and duration of callers' requests.
 type Limits struct {
-	// MaxHeaderBytes and MaxBody are in bytes.
+	// MaxHeaderBytes and MaxBodyBytes are the largest sizes of a request's headers and of its body.
 	MaxHeaderBytes int64         `json:"max_header"`
 	MaxBodyBytes   int64         `json:"max_body"`
 	HeaderTimeout  time.Duration `json:"header"`
 	IdleTimeout    time.Duration `json:"idle"`
 }
 
-// Service is what the operators say of one service.
+// Service is the operators' configuration of one service.
 type Service struct {
 	Name string `json:"name"`
-	// MaxConnections is how many connections each of its backend servers takes.
+	// MaxConnections is the number of connections that each of its backend servers accepts.
 	MaxConnections int `json:"connections"`
 }
 
-// Catalogue is one version of all routes.
+// Catalogue is one version of the routing configuration.
 type Catalogue struct {
 	Version  uint64    `json:"version"`
 	Routes   []Route   `json:"routes"`
@@ -100,12 +102,12 @@
 type Table struct {
 	Catalogue
 
-	// byHost holds the routes of each host, the longest prefix first.
+	// byHost holds the routes of each host, sorted by decreasing length of the prefix.
 	byHost   map[string][]*Route
 	services map[string]Service
 }
 
-// NewTable checks the catalogue and returns its table, or a trace.BadParameter that names the first fault.
+// NewTable validates the catalogue and returns its table, or a trace.BadParameter that names the first invalid value.
 func NewTable(c Catalogue) (*Table, error) {
 	t := &Table{Catalogue: c, byHost: map[string][]*Route{}, services: map[string]Service{}}
 	for _, s := range c.Services {
@@ -135,14 +137,14 @@
 	case r.Rank < 0:
 		return trace.BadParameter("route %q: rank must not be negative", r.Name)
 	case r.MaxAttempts < 1:
-		return trace.BadParameter("route %q: at least one attempt is needed", r.Name)
+		return trace.BadParameter("route %q: attempts must be at least 1", r.Name)
 	case len(r.Clusters) == 0:
-		return trace.BadParameter("route %q goes to no service", r.Name)
+		return trace.BadParameter("route %q has no clusters", r.Name)
 	}
 	total := 0
 	for _, c := range r.Clusters {
 		if _, known := t.services[c.Service]; !known || c.Weight < 0 {
-			return trace.BadParameter("route %q: service %q is not known or its weight is negative", r.Name, c.Service)
+			return trace.BadParameter("route %q: service %q is unknown or its weight is negative", r.Name, c.Service)
 		}
 		total += c.Weight
 	}
@@ -153,7 +155,7 @@
 	return nil
 }
 
-// Match returns the route of a request: that with the longest prefix which begins the path.
+// Match returns the route for the host with the longest prefix that matches the path.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, r := range t.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -163,7 +165,7 @@
 	return nil, false
 }
 
-// MaxConnections returns how many connections a backend server of the service takes, or 0 where that isn't known.
+// MaxConnections returns the number of connections that a backend server of the service accepts, or 0 if it is unknown.
 func (t *Table) MaxConnections(service string) int {
 	return t.services[service].MaxConnections
 }
