--- a/internal/control/settings/parse.go
+++ b/internal/control/settings/parse.go
@@ -12,13 +12,13 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/inifile"
 )
 
-// Options are the options of ff for the commands that have no settings file: a flag overrides the environment.
+// Options returns the ff options for commands without a settings file: a flag overrides the environment.
 func Options() []ff.Option {
 	return []ff.Option{ff.WithEnvVarPrefix(environmentPrefix)}
 }
 
-// Options are the options of ff for the flags that s was registered with. They let s remember which line of the file
-// gave each value.
+// Options returns the ff options for the flags that s was registered with. While they are parsed, s records the file
+// and line of each value.
 func (s *Settings) Options(flags *flag.FlagSet) []ff.Option {
 	p := &fileParser{settings: s, flags: flags}
 	return []ff.Option{
@@ -28,8 +28,8 @@
 	}
 }
 
-// Parse reads the flags from the arguments, the environment and the INI file that -config names. Faults of the file
-// are a trace.BadParameter that wraps inifile.Faults.
+// Parse sets the flags from the arguments, the environment and the INI file named by -config. If the file has faults,
+// the error is a trace.BadParameter with the text of inifile.Faults.
 func (s *Settings) Parse(flags *flag.FlagSet, arguments []string) error {
 	if flags.Lookup(configFlag) == nil {
 		flags.String(configFlag, "", "INI file with settings")
@@ -37,7 +37,7 @@
 	return trace.Wrap(ff.Parse(flags, arguments, s.Options(flags)...))
 }
 
-// CheckFile reads settings from INI text alone, without flags and environment, and returns all of its faults.
+// CheckFile reads settings from INI text, without flags and environment, and returns all of its faults.
 func CheckFile(name string, source []byte) inifile.Faults {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	s := Register(flags)
@@ -58,7 +58,7 @@
 	flags    *flag.FlagSet
 }
 
-// parse hands each key of each section on as section.key.
+// parse calls set for each key, under the name section.key.
 func (p *fileParser) parse(r io.Reader, set func(name, value string) error) error {
 	source, err := io.ReadAll(r)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// setAll sets every key and returns the names of those whose values could not be read.
+// setAll sets the flag of every key and returns the names of the flags whose values are invalid.
 func (p *fileParser) setAll(file *inifile.File, set func(name, value string) error) map[string]bool {
 	overridden := map[string]bool{}
 	p.flags.Visit(func(f *flag.Flag) { overridden[f.Name] = true })
@@ -104,7 +104,7 @@
 	return ""
 }
 
-// expectedValue says which values a flag takes.
+// expectedValue describes the values that a flag accepts.
 func expectedValue(f *flag.Flag) string {
 	getter, ok := f.Value.(flag.Getter)
 	if !ok {
@@ -122,7 +122,7 @@
 	}
 }
 
-// origin is where the value of a setting stands.
+// origin is the file and line of a setting's value.
 type origin struct {
 	file string
 	line int
@@ -135,7 +135,7 @@
 	s.origins[section+"."+key] = origin{file: file.Name(), line: file.Line(section, key)}
 }
 
-// addOrigins adds file and line to the faults of values that came from a file.
+// addOrigins sets the file and line of faults whose values were read from a file.
 func (s *Settings) addOrigins(faults inifile.Faults) inifile.Faults {
 	for i, f := range faults {
 		o := s.origins[f.Section+"."+f.Key]
--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the settings of a node: flags override the environment, which overrides the INI
+// Package settings reads and validates the settings of a node. Flags override the environment, which overrides the INI
 // file.
 //
 // # Usage
@@ -8,7 +8,7 @@
 //	err := s.Parse(flags, arguments)
 //	err = s.Check()
 //
-// A key "address" of the INI section [caller] is the flag -caller.address and the environment variable
+// The key "address" in the INI section [caller] corresponds to the flag -caller.address and the environment variable
 // COMFREYHOIST_CALLER_ADDRESS.
 package settings
 
@@ -43,25 +43,26 @@
 	Log      Log
 	Process  Process
 
-	// origins are the places of the values that came from a file, by the name of the flag.
+	// origins maps flag names to the places of the values that were read from a file.
 	origins map[string]origin
 }
 
-// Node says who the node is.
+// Node identifies the node.
 type Node struct {
 	Name   string
 	Zone   string
 	Region string
-	// Service is that of the local backend server, where the node goes by routes.
+	// Service is the service of the local backend server. Used only on a node configured by routes.
 	Service string
-	// Zones are all availability zones that remember keys; the same list everywhere.
+	// Zones lists all availability zones that own idempotency keys, separated by commas. It must be the same on all
+	// nodes.
 	Zones string
 }
 
 // Caller is the listener for callers and for the local backend server's own calls.
 type Caller struct {
 	Address string
-	// MaxBody is in bytes.
+	// MaxBody is the largest size of a request's body in bytes.
 	MaxBody       int64
 	HeaderTimeout time.Duration
 	BodyTimeout   time.Duration
@@ -70,19 +71,20 @@
 // Peer is the listener for other nodes.
 type Peer struct {
 	Address string
-	// Advertised is the address that other nodes are told; empty for Address.
+	// Advertised is the address announced to other nodes; if empty, it is Address.
 	Advertised string
-	// MaxConnections bounds the connections to one other node.
+	// MaxConnections is the maximum number of connections to one other node.
 	MaxConnections int
-	// IdleTimeout is how long a connection of another node may wait before its next call.
+	// IdleTimeout is the time without a call after which a connection from another node is closed.
 	IdleTimeout time.Duration
-	// Seeds are peer addresses to join through while the platform is away, separated by commas.
+	// Seeds are peer addresses, separated by commas, through which the node joins while the platform is unreachable.
 	Seeds string
 }
 
-// Backend is the listener for the local backend server's announcements, and the bounds of its use.
+// Backend is the listener for the local backend server's announcements, and the limit of the queueing delay for it.
 type Backend struct {
 	Address string
+	// MaxWait is the longest queueing delay of a request that waits for a slot.
 	MaxWait time.Duration
 }
 
@@ -93,21 +95,21 @@
 	Tokens string
 }
 
-// Ready is the listener that tells whether the node takes new work; used only where the node goes by routes.
+// Ready is the listener that reports whether the node accepts new requests. Used only on a node configured by routes.
 type Ready struct {
 	Address string
 }
 
-// Metrics is the listener for metrics and the dump, where the node goes by routes.
+// Metrics is the listener for metrics and the dump. Used only on a node configured by routes.
 type Metrics struct {
 	Address string
 }
 
-// The sources of what a node goes by.
+// The sources of a node's configuration, the values of Platform.Source.
 const (
-	// SourceDocuments takes the documents that teams give to the administration API.
+	// SourceDocuments configures the node by the documents that teams write through the administration API.
 	SourceDocuments = "documents"
-	// SourceRoutes takes the routes that operators write to the platform's store.
+	// SourceRoutes configures the node by the routes that operators write to the platform's store.
 	SourceRoutes = "routes"
 )
 
@@ -115,31 +117,31 @@
 type Platform struct {
 	URL     string
 	Timeout time.Duration
-	// Source is FromDocuments or FromRoutes.
+	// Source is SourceDocuments or SourceRoutes.
 	Source string
 }
 
-// Keys bounds what is remembered of the keys of requests that are not idempotent.
+// Keys limits the memory for the idempotency keys of requests that are not idempotent.
 type Keys struct {
-	// Window is how long callers may send a key again; the same on every node.
+	// Window is the time for which callers may send a key again. It must be the same on all nodes.
 	Window time.Duration
-	// MaxKeys and MaxBytes bound the memory. At the bound new keys are refused.
+	// MaxKeys and MaxBytes limit the number of keys and their memory. At either limit, new keys are refused.
 	MaxKeys  int
 	MaxBytes int
 }
 
-// Log sets what is logged.
+// Log configures logging.
 type Log struct {
 	Level string
 }
 
-// Process sets the bounds of the process.
+// Process holds the limits of the process.
 type Process struct {
-	// Memory is how many megabytes it may use; 0 for no bound.
+	// Memory is the maximum memory of the process in megabytes; 0 means no limit.
 	Memory int64
 }
 
-// Default values.
+// Default values and limits.
 const (
 	defaultMaxBody         = 1 << 20
 	defaultHeaderTimeout   = 5 * time.Second
@@ -172,7 +174,7 @@
 	configFlag             = "config"
 )
 
-// Register adds a flag for every setting and returns where their values will be.
+// Register adds a flag for every setting. The returned Settings receive the values when the flags are parsed.
 func Register(flags *flag.FlagSet) *Settings {
 	s := &Settings{}
 	flags.StringVar(&s.Node.Name, "node.name", "", "unique name of this node")
@@ -180,33 +182,33 @@
 	flags.StringVar(&s.Node.Region, "node.region", "", "region of this node")
 	flags.StringVar(&s.Node.Service, "node.service", "", "service of the local backend server; only with platform.source = routes")
 	flags.StringVar(&s.Node.Zones, "node.zones", "", "all availability zones, separated by commas")
-	flags.StringVar(&s.Caller.Address, "caller.address", "", "IP and port that callers use")
-	flags.Int64Var(&s.Caller.MaxBody, "caller.max_body", defaultMaxBody, "largest body in bytes")
+	flags.StringVar(&s.Caller.Address, "caller.address", "", "IP and port on which the node listens for callers")
+	flags.Int64Var(&s.Caller.MaxBody, "caller.max_body", defaultMaxBody, "maximum size of a request body in bytes")
 	flags.DurationVar(&s.Caller.HeaderTimeout, "caller.header_timeout", defaultHeaderTimeout, "time for a caller to send its headers")
 	flags.DurationVar(&s.Caller.BodyTimeout, "caller.body_timeout", defaultBodyTimeout, "time for a caller to send its whole request")
-	flags.StringVar(&s.Peer.Address, "peer.address", "", "IP and port that other nodes use")
-	flags.StringVar(&s.Peer.Advertised, "peer.advertised", "", "IP and port that other nodes are told; empty for peer.address")
-	flags.IntVar(&s.Peer.MaxConnections, "peer.max_connections", defaultPeerConns, "most connections to one other node")
+	flags.StringVar(&s.Peer.Address, "peer.address", "", "IP and port on which the node listens for other nodes")
+	flags.StringVar(&s.Peer.Advertised, "peer.advertised", "", "IP and port announced to other nodes; if empty, peer.address")
+	flags.IntVar(&s.Peer.MaxConnections, "peer.max_connections", defaultPeerConns, "maximum number of connections to one other node")
 	flags.DurationVar(&s.Peer.IdleTimeout, "peer.idle_timeout", defaultPeerIdleTimeout, "time without a call after which a connection from another node is closed")
-	flags.StringVar(&s.Peer.Seeds, "peer.seeds", "", "peer addresses to join through while the platform is away")
+	flags.StringVar(&s.Peer.Seeds, "peer.seeds", "", "peer addresses, separated by commas, through which the node joins while the platform is unreachable")
 	flags.StringVar(&s.Backend.Address, "backend.address", "", "IP and port for the local backend server's announcements and for health, metrics and the dump")
-	flags.DurationVar(&s.Backend.MaxWait, "backend.max_wait", defaultMaxWait, "longest wait for a slot")
-	flags.StringVar(&s.Operator.Address, "operator.address", "", "IP and port of the administration API; empty for none")
+	flags.DurationVar(&s.Backend.MaxWait, "backend.max_wait", defaultMaxWait, "maximum queueing delay of a request that waits for a slot")
+	flags.StringVar(&s.Operator.Address, "operator.address", "", "IP and port of the administration API; if empty, it is disabled")
 	flags.StringVar(&s.Operator.Tokens, "operator.tokens", "", "team:token or team/editor:token pairs, separated by commas")
-	flags.StringVar(&s.Ready.Address, "ready.address", "", "IP and port that tell whether the node takes new work; only with platform.source = routes")
-	flags.StringVar(&s.Metrics.Address, "metrics.address", "", "IP and port of metrics and the dump; only with platform.source = routes, empty for none")
-	flags.StringVar(&s.Platform.Source, "platform.source", SourceDocuments, "what the node goes by: documents of teams, or routes of operators")
+	flags.StringVar(&s.Ready.Address, "ready.address", "", "IP and port that report whether the node accepts new requests; only with platform.source = routes")
+	flags.StringVar(&s.Metrics.Address, "metrics.address", "", "IP and port of metrics and the dump; only with platform.source = routes; if empty, it is disabled")
+	flags.StringVar(&s.Platform.Source, "platform.source", SourceDocuments, "source of the node's configuration: documents (written by teams) or routes (written by operators)")
 	flags.StringVar(&s.Platform.URL, "platform.url", "", "URL of the platform's key-value service")
-	flags.DurationVar(&s.Platform.Timeout, "platform.timeout", defaultPlatformTimeout, "time for one answer of the platform")
+	flags.DurationVar(&s.Platform.Timeout, "platform.timeout", defaultPlatformTimeout, "timeout of one call to the platform")
 	flags.DurationVar(&s.Keys.Window, "keys.window", defaultKeysWindow, "time for which callers may send a key again; the same on every node")
-	flags.IntVar(&s.Keys.MaxKeys, "keys.max_keys", defaultMaxKeys, "most keys that are remembered")
-	flags.IntVar(&s.Keys.MaxBytes, "keys.max_bytes", defaultMaxKeyBytes, "most memory for keys and their answers, in bytes")
+	flags.IntVar(&s.Keys.MaxKeys, "keys.max_keys", defaultMaxKeys, "maximum number of remembered keys")
+	flags.IntVar(&s.Keys.MaxBytes, "keys.max_bytes", defaultMaxKeyBytes, "maximum memory for keys and their responses, in bytes")
 	flags.StringVar(&s.Log.Level, "log.level", "info", "debug, info, warn or error")
-	flags.Int64Var(&s.Process.Memory, "process.memory", 0, "most memory in megabytes, which the node stays below; 0 for no bound")
+	flags.Int64Var(&s.Process.Memory, "process.memory", 0, "maximum memory of the process in megabytes; 0 for no limit")
 	return s
 }
 
-// Check returns all faults of the values at once, as a trace.BadParameter.
+// Check validates the values and returns all faults in one trace.BadParameter.
 func (s *Settings) Check() error {
 	faults := s.addOrigins(s.faults())
 	if len(faults) == 0 {
@@ -256,7 +258,7 @@
 	return splitList(n.Zones)
 }
 
-// AdvertisedAddress returns the address that other nodes are told.
+// AdvertisedAddress returns the address announced to other nodes.
 func (p Peer) AdvertisedAddress() string {
 	if p.Advertised != "" {
 		return p.Advertised
@@ -264,7 +266,7 @@
 	return p.Address
 }
 
-// IP returns the IP from which the node connects to others and to the platform.
+// IP returns the IP from which the node connects to other nodes and to the platform.
 func (p Peer) IP() net.IP {
 	host, _, err := net.SplitHostPort(p.Address)
 	if err != nil {
@@ -288,7 +290,7 @@
 	return items
 }
 
-// checker collects faults.
+// checker validates values and collects their faults.
 type checker struct {
 	faults inifile.Faults
 }
@@ -308,7 +310,7 @@
 	seen := map[string]bool{}
 	for _, z := range n.ZoneList() {
 		if seen[z] {
-			c.fault("node.zones", z+" stands twice")
+			c.fault("node.zones", z+" is listed twice")
 		}
 		seen[z] = true
 	}
@@ -349,7 +351,7 @@
 	}
 }
 
-// keys notes bounds that contradict each other or what a node takes from callers.
+// keys checks the limits for keys, also against each other and against the size of callers' requests.
 func (c *checker) keys(s *Settings) {
 	if s.Keys.Window < minKeysWindow || s.Keys.Window > maxKeysWindow {
 		c.fault("keys.window", "must be from "+minKeysWindow.String()+", the longest deadline of a document, to "+maxKeysWindow.String())
@@ -371,7 +373,7 @@
 	}
 }
 
-// source notes what only one of the sources needs.
+// source checks the source, and the settings that only one of the sources uses.
 func (c *checker) source(s *Settings) {
 	switch s.Platform.Source {
 	case SourceDocuments:
@@ -396,11 +398,11 @@
 		return
 	}
 	if o.Address != "" && len(tokens) == 0 {
-		c.fault("operator.tokens", "must be set where operator.address is, or nobody may use it")
+		c.fault("operator.tokens", "must be set if operator.address is set: without tokens every request is refused")
 	}
 }
 
-// distinctAddresses notes the addresses that stand under two settings.
+// distinctAddresses adds a fault for each address that another setting has already.
 func (c *checker) distinctAddresses(s *Settings) {
 	listeners := []struct{ name, address string }{
 		{"caller.address", s.Caller.Address},
--- a/internal/control/settings/settings_test.go
+++ b/internal/control/settings/settings_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestFaultsOfAFile(t *testing.T) {
+func TestFileFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want string
@@ -80,21 +80,21 @@
 		"too long":          {validSettings + "timeout = 1h", "node.ini:13: [platform] timeout: must be more than 0 and at most 30s"},
 		"bad level":         {validSettings + "[log]\nlevel = loud", "node.ini:14: [log] level: must be debug, info, warn or error"},
 		"short token":       {validSettings + "[operator]\ntokens = a:b", "node.ini:14: [operator] tokens: the token of \"a\" is shorter than 16 bytes"},
-		"team twice":        {validSettings + "[operator]\ntokens = a:0123456789abcdef,a:fedcba9876543210", "node.ini:14: [operator] tokens: the team \"a\" stands twice"},
-		"editor twice":      {validSettings + "[operator]\ntokens = a/ana:0123456789abcdef,a/ana:fedcba9876543210", "node.ini:14: [operator] tokens: the editor \"a/ana\" stands twice"},
+		"team twice":        {validSettings + "[operator]\ntokens = a:0123456789abcdef,a:fedcba9876543210", "node.ini:14: [operator] tokens: the team \"a\" is listed twice"},
+		"editor twice":      {validSettings + "[operator]\ntokens = a/ana:0123456789abcdef,a/ana:fedcba9876543210", "node.ini:14: [operator] tokens: the editor \"a/ana\" is listed twice"},
 		"one token for two": {validSettings + "[operator]\ntokens = a/ana:0123456789abcdef,a/rui:0123456789abcdef", "node.ini:14: [operator] tokens: \"a/ana\" and \"a/rui\" have the same token"},
 		"no editor":         {validSettings + "[operator]\ntokens = a/:0123456789abcdef", "node.ini:14: [operator] tokens: the editor of \"a/\" must be letters, digits, and . _ @ - after the first, at most 64 in all"},
 		"editor's token":    {validSettings + "[operator]\ntokens = a/ana:b", "node.ini:14: [operator] tokens: the token of \"a/ana\" is shorter than 16 bytes"},
 		"no team":           {validSettings + "[operator]\ntokens = /ana:0123456789abcdef", "node.ini:14: [operator] tokens: a pair is not team:token or team/editor:token"},
 		"editors":           {validSettings + "[operator]\ntokens = a:0123456789abcdef,a/ana:fedcba9876543210,*/rui:fedcba987654321x", ""},
-		"nobody may use it": {validSettings + "[operator]\naddress = 127.0.0.1:7003", "node.ini:13: [operator] tokens: must be set where operator.address is, or nobody may use it"},
+		"no tokens":         {validSettings + "[operator]\naddress = 127.0.0.1:7003", "node.ini:13: [operator] tokens: must be set if operator.address is set: without tokens every request is refused"},
 		"one address twice": {strings.Replace(validSettings, ":7002", ":7000", 1), "node.ini:10: [backend] address: is the same as caller.address"},
 		"keys":              {validSettings + "[keys]\nwindow = 5m\nmax_keys = 1000\nmax_bytes = 2000000", ""},
 		"window too short":  {validSettings + "[keys]\nwindow = 90s", "node.ini:14: [keys] window: must be from 2m0s, the longest deadline of a document, to 10m0s"},
 		"window too long":   {validSettings + "[keys]\nwindow = 1h", "node.ini:14: [keys] window: must be from 2m0s, the longest deadline of a document, to 10m0s"},
 		"too few keys":      {validSettings + "[keys]\nmax_keys = 10", "node.ini:14: [keys] max_keys: must be from 1000 to 10000000"},
-		"no room for keys":  {validSettings + "[keys]\nmax_keys = 300000", "node.ini:13: [keys] max_bytes: must be at least 76800000 for keys.max_keys without their answers"},
-		"no room for one":   {validSettings + "[keys]\nmax_keys = 1000\nmax_bytes = 1000000", "node.ini:15: [keys] max_bytes: must be at least caller.max_body, or one answer fills it"},
+		"too few bytes":     {validSettings + "[keys]\nmax_keys = 300000", "node.ini:13: [keys] max_bytes: must be at least 76800000 for keys.max_keys without their answers"},
+		"body too large":    {validSettings + "[keys]\nmax_keys = 1000\nmax_bytes = 1000000", "node.ini:15: [keys] max_bytes: must be at least caller.max_body, or one answer fills it"},
 		"zone not listed":   {strings.Replace(validSettings, "zones = lisbon_1", "zones = porto_1", 1), "node.ini:4: [node] zones: must hold node.zone"},
 		"name, no IP":       {strings.Replace(validSettings, "127.0.0.1:7002", "localhost:7002", 1), "node.ini:10: [backend] address: the host must be an IP"},
 	} {
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestAllFaultsAtOnceWithTheirPlaces(t *testing.T) {
+func TestAllFaultsAreReportedWithTheirPlaces(t *testing.T) {
 	is := is.New(t)
 	path := write(t, strings.ReplaceAll(validSettings, "127.0.0.1:700", "nowhere:700"))
 	flags := flag.NewFlagSet("node", flag.ContinueOnError)
@@ -123,7 +123,7 @@
 	is.NoErr(err)
 	is.Equal(tokens, []settings.Token{
 		{Team: "access-team", Secret: "0123456789abcdef"},
-		{Team: "access-team", Editor: "ana", Secret: "a:b/c:0123456789abcdef"}, // what follows the first colon is the token
+		{Team: "access-team", Editor: "ana", Secret: "a:b/c:0123456789abcdef"}, // everything after the first colon is the token
 		{Team: "*", Editor: "rui", Secret: "fedcba9876543210"},
 	})
 }
@@ -141,8 +141,8 @@
 	})
 }
 
-// What only nodes that go by routes need is a fault elsewhere, and missing there.
-func TestSourceOfWhatANodeGoesBy(t *testing.T) {
+// The settings that only a node configured by routes uses are required with that source and a fault with the other.
+func TestConfigurationSource(t *testing.T) {
 	const routes = "source = routes\n[ready]\naddress = 127.0.0.1:7004\n"
 	for name, test := range map[string]struct {
 		text string
--- a/internal/control/settings/tokens.go
+++ b/internal/control/settings/tokens.go
@@ -7,16 +7,16 @@
 	"github.com/gravitational/trace"
 )
 
-// Token is a bearer token of the administration API and whose it is.
+// Token is a bearer token of the administration API and its holder.
 type Token struct {
 	Team string
-	// Editor is a person of the team; empty for the team as a whole.
+	// Editor is a member of the team; empty if the token is the team's own.
 	Editor string
-	// Secret is the token itself. It must not get into logs, dumps or errors.
+	// Secret is the token itself. It must not appear in logs, dumps or errors.
 	Secret string
 }
 
-// holder names whose the token is, as the settings do.
+// holder returns the holder of the token in the form that the settings use.
 func (t Token) holder() string {
 	if t.Editor == "" {
 		return t.Team
@@ -24,10 +24,10 @@
 	return t.Team + tokenEditorSeparator + t.Editor
 }
 
-// editorPattern are the names that an editor may have.
+// editorPattern matches valid names of editors.
 var editorPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._@-]{0,63}$`)
 
-// TokenList returns the tokens, of which each holder has one.
+// TokenList parses the tokens. Each holder has one token.
 func (o Operator) TokenList() ([]Token, error) {
 	var tokens []Token
 	for _, pair := range splitList(o.Tokens) {
@@ -60,13 +60,13 @@
 	return t, nil
 }
 
-// checkDistinct returns an error where two tokens can't be told apart.
+// checkDistinct returns an error if the two tokens have the same holder or the same secret.
 func (t Token) checkDistinct(other Token) error {
 	switch {
 	case t.holder() == other.holder() && t.Editor == "":
-		return trace.BadParameter("the team %q stands twice", t.Team)
+		return trace.BadParameter("the team %q is listed twice", t.Team)
 	case t.holder() == other.holder():
-		return trace.BadParameter("the editor %q stands twice", t.holder())
+		return trace.BadParameter("the editor %q is listed twice", t.holder())
 	case t.Secret == other.Secret:
 		return trace.BadParameter("%q and %q have the same token", other.holder(), t.holder())
 	}
