--- a/internal/control/document/check.go
+++ b/internal/control/document/check.go
@@ -2,13 +2,13 @@
 
 import "github.com/comfreyhoist/comfreyhoist/internal/control/inifile"
 
-// Source is the text of one document and the name of its file.
+// Source is the text of a document and the name of its file.
 type Source struct {
 	Name string
 	Text []byte
 }
 
-// CheckAll returns the faults of all documents, and those between them: a service is described by one document.
+// CheckAll returns the faults of each document, and a fault for each service that more than one document describes.
 func CheckAll(sources []Source) inifile.Faults {
 	var all inifile.Faults
 	fileOfService := map[string]string{}
--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -1,5 +1,6 @@
-// Package document reads the team documents: one INI file a service, owned by the service's team, that names the
-// kinds of work it takes, how they rank, and which are idempotent.
+// Package document reads the documents of the teams. A document is an INI file that describes one service and belongs
+// to the service's team. It lists the kinds of requests that the service accepts, with their shedding ranks and
+// deadlines and whether they are idempotent.
 //
 // # Usage
 //
@@ -14,37 +15,38 @@
 	"time"
 )
 
-// Bounds of the values in a document.
+// Limits and defaults of the values in a document.
 const (
-	// MostUrgentRank is shed last.
+	// MostUrgentRank is the rank that is shed last.
 	MostUrgentRank = 0
-	// LeastUrgentRank is shed first.
+	// LeastUrgentRank is the rank that is shed first.
 	LeastUrgentRank = 9
-	// MaxDeadline bounds the deadline of a kind.
+	// MaxDeadline is the longest deadline of a kind.
 	MaxDeadline = 2 * time.Minute
-	// MaxShare bounds the share of a kind.
+	// MaxShare is the largest share of a kind.
 	MaxShare = 100
-	// DefaultDeadline holds where a kind names none.
+	// DefaultDeadline is the deadline of a kind that does not set one.
 	DefaultDeadline = 2 * time.Second
-	// DefaultAttemptAllowance is how many further attempts a root request may spend in its whole chain.
+	// DefaultAttemptAllowance is the attempt allowance of a document that does not set one.
 	DefaultAttemptAllowance = 2
-	// MaxAttemptAllowance bounds the attempts of a document.
+	// MaxAttemptAllowance is the largest attempt allowance.
 	MaxAttemptAllowance = 5
-	// AnyMethod stands for every HTTP method.
+	// AnyMethod matches every HTTP method.
 	AnyMethod = "*"
 )
 
-// Document is the accepted description of one service.
+// Document is the valid description of one service.
 type Document struct {
 	Service string `json:"service"`
 	Team    string `json:"team"`
-	// AttemptAllowance is how many further attempts a root request of this service may spend in its whole chain.
+	// AttemptAllowance is the number of further attempts that a root request of this service may use in its whole call
+	// chain.
 	AttemptAllowance int `json:"attempts"`
-	// Kinds are in the order of the file; the first that matches a request is taken.
+	// Kinds are in the order of the file. The first kind that matches a request applies.
 	Kinds []Kind `json:"kinds"`
 }
 
-// Match returns the first kind whose method and path pattern fit.
+// Match returns the first kind whose method and path pattern match the request.
 func (d *Document) Match(method, path string) (Kind, bool) {
 	for _, k := range d.Kinds {
 		if k.matches(method, path) {
@@ -54,17 +56,17 @@
 	return Kind{}, false
 }
 
-// Kind is one kind of work.
+// Kind is one kind of request.
 type Kind struct {
 	Name string `json:"name"`
 	// Method is an HTTP method, or "*" for any.
 	Method string `json:"method"`
-	// Path is a path, with a trailing "*" for any rest.
+	// Path is a path, or a prefix of paths followed by "*".
 	Path       string        `json:"path"`
 	Rank       int           `json:"rank"`
 	Idempotent bool          `json:"idempotent"`
 	Deadline   time.Duration `json:"deadline"`
-	// Share weighs the kind against the others of its rank.
+	// Share is the weight of the kind relative to the other kinds of its rank.
 	Share int `json:"share"`
 }
 
@@ -79,7 +81,7 @@
 	return path == k.Path
 }
 
-// covers reports whether k takes every request that other would take.
+// covers reports whether k matches every request that other matches.
 func (k Kind) covers(other Kind) bool {
 	if k.Method != AnyMethod && k.Method != other.Method {
 		return false
--- a/internal/control/document/document_test.go
+++ b/internal/control/document/document_test.go
@@ -22,7 +22,7 @@
 idempotent = true
 `
 
-func TestFaultsOfADocument(t *testing.T) {
+func TestDocumentFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want string
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestMatchTakesTheFirstKind(t *testing.T) {
+func TestMatchReturnsFirstKind(t *testing.T) {
 	is := is.New(t)
 	d, err := document.Parse([]byte(validDocument + "deadline = 300ms\n[kind rest]\npath = /*\nrank = 7\nidempotent = false\n"))
 	is.NoErr(err)
@@ -75,8 +75,9 @@
 	is.Equal(d.AttemptAllowance, document.DefaultAttemptAllowance)
 }
 
-// The brief names the work that may run only once and the work that is shed last.
-func TestSamplesRankAndProtectAsAgreed(t *testing.T) {
+// Checks that the sample documents give each kind of request the required rank, and mark as idempotent only requests
+// that may run twice.
+func TestSampleDocumentRanksAndIdempotence(t *testing.T) {
 	is := is.New(t)
 	for request, want := range map[string]struct {
 		rank       int
--- a/internal/control/document/parse.go
+++ b/internal/control/document/parse.go
@@ -17,7 +17,7 @@
 	kindSectionPrefix = "kind "
 )
 
-// Parse reads a document. The error, where there is one, is a trace.BadParameter that names all faults.
+// Parse reads a document. If it has faults, the error is a trace.BadParameter that lists all of them.
 func Parse(source []byte) (*Document, error) {
 	d, faults := Check(source)
 	if len(faults) > 0 {
@@ -34,7 +34,7 @@
 	return ParseFile("", source)
 }
 
-// ParseFile reads a document and returns all of its faults, which carry the name of the file.
+// ParseFile reads a document and returns all of its faults, which include the name of the file.
 func ParseFile(name string, source []byte) (*Document, inifile.Faults) {
 	r := &reader{file: inifile.Load(name, source)}
 	d := r.document()
@@ -44,7 +44,7 @@
 	return d, nil
 }
 
-// reader reads one document.
+// reader parses one document and collects its faults.
 type reader struct {
 	file *inifile.File
 }
@@ -73,7 +73,7 @@
 	return d
 }
 
-// reportHiddenKinds notes the kinds that no request reaches, because one above takes all of theirs.
+// reportHiddenKinds adds a fault for each kind that never applies because an earlier kind matches all of its requests.
 func (r *reader) reportHiddenKinds(kinds []Kind) {
 	for i, k := range kinds {
 		for _, above := range kinds[:i] {
@@ -162,7 +162,7 @@
 	return d
 }
 
-// keyValue returns the key's own text, or "" where the key is absent.
+// keyValue returns the value of the key in the section itself, or "" if the key is absent.
 func keyValue(s *ini.Section, key string) string {
 	if !s.HasKey(key) {
 		return ""
