--- a/internal/control/catalogue/catalogue.go
+++ b/internal/control/catalogue/catalogue.go
@@ -1,13 +1,13 @@
-// Package catalogue shows the catalogues of events of reasons and of metrics: as a table for a terminal, and as the pages
-// docs/EVENTS.md, docs/REASONS.md and docs/METRICS.md. The data stays beside the code that uses it: in the packages
-// events and call, and in the decision packages.
+// Package catalogue renders the catalogues of events, reasons and metrics: the events as a table for a terminal, and
+// all of them as the pages docs/EVENTS.md, docs/REASONS.md and docs/METRICS.md. The data is in the packages that use
+// it: events, metrics, call and the decision packages.
 //
 // # Usage
 //
 //	err := catalogue.WriteEvents(os.Stdout)
 //	for name, page := range catalogue.Pages() { ... }
 //
-// The command "comfreyhoist events -markdown docs" writes the pages anew after either catalogue has changed.
+// After a catalogue has changed, the command "comfreyhoist events -markdown docs" regenerates the pages.
 package catalogue
 
 import (
@@ -31,7 +31,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// The names of the pages.
+// File names of the pages.
 const (
 	EventsPage  = "EVENTS.md"
 	ReasonsPage = "REASONS.md"
@@ -54,7 +54,7 @@
 	return cells
 }
 
-// Pages returns the pages by the names of their files.
+// Pages returns the text of each page by its file name.
 func Pages() map[string]string {
 	return map[string]string{
 		EventsPage:   page("Events", eventsIntroduction, eventRows()),
@@ -91,7 +91,7 @@
 	return rows
 }
 
-// decisionRows returns the reasons that the decision packages give for what they decide.
+// decisionRows returns the reasons that the decision packages give for their decisions.
 func decisionRows() [][]string {
 	rows := [][]string{{"Decision", "Reason", "Text"}}
 	rows = append(rows, decisionRowsOf("limit of requests in flight", admission.LimitReasons)...)
@@ -102,7 +102,7 @@
 	return append(rows, decisionRowsOf("evidence against a request", quarantine.Sources)...)
 }
 
-// decisionRowsOf returns the rows of one catalogue, by reason.
+// decisionRowsOf returns the rows of one decision's reasons, sorted by reason.
 func decisionRowsOf[R ~string](decision string, texts map[R]string) [][]string {
 	var rows [][]string
 	for _, reason := range slices.Sorted(maps.Keys(texts)) {
@@ -111,7 +111,7 @@
 	return rows
 }
 
-// sortedReasons returns the reasons that a caller can be told, by status and name.
+// sortedReasons returns the reasons that a response can carry, sorted by status and name.
 func sortedReasons() []call.Reason {
 	var found []call.Reason
 	for reason := range call.Reasons {
@@ -132,7 +132,7 @@
 	return "no"
 }
 
-// page renders a table whose first row is its head.
+// page renders a page with one table. The first row is the table's header.
 func page(title, introduction string, rows [][]string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n%s\n\n", title, introduction)
@@ -140,7 +140,7 @@
 	return b.String()
 }
 
-// section renders a further table for the end of a page.
+// section renders another table for the end of a page.
 func section(introduction string, rows [][]string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n%s\n\n", introduction)
--- a/internal/control/catalogue/catalogue_test.go
+++ b/internal/control/catalogue/catalogue_test.go
@@ -25,7 +25,7 @@
 
 const root = "../../.."
 
-// A failure is mended by: go run ./cmd/comfreyhoist events -markdown docs
+// If this test fails, run: go run ./cmd/comfreyhoist events -markdown docs
 func TestPagesMatchTheData(t *testing.T) {
 	for name, page := range catalogue.Pages() {
 		t.Run(name, func(t *testing.T) {
@@ -37,13 +37,13 @@
 	}
 }
 
-func TestEntriesAreWhole(t *testing.T) {
+func TestEntriesAreComplete(t *testing.T) {
 	is := is.New(t)
 	names := map[string]bool{}
 	for n, e := range events.Catalogue {
 		is.True(n >= 1000 && n <= 9999)
-		is.True(e.Name != "" && e.Text != "" && e.Since != "")                // name, text and version
-		is.True(e.Level < zerolog.WarnLevel || e.Action != "")                // a warning says what to do
+		is.True(e.Name != "" && e.Text != "" && e.Since != "")                // name, text and version are set
+		is.True(e.Level < zerolog.WarnLevel || e.Action != "")                // a warning or error has an action
 		is.True(!names[e.Name])                                               // names are unique
 		is.True(!strings.ContainsAny(e.Name, "- ABCDEFGHIJKLMNOPQRSTUVWXYZ")) // snake case
 		names[e.Name] = true
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestEmittedEventsAreInTheCatalogue reads the source: each constant of type Number has an entry, and Emit is called
-// with such a constant only.
+// TestEmittedEventsAreInTheCatalogue parses the source: each constant of type Number must have an entry, and each
+// constant passed to Emit must be one of them.
 func TestEmittedEventsAreInTheCatalogue(t *testing.T) {
 	is := is.New(t)
 	declared := declaredNumbers(t)
@@ -67,31 +67,31 @@
 	}
 }
 
-// TestEveryEventIsEmitted finds entries of the catalogue that nothing in the program uses.
+// TestEveryEventIsEmitted finds events of the catalogue that are not used anywhere in the program.
 func TestEveryEventIsEmitted(t *testing.T) {
 	source := programSource(t)
 	for name := range declaredNumbers(t) {
 		if !strings.Contains(source, "events."+name) {
-			t.Errorf("%s is in the catalogue and emitted nowhere", name)
+			t.Errorf("%s is in the catalogue but never emitted", name)
 		}
 	}
 }
 
-// TestEveryReasonIsTold finds reasons of the catalogue that nothing in the program uses.
-func TestEveryReasonIsTold(t *testing.T) {
+// TestEveryReasonIsUsed finds reasons of the catalogue that are not used anywhere in the program.
+func TestEveryReasonIsUsed(t *testing.T) {
 	source := programSource(t)
 	constants := regexp.MustCompile(`(?m)^\t(Reason\w+) +Reason = `)
 	text, err := os.ReadFile(root + "/internal/traffic/call/reason.go")
 	is.New(t).NoErr(err)
 	for _, found := range constants.FindAllStringSubmatch(string(text), -1) {
 		if name := found[1]; name != "ReasonNone" && !strings.Contains(source, "call."+name) {
-			t.Errorf("%s is in the catalogue and told nowhere", name)
+			t.Errorf("%s is in the catalogue but never used", name)
 		}
 	}
 }
 
-// TestDecisionReasonsAreWhole reads the constants of the decision packages: each is on the page, and used.
-func TestDecisionReasonsAreWhole(t *testing.T) {
+// TestDecisionReasonsAreComplete checks that each reason constant of the decision packages is on the page and used.
+func TestDecisionReasonsAreComplete(t *testing.T) {
 	page := catalogue.Pages()[catalogue.ReasonsPage]
 	source := programSource(t)
 	constants := regexp.MustCompile(`(?m)^\t(\w+) +(?:Limit|Shed)?(?:Reason|Source) += "(\w+)"$`)
@@ -106,9 +106,9 @@
 			if !strings.Contains(page, "| `"+constant[2]+"` |") {
 				t.Errorf("%s: %s is in no catalogue", file, constant[1])
 			}
-			// Its declaration, its text, and at least one use.
+			// The declaration, the entry in the catalogue and at least one use.
 			if uses := regexp.MustCompile(`\b`+constant[1]+`\b`).FindAllString(source, -1); len(uses) < 3 {
-				t.Errorf("%s: %s is never given", file, constant[1])
+				t.Errorf("%s: %s is never used", file, constant[1])
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 		len(routing.Reasons)+len(quarantine.Reasons)+len(quarantine.Sources))
 }
 
-// programSource returns the text of the program without its tests.
+// programSource returns the source text of the packages under internal, without tests.
 func programSource(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
@@ -150,7 +150,7 @@
 	return names
 }
 
-// emittedNumbers returns the constants of the package events that the program uses, by place.
+// emittedNumbers returns the names of the constants passed to Emit, by their position in the source.
 func emittedNumbers(t *testing.T) map[string]string {
 	t.Helper()
 	found := map[string]string{}
@@ -184,7 +184,7 @@
 	return ok && strings.HasPrefix(selector.Sel.Name, "Emit")
 }
 
-func TestLinksOfThePagesExist(t *testing.T) {
+func TestLinksInPagesExist(t *testing.T) {
 	is := is.New(t)
 	pages, err := filepath.Glob(root + "/docs/*.md")
 	is.NoErr(err)
@@ -194,7 +194,7 @@
 		is.NoErr(err)
 		for _, link := range links.FindAllStringSubmatch(string(text), -1) {
 			if _, err := os.Stat(filepath.Join(filepath.Dir(page), link[1])); err != nil {
-				t.Errorf("%s links to %s, which is not there", page, link[1])
+				t.Errorf("%s links to %s, which does not exist", page, link[1])
 			}
 		}
 	}
