--- a/internal/control/events/catalogue.go
+++ b/internal/control/events/catalogue.go
@@ -1,4 +1,5 @@
-// Package events holds the numbered events that the logs carry. The catalogue is data; docs/EVENTS.md is made from it.
+// Package events writes the log, whose lines are numbered events, and holds the catalogue of all events, from which
+// docs/EVENTS.md is generated.
 //
 // # Usage
 //
@@ -11,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Number identifies an event in logs, alarms and docs. A number is never reused.
+// Number identifies an event in logs, alerts and documentation. A number is never reused.
 type Number int
 
 // The events.
@@ -67,9 +68,10 @@
 type Entry struct {
 	Name  string
 	Level zerolog.Level
+	// Since is the version of the program that introduced the event.
 	Since string
 	Text  string
-	// Action says what an operator does about it; empty where nothing is to be done.
+	// Action is what an operator should do; empty if nothing needs to be done.
 	Action string
 }
 
@@ -122,7 +124,7 @@
 	KeyOwnersChanged:   {Name: "homes_changed", Level: zerolog.InfoLevel, Since: "0.1", Text: "Another set of nodes remembers the keys from a given time on."},
 }
 
-// Numbers returns the events in order.
+// Numbers returns the numbers of all events in ascending order.
 func Numbers() []Number {
 	var numbers []Number
 	for n := range Catalogue {
--- a/internal/control/events/log.go
+++ b/internal/control/events/log.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Fields are the values of one event, by snake-case name.
+// Fields are the fields of one event, by name in snake case.
 type Fields map[string]any
 
 // Log writes events as lines of JSON.
@@ -18,19 +18,19 @@
 	level  atomic.Int32
 }
 
-// NewLog returns a log that writes events of at least the level to w and marks them with the node's name.
+// NewLog returns a log that writes events of the given level or above to w, with the name of the node as a field.
 func NewLog(w io.Writer, level zerolog.Level, node string) *Log {
 	l := &Log{logger: zerolog.New(w).With().Timestamp().Str("node", node).Logger()}
 	l.SetLevel(level)
 	return l
 }
 
-// SetLevel makes the log write events of at least the level from now on.
+// SetLevel sets the lowest level of the events that are written.
 func (l *Log) SetLevel(level zerolog.Level) {
 	l.level.Store(int32(level))
 }
 
-// Emit writes one event.
+// Emit writes the event if its level is enabled.
 func (l *Log) Emit(n Number, fields Fields) {
 	entry := Catalogue[n]
 	if entry.Level < zerolog.Level(l.level.Load()) {
@@ -39,7 +39,8 @@
 	l.logger.WithLevel(entry.Level).Int("event", int(n)).Str("name", entry.Name).Fields(map[string]any(fields)).Msg(entry.Text)
 }
 
-// Limiter writes a bounded number of events of each number, for events that strangers or load can cause at any rate.
+// Limiter limits the rate of the events of each number. It is for events that untrusted clients or load can cause at
+// any rate.
 type Limiter struct {
 	log      *Log
 	interval time.Duration
@@ -49,25 +50,26 @@
 	allowances map[Number]*allowance
 }
 
-// allowance is what is left of one number's allowance.
+// allowance is the token bucket of one event number.
 type allowance struct {
 	refilledAt time.Time
 	tokens     float64
 	suppressed int
 }
 
-// NewLimiter returns a limiter that writes one event of each number in the given time.
+// NewLimiter returns a limiter that writes at most one event of each number per interval.
 func NewLimiter(log *Log, interval time.Duration) *Limiter {
 	return NewBurstLimiter(log, interval, 1)
 }
 
-// NewBurstLimiter returns a limiter that writes one event of each number in the given time, and so many at once after a
-// time without any.
+// NewBurstLimiter returns a limiter that writes one event of each number per interval on average, and up to burst
+// events at once.
 func NewBurstLimiter(log *Log, interval time.Duration, burst int) *Limiter {
 	return &Limiter{log: log, interval: interval, burst: float64(burst), allowances: map[Number]*allowance{}}
 }
 
-// Emit writes the event, or leaves it out and counts it. The next one that is written carries the count.
+// Emit writes the event, or suppresses and counts it if its number has reached the limit. The next event of that number
+// that is written has the count in its field left_out.
 func (l *Limiter) Emit(now time.Time, n Number, fields Fields) {
 	suppressed, ok := l.allow(now, n)
 	if !ok {
--- a/internal/control/events/log_test.go
+++ b/internal/control/events/log_test.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/events"
 )
 
-// A flood of refusals must not become a flood of lines, and what was left out is counted.
+// Many refusals at once must not flood the log, and the suppressed lines must be counted.
 func TestBurstLimiter(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
