--- a/internal/control/metrics/metrics.go
+++ b/internal/control/metrics/metrics.go
@@ -1,10 +1,11 @@
-// Package metrics publishes what a node measures by expvar. The catalogue is data; docs/METRICS.md is made from it.
+// Package metrics publishes the metrics of a node through expvar and holds their catalogue, from which docs/METRICS.md
+// is generated.
 //
 // # Usage
 //
 //	metrics.Publish(func() metrics.Values { return metrics.Values{metrics.Members: 12, ...} })
 //
-// GET /debug/vars then has them under "comfreyhoist", beside Go's own.
+// GET /debug/vars then returns them under "comfreyhoist", together with the variables of the Go runtime.
 package metrics
 
 import (
@@ -14,7 +15,7 @@
 	"strings"
 )
 
-// Name names a metric, in snake case.
+// Name is the name of a metric in snake case.
 type Name string
 
 // The metrics.
@@ -48,14 +49,14 @@
 	ControlConnections Name = "control_connections"
 )
 
-// Kind says how the values of a metric move.
+// Kind is the type of a metric.
 type Kind string
 
 // The kinds.
 const (
-	// Gauge goes up and down.
+	// Gauge can increase and decrease.
 	Gauge Kind = "gauge"
-	// Counter grows from the start of the process.
+	// Counter only increases, starting at 0 when the process starts.
 	Counter Kind = "counter"
 )
 
@@ -65,7 +66,7 @@
 	Kind Kind
 	Unit string
 	Text string
-	// Alarm says which values call for a look; empty where none does.
+	// Alarm describes the values that an operator should investigate; empty if there are none.
 	Alarm string
 }
 
@@ -100,20 +101,20 @@
 	{Name: ControlConnections, Kind: Gauge, Unit: "connections", Text: "Connections to other nodes for heartbeats."},
 }
 
-// Values are the values of all metrics at one moment.
+// Values are the values of all metrics at one point in time.
 type Values map[Name]int64
 
-// Variable is the name under which the metrics stand in /debug/vars.
+// Variable is the name of the metrics in /debug/vars.
 const Variable = "comfreyhoist"
 
-// Publish publishes the values that read returns, once in a process.
+// Publish publishes the values returned by read. Only the first call in a process has an effect.
 func Publish(read func() Values) {
 	if expvar.Get(Variable) == nil {
 		expvar.Publish(Variable, expvar.Func(func() any { return read() }))
 	}
 }
 
-// Page is the name of the page.
+// Page is the file name of the page.
 const Page = "METRICS.md"
 
 const pageHeader = "# Metrics\n\n" +
@@ -121,7 +122,7 @@
 	"This page is written by `comfreyhoist events -markdown docs`.\n\n" +
 	"| Name | Kind | Unit | Text | Look when |\n| --- | --- | --- | --- | --- |\n"
 
-// Markdown returns the page.
+// Markdown returns the text of the page.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString(pageHeader)
@@ -131,7 +132,7 @@
 	return b.String()
 }
 
-// Names returns all names, sorted.
+// Names returns the names of all metrics, sorted.
 func Names() []Name {
 	var names []Name
 	for _, e := range Catalogue {
