--- a/internal/control/inifile/inifile.go
+++ b/internal/control/inifile/inifile.go
@@ -1,14 +1,14 @@
-// Package inifile reads INI text strictly and collects every fault of it with file, line, section and key. Settings
-// and team documents are both read by it.
+// Package inifile is a strict reader of INI text. It collects all faults of the text, with file, line, section and key.
+// Both the settings and the documents of the teams are read by it.
 //
-// A line is a section, a key = value pair, a comment that begins with # or ;, or empty. Values aren't quoted, do not
-// go on in the next line, and are not substituted into each other.
+// A line is a section, a key = value pair, a comment that begins with # or ;, or empty. Values are neither quoted nor
+// interpolated and can't span lines.
 //
 // # Usage
 //
 //	f := inifile.Load("node.ini", source)
 //	for _, s := range f.Sections() {
-//		f.KnownKeys(s, "address")
+//		f.CheckKeys(s, "address")
 //	}
 //	faults := f.Faults()
 package inifile
@@ -24,16 +24,16 @@
 
 // Fault is one fault of a file.
 type Fault struct {
-	// File is the name of the file; empty where the text came from elsewhere.
+	// File is the name of the file; empty if the text did not come from a file.
 	File string
-	// Line counts from 1; 0 where the fault belongs to no line.
+	// Line is the line number, from 1; 0 if the fault has no line.
 	Line    int
 	Section string
 	Key     string
 	Reason  string
 }
 
-// Error returns the fault on one line: file, line, section, key and reason, without those that are not known.
+// Error returns the fault on one line: file, line, section, key and reason. Unknown values are omitted.
 func (f Fault) Error() string {
 	var b strings.Builder
 	switch {
@@ -54,10 +54,10 @@
 	return b.String()
 }
 
-// Faults are all faults that were found. As an error they stand one on a line.
+// Faults are all faults that were found.
 type Faults []Fault
 
-// Error returns the faults, one on a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, fault := range f {
@@ -66,7 +66,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// File is one file with the faults found so far.
+// File is a parsed file with the faults found so far.
 type File struct {
 	name   string
 	ini    *ini.File
@@ -74,7 +74,7 @@
 	faults Faults
 }
 
-// Load reads INI text. What is no INI, or stands twice, is a fault of the file and is passed over.
+// Load parses INI text. Malformed lines, and sections and keys that occur twice, are added to the faults and ignored.
 func Load(name string, source []byte) *File {
 	lines, readable := indexLines(source)
 	f := &File{name: name, lines: lines}
@@ -96,12 +96,12 @@
 	return f.name
 }
 
-// Sections returns the sections in the order of the file. The keys above the first section are in ini.DefaultSection.
+// Sections returns the sections in the order of the file. Keys before the first section are in ini.DefaultSection.
 func (f *File) Sections() []*ini.Section {
 	return f.ini.Sections()
 }
 
-// AddFault notes a fault of a key; of a whole section where the key is empty.
+// AddFault adds a fault of a key, or of the whole section if the key is empty.
 func (f *File) AddFault(section, key, format string, arguments ...any) {
 	if section == ini.DefaultSection {
 		section = ""
@@ -110,7 +110,7 @@
 	f.addFault(lineInfo{section: section, key: key, line: f.lines.find(section, key), reason: reason})
 }
 
-// CheckKeys notes a fault for each key of the section that is not in the list.
+// CheckKeys adds a fault for each key of the section that is not in the list.
 func (f *File) CheckKeys(s *ini.Section, known ...string) {
 	for _, k := range s.Keys() {
 		if !slices.Contains(known, k.Name()) {
@@ -119,12 +119,12 @@
 	}
 }
 
-// Line returns the line of a key, of its section where the key is absent, or 0.
+// Line returns the line number of a key, or of its section if the key is absent, or 0 if both are absent.
 func (f *File) Line(section, key string) int {
 	return f.lines.find(section, key)
 }
 
-// Faults returns the faults by line; nil where there are none.
+// Faults returns the faults sorted by line; nil if there are none.
 func (f *File) Faults() Faults {
 	slices.SortStableFunc(f.faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
 	return f.faults
--- a/internal/control/inifile/lines.go
+++ b/internal/control/inifile/lines.go
@@ -12,7 +12,7 @@
 	byteOrderMark = "\ufeff"
 )
 
-// lineInfo is where a section or key stands, and what is wrong there.
+// lineInfo is the section or key on a line, and the reason if the line is rejected.
 type lineInfo struct {
 	section string
 	key     string
@@ -20,13 +20,13 @@
 	reason  string
 }
 
-// lineIndex finds the line of a section or key, which the INI library does not keep.
+// lineIndex maps sections and keys to line numbers, which the INI library does not provide.
 type lineIndex struct {
 	lineOf   map[[2]string]int
 	rejected []lineInfo
 }
 
-// indexLines returns the index and the text without the lines that are refused.
+// indexLines returns the index, and the text with the rejected lines blanked.
 func indexLines(source []byte) (lineIndex, []byte) {
 	x := lineIndex{lineOf: map[[2]string]int{}}
 	section := ""
@@ -46,7 +46,8 @@
 	return x, readable.Bytes()
 }
 
-// parseLine returns the section that the line begins, or the key that it sets in the section it stands in.
+// parseLine parses a line of the given section. The result is a key of that section, or a section if the line begins
+// one.
 func parseLine(line, section string) lineInfo {
 	switch {
 	case line == "" || line[0] == '#' || line[0] == ';':
@@ -80,7 +81,7 @@
 	return p
 }
 
-// isPlainName keeps out what the INI library reads as quotes, counters or nesting.
+// isPlainName rejects names that the INI library interprets as quotes, auto-increment keys or nesting.
 func isPlainName(name string) bool {
 	for _, c := range name {
 		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -92,7 +93,7 @@
 	return name != "-"
 }
 
-// add notes a place and reports whether its line may be read.
+// add records a line and reports whether the INI library may read it.
 func (x *lineIndex) add(p lineInfo) bool {
 	if p.reason == "" && (p.section != "" || p.key != "") {
 		id := [2]string{p.section, p.key}
@@ -105,7 +106,7 @@
 	if p.reason != "" {
 		x.rejected = append(x.rejected, p)
 	}
-	// A repeated heading is kept, or its keys would be read into the section before it.
+	// The line of a repeated section is kept, because its keys would otherwise be added to the section before it.
 	return p.reason == "" || p.key == "" && p.reason == "stands twice"
 }
 
