--- a/internal/control/operator/client.go
+++ b/internal/control/operator/client.go
@@ -15,11 +15,12 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/zone"
 )
 
-// ClientConfig sets a Client up.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	// Address is the IP and port of a node's administration API.
 	Address string
 	Token   string
+	// Timeout is the timeout of one call.
 	Timeout time.Duration
 }
 
@@ -29,7 +30,7 @@
 	http   *http.Client
 }
 
-// NewClient returns a client.
+// NewClient returns a client of the node at config.Address.
 func NewClient(config ClientConfig) *Client {
 	return &Client{config: config, http: &http.Client{Timeout: config.Timeout}}
 }
@@ -52,8 +53,8 @@
 	return edits, c.read(ctx, documentPath+"/"+url.PathEscape(service)+"/history", &edits)
 }
 
-// Put writes the document in the place of the one with the expected tag; an empty tag is for a new document. The
-// same operation id may be sent again and is carried out once.
+// Put replaces the document that has the expected tag; an empty tag creates a document. A call with the same operation
+// id may be repeated and takes effect once.
 func (c *Client) Put(ctx context.Context, service string, source []byte, expected, operation string) (zone.StoredDocument, error) {
 	header := http.Header{}
 	if expected != "" {
@@ -66,7 +67,7 @@
 	return stored, c.call(ctx, http.MethodPut, documentPath+"/"+url.PathEscape(service), header, source, &stored)
 }
 
-// Drain begins the planned stop of the node.
+// Drain starts the planned stop of the node.
 func (c *Client) Drain(ctx context.Context) error {
 	return c.call(ctx, http.MethodPost, drainPath, nil, nil, nil)
 }
--- a/internal/control/operator/editor.go
+++ b/internal/control/operator/editor.go
@@ -12,33 +12,33 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/membership"
 )
 
-// Records are the records that the node holds and spreads.
+// Records stores the records that the node holds and distributes them to other nodes.
 type Records interface {
 	Held(ctx context.Context, key string) (membership.Record, bool)
 	Offer(ctx context.Context, records ...membership.Record)
 }
 
-// Edit is one change of a document.
+// Edit is a request to create or replace a document.
 type Edit struct {
 	Service string
 	Source  []byte
-	// By is whose token it was; of EveryTeam for the operators.
+	// By is the holder of the token that authorized the edit. Its team is EveryTeam for the operators.
 	By Identity
-	// Expected is the tag of the document that is replaced; empty where none may stand.
+	// Expected is the tag of the document to replace; empty if there must be none yet.
 	Expected string
-	// Operation identifies the edit; sent again under the same id, it is carried out once.
+	// Operation is the id of the edit. An edit that is sent again under the same id takes effect once.
 	Operation string
 	Time      time.Time
 }
 
-// EditorConfig sets an Editor up.
+// EditorConfig configures an Editor.
 type EditorConfig struct {
 	Platform *platform.Client
 	Records  Records
 	Log      *events.Log
 }
 
-// Editor reads and writes documents at the platform.
+// Editor reads documents from the platform and writes them to it.
 type Editor struct {
 	config EditorConfig
 }
@@ -48,8 +48,8 @@
 	return &Editor{config: config}
 }
 
-// Get returns the document of the service. Where the platform does not answer it is the one that the node holds,
-// without its history, and reachable is false.
+// Get returns the document of the service. If the platform does not answer, Get returns the document that the node
+// holds, without its history, and reachable is false.
 func (e *Editor) Get(ctx context.Context, service string) (stored zone.StoredDocument, reachable bool, err error) {
 	current, err := e.readCurrent(ctx, service)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return current.Stored, true, nil
 }
 
-// Put writes the document and returns it as it stands. An error is an *Error.
+// Put writes the document and returns the document in force. Errors are of type *Error.
 func (e *Editor) Put(ctx context.Context, edit Edit) (zone.StoredDocument, error) {
 	next, err := validate(edit)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return e.write(ctx, current, next, edit)
 }
 
-// validate validates the whole document.
+// validate validates the document of the edit and returns it without its revision.
 func validate(edit Edit) (zone.StoredDocument, error) {
 	next := zone.StoredDocument{Source: string(edit.Source), Operation: edit.Operation, Editor: edit.By.String(), Time: edit.Time}
 	if len(edit.Source) > zone.MaxSourceBytes {
@@ -104,7 +104,7 @@
 	return next, nil
 }
 
-// checkReplace judges whether the edit may replace the document that stands.
+// checkReplace returns an error if the edit may not replace the current document.
 func checkReplace(current zone.StoredDocument, edit Edit) error {
 	if current.Revision == 0 {
 		if edit.Expected != "" {
@@ -137,7 +137,7 @@
 	return refusal
 }
 
-// repeatedEdit answers an edit that was carried out before.
+// repeatedEdit returns the result of an edit that already took effect.
 func repeatedEdit(done zone.StoredDocument, edit Edit) (zone.StoredDocument, error) {
 	if done.Source != string(edit.Source) {
 		return done, newError(CodeOperationReused, "the operation id belongs to another edit")
@@ -160,14 +160,14 @@
 	return next, nil
 }
 
-// resolveWrite finds out by reading back whether a write took effect that was refused or whose answer was lost.
+// resolveWrite reads the document back to find out whether a write took effect that failed or whose response was lost.
 func (e *Editor) resolveWrite(ctx context.Context, before zone.PlatformDocument, edit Edit) (zone.StoredDocument, error) {
 	current, err := e.readPlatform(ctx, edit.Service)
 	if err == nil {
 		if done, found := current.Stored.Find(edit.Operation); found {
 			return repeatedEdit(done, edit)
 		}
-		// A lagging read shows a lower revision and proves nothing; after a higher one the swap can't succeed.
+		// A lagging read returns a lower revision and proves nothing. After a higher revision the swap can't succeed.
 		if current.Entry.Revision > before.Entry.Revision {
 			return current.Stored, conflict(edit, current.Stored)
 		}
@@ -187,7 +187,7 @@
 	}
 }
 
-// readCurrent returns the document at the platform, after a newer one that the node holds has been written back.
+// readCurrent returns the document at the platform. If the node holds a newer one, it first writes that back.
 func (e *Editor) readCurrent(ctx context.Context, service string) (zone.PlatformDocument, error) {
 	current, err := e.readPlatform(ctx, service)
 	if err != nil {
--- a/internal/control/operator/errors.go
+++ b/internal/control/operator/errors.go
@@ -8,7 +8,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/document"
 )
 
-// Code says why the administration API refused a request.
+// Code is the reason for which the administration API refused a request.
 type Code string
 
 // The codes.
@@ -26,7 +26,7 @@
 	CodeInternal             Code = "internal"
 )
 
-// statuses has the HTTP status of each code.
+// statuses maps each code to its HTTP status.
 var statuses = map[Code]int{
 	CodeUnauthorized:         http.StatusUnauthorized,
 	CodeForbidden:            http.StatusForbidden,
@@ -41,23 +41,24 @@
 	CodeInternal:             http.StatusInternalServerError,
 }
 
-// retryAfter is when a request that met an unreachable platform is worth sending again.
+// retryAfter is the Retry-After value of responses with status 503, which are sent if the platform does not answer.
 const retryAfter = 2 * time.Second
 
-// Error is the answer to a request that was refused.
+// Error is the response to a refused request.
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
 	// Faults are the faults of an invalid document.
 	Faults []Fault `json:"faults,omitempty"`
-	// Expected and Current are the tags of a lost race: what If-Match named, and what stands.
+	// Expected is the tag named by If-Match, and Current is the tag of the current document, in a refusal because of the
+	// current document.
 	Expected string `json:"expected,omitempty"`
 	Current  string `json:"current,omitempty"`
-	// Operation is the id under which an unsettled write may still have taken effect.
+	// Operation is the id of a write of which it is unknown whether it took effect.
 	Operation string `json:"operation,omitempty"`
 }
 
-// Error returns the refusal on one line.
+// Error returns the code and message on one line, followed by one line per fault.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("%s: %s", e.Code, e.Message)
 	if e.Code == CodeRevisionConflict {
@@ -73,7 +74,7 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// Fault is one fault of a document. Line counts from 1; 0 stands for the whole file.
+// Fault is one fault of a document. Line is the line number, from 1; 0 if the fault has no line.
 type Fault struct {
 	Line    int    `json:"line"`
 	Section string `json:"section"`
--- a/internal/control/operator/history_test.go
+++ b/internal/control/operator/history_test.go
@@ -18,7 +18,7 @@
 
 const documentKey = zone.DocumentPrefix + "bookings"
 
-func TestHistoryIsKeptApart(t *testing.T) {
+func TestHistoryIsStoredSeparately(t *testing.T) {
 	is := is.New(t)
 	_, url := newStore(t)
 	s := startAPINode(t, url, io.Discard)
@@ -33,20 +33,20 @@
 	listed, err := client.List(t.Context(), zone.DocumentPrefix)
 	is.NoErr(err)
 	is.Equal(len(listed.Entries), 1)
-	is.Equal(strings.Count(string(listed.Entries[0].Value), "[service]"), 1) // what is in force, and nothing else
+	is.Equal(strings.Count(string(listed.Entries[0].Value), "[service]"), 1) // only the document in force
 	history, err := s.client(bookingsToken).History(t.Context(), "bookings")
 	is.NoErr(err)
-	is.Equal(len(history), 65) // the one in force and 64 earlier ones
+	is.Equal(len(history), 65) // the document in force and 64 earlier ones
 	for i, edit := range history {
 		is.Equal(edit.Revision, uint64(edits-i))
 	}
-	// An edit that was replaced since is carried out once, whoever is asked.
+	// A repeated edit that has been replaced since does not take effect again, also on another node.
 	again, err := startAPINode(t, url, io.Discard).client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "60s"), "", "edit-59")
 	is.NoErr(err)
 	is.Equal(again.Revision, uint64(60))
 }
 
-func TestEditsOnWhatThePlatformHolds(t *testing.T) {
+func TestEditsOfStoredDocuments(t *testing.T) {
 	inForce := zone.StoredDocument{Revision: 2, Source: string(source("bookings-team", "2s")), Operation: "second", Time: time.Now()}
 	earlier := zone.StoredDocument{Revision: 1, Source: string(source("bookings-team", "1s")), Operation: "first", Time: time.Now()}
 	withHistory := inForce
@@ -64,9 +64,9 @@
 		code     operator.Code
 		history  []uint64
 	}{
-		"history in the document, as before":   {document: withHistory, history: []uint64{3, 2, 1}},
+		"history in the document, as written by earlier versions": {document: withHistory, history: []uint64{3, 2, 1}},
 		"no history":                           {document: inForce, history: []uint64{3, 2}},
-		"answers are lost":                     {document: withHistory, faults: store.Faults{LoseAnswers: true}, history: []uint64{3, 2, 1}},
+		"responses are lost":                   {document: withHistory, faults: store.Faults{LoseAnswers: true}, history: []uint64{3, 2, 1}},
 		"writes are lost":                      {document: withHistory, faults: store.Faults{LoseWrites: true}, code: operator.CodeUnsettled, history: []uint64{2, 1}},
 		"the history lags behind the document": {document: replacing{inForce, "first"}, code: operator.CodePlatformUnreachable},
 		"the history has lost an edit":         {document: replacing{old, "first"}, history: []uint64{3, 2}},
--- a/internal/control/operator/operator_test.go
+++ b/internal/control/operator/operator_test.go
@@ -34,7 +34,7 @@
 	ruiToken       = "token-of-rui-of-the-operators"
 )
 
-// fakeRecords stands for the records of one node.
+// fakeRecords is an in-memory Records of one node.
 type fakeRecords struct {
 	mu      sync.Mutex
 	records *membership.Records
@@ -52,7 +52,7 @@
 	h.records.Merge(records...)
 }
 
-// apiNode is one node's administration API on a store.
+// apiNode is the administration API of one node that uses a store.
 type apiNode struct {
 	address string
 	records *fakeRecords
@@ -132,7 +132,7 @@
 			is.Equal(codeOf(err), c.code)
 			now, err := s.client(operatorsToken).Get(t.Context(), "bookings")
 			is.NoErr(err)
-			is.Equal(now.Tag(), stored.Tag()) // nothing was changed
+			is.Equal(now.Tag(), stored.Tag()) // the document is unchanged
 		})
 	}
 }
@@ -155,25 +155,25 @@
 	is := is.New(t)
 	platformStore, url := newStore(t)
 	first := startAPINode(t, url, io.Discard)
-	stands, err := first.client(operatorsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
+	stored, err := first.client(operatorsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
 	is.NoErr(err)
-	platformStore.SetFaults(store.Faults{Delay: 20 * time.Millisecond}) // all have read before one writes
+	platformStore.SetFaults(store.Faults{Delay: 20 * time.Millisecond}) // all nodes read before the first one writes
 	const racers = 8
 	var won, lost [racers]bool
 	var group conc.WaitGroup
 	for i := range racers {
 		s := startAPINode(t, url, io.Discard)
 		group.Go(func() {
-			_, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), stands.Tag(), "")
+			_, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), stored.Tag(), "")
 			var refusal *operator.Error
 			won[i] = err == nil
-			lost[i] = errors.As(err, &refusal) && refusal.Expected == stands.Tag() && strings.HasPrefix(refusal.Current, "2-")
+			lost[i] = errors.As(err, &refusal) && refusal.Expected == stored.Tag() && strings.HasPrefix(refusal.Current, "2-")
 		})
 	}
 	group.Wait()
 	winners := 0
 	for i := range racers {
-		is.True(won[i] != lost[i]) // a loser is told both revisions
+		is.True(won[i] != lost[i]) // the response to a losing edit names both revisions
 		if won[i] {
 			winners++
 		}
@@ -184,23 +184,23 @@
 	is.Equal(len(edits), 2)
 }
 
-func TestAnswerLostAfterWrite(t *testing.T) {
+func TestResponseLostAfterWrite(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
 	s := startAPINode(t, url, io.Discard)
 	platformStore.SetFaults(store.Faults{LoseAnswers: true})
 	stored, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
-	is.NoErr(err) // reading back found the operation
+	is.NoErr(err) // reading back finds the operation
 	is.Equal(stored.Revision, uint64(1))
 	platformStore.SetFaults(store.Faults{})
 	again, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
 	is.NoErr(err)
-	is.Equal(again.Tag(), stored.Tag()) // carried out once
+	is.Equal(again.Tag(), stored.Tag()) // took effect once
 	_, err = s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), stored.Tag(), "edit-1")
 	is.Equal(codeOf(err), operator.CodeOperationReused)
 }
 
-func TestLostWriteIsNotCalledAccepted(t *testing.T) {
+func TestLostWriteIsNotReportedAsAccepted(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
 	s := startAPINode(t, url, io.Discard)
@@ -229,11 +229,11 @@
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(response.Header.Get("Retry-After"), "2")
 	held, err := s.client(bookingsToken).Get(t.Context(), "bookings")
-	is.NoErr(err) // reading goes on with what the node holds
+	is.NoErr(err) // the node returns the document that it holds
 	is.Equal(held.Tag(), stored.Tag())
 }
 
-func TestRestoredPlatformGetsTheNewerDocumentBack(t *testing.T) {
+func TestNewerDocumentIsWrittenBackToRestoredPlatform(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
 	s := startAPINode(t, url, io.Discard)
@@ -244,12 +244,12 @@
 	is.NoErr(err)
 	platformStore.Restore(older)
 	_, err = s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "3s"), first.Tag(), "")
-	is.Equal(codeOf(err), operator.CodeRevisionConflict) // an edit of the restored content loses
+	is.Equal(codeOf(err), operator.CodeRevisionConflict) // an edit of the restored content is refused
 	now, err := s.client(bookingsToken).Get(t.Context(), "bookings")
 	is.NoErr(err)
 	is.Equal(now.Tag(), second.Tag())
 
-	// Another node, which has not seen the second edit, takes an edit of the restored content under its revision.
+	// Another node, which has not seen the second edit, accepts an edit of the restored content under the same revision.
 	platformStore.Restore(older)
 	blank := startAPINode(t, url, io.Discard)
 	other, err := blank.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "4s"), first.Tag(), "")
@@ -257,7 +257,7 @@
 	is.Equal(other.Revision, second.Revision)
 	settled, err := s.client(bookingsToken).Get(t.Context(), "bookings")
 	is.NoErr(err)
-	is.Equal(settled.Tag(), other.Tag()) // the later of the two stands
+	is.Equal(settled.Tag(), other.Tag()) // the later of the two edits is in force
 }
 
 func TestTokensAreNotLogged(t *testing.T) {
@@ -271,7 +271,7 @@
 	is.True(!strings.Contains(log.String(), bookingsToken))
 }
 
-func TestHistoryAndEventsNameTheEditor(t *testing.T) {
+func TestHistoryAndEventsContainEditor(t *testing.T) {
 	is := is.New(t)
 	_, url := newStore(t)
 	var log strings.Builder
@@ -292,7 +292,7 @@
 		is.Equal(edit.Editor, want[len(want)-1-i])
 	}
 	_, err = s.client(anaToken).Put(t.Context(), "bookings", source("access-team", "9s"), tag, "")
-	is.Equal(codeOf(err), operator.CodeForbidden) // a person may do what the team may
+	is.Equal(codeOf(err), operator.CodeForbidden) // an editor has the rights of the team
 	is.Equal(codeOf(s.client(anaToken).Drain(t.Context())), operator.CodeForbidden)
 	for _, token := range []string{bookingsToken, anaToken, ruiToken} {
 		is.True(!strings.Contains(log.String(), token))
@@ -312,6 +312,6 @@
 		is.Equal(len(edit.History), 0)
 	}
 	is.True(len(stored.History) > 1)
-	is.True(size < 1<<19) // with its escapes the value stays within the platform's megabyte
+	is.True(size < 1<<19) // JSON-escaped, the value stays below the platform's limit of one megabyte
 	is.Equal(stored.History[0].Revision, stored.Revision-1)
 }
--- a/internal/control/operator/server.go
+++ b/internal/control/operator/server.go
@@ -1,19 +1,19 @@
-// Package operator speaks to the operators: the administration API of a node, and the client of the command line.
+// Package operator implements the administration API of a node and its client, which the command line uses.
 //
-// Each team edits the document of its own service with its own bearer token; the token of team "*" may edit every
-// document and stop the node. A token may name a person of its team, whom the history and the events then name. A
-// document is accepted when it has been written to the platform by compare-and-swap;
-// from then on it spreads to all nodes and is never taken back.
+// Each team edits the document of its own service with its bearer token. With the token of team "*", operators edit
+// every document and stop the node. A token may belong to an editor, a member of the team, whose name then appears in
+// the history and the events. A document is accepted once it has been written to the platform by compare-and-swap. It
+// is then distributed to all nodes and is never reverted.
 //
 // # Usage
 //
 //	router := httprouter.New()
-//	operator.Register(router, operator.Config{Editor: operator.NewEditor(...), Tokens: operator.NewTokens(byHolder), ...})
+//	operator.Register(router, operator.Config{Editor: operator.NewEditor(...), Tokens: operator.NewTokens(byIdentity), ...})
 //
 //	client := operator.NewClient(operator.ClientConfig{Address: "10.0.1.21:7003", Token: token})
 //	stored, err := client.Get(ctx, "bookings")
 //
-// Errors are of type *Error, on both sides.
+// Refusals are of type *Error, on the server and on the client.
 package operator
 
 import (
@@ -36,26 +36,27 @@
 
 // Headers and paths of the API.
 const (
-	// OperationHeader carries the id of an edit, so that it can be sent again safely.
+	// OperationHeader carries the id of an edit, with which the edit can be repeated safely.
 	OperationHeader = "Comfreyhoist-Operation"
-	// SourceHeader says where a document was read: the platform, or the node while the platform does not answer.
+	// SourceHeader is "platform" if the document was read from the platform, or "node" if the platform did not answer
+	// and the document is the one that the node holds.
 	SourceHeader = "Comfreyhoist-Source"
 	documentPath = "/v1/documents"
 	drainPath    = "/v1/drain"
 	dumpPath     = "/v1/dump"
 )
 
-// maxOperationBytes bounds the id of an operation.
+// maxOperationBytes is the maximum length of an operation id.
 const maxOperationBytes = 128
 
-// Config sets the API up.
+// Config configures the API.
 type Config struct {
 	Board  *board.Loop
 	Editor *Editor
 	Tokens *Tokens
-	// Drain begins the planned stop of the node.
+	// Drain starts the planned stop of the node.
 	Drain func()
-	// Dump writes the state of the node.
+	// Dump writes the state of the node as JSON.
 	Dump http.HandlerFunc
 }
 
@@ -74,7 +75,7 @@
 	config Config
 }
 
-// request is one authorized request.
+// request is an authorized request.
 type request struct {
 	*http.Request
 
@@ -82,7 +83,7 @@
 	service  string
 }
 
-// authorized lets requests with a known token through and writes the errors of f.
+// authorized calls f for requests with a known token, and writes the error that f returns as the response.
 func (s *server) authorized(f func(http.ResponseWriter, request) error) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		identity, known := s.config.Tokens.Identify(bearerToken(r))
@@ -96,7 +97,7 @@
 	}
 }
 
-// Summary is one document in a list.
+// Summary describes one document in a list.
 type Summary struct {
 	Service  string    `json:"service"`
 	Team     string    `json:"team"`
--- a/internal/control/operator/tokens.go
+++ b/internal/control/operator/tokens.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// EveryTeam is the team whose token may edit each document and stop the node.
+// EveryTeam is the team of the operators. Its tokens permit edits of all documents and the stop of the node.
 const EveryTeam = "*"
 
-// Identity is whose a bearer token is.
+// Identity is the holder of a bearer token.
 type Identity struct {
 	Team string
-	// Editor is a person of the team; empty for the team as a whole.
+	// Editor is a member of the team; empty if the token is the team's own.
 	Editor string
 }
 
-// String names the identity in histories and events: "team", or "team/editor".
+// String returns the identity as shown in histories and events: "team" or "team/editor".
 func (i Identity) String() string {
 	if i.Editor == "" {
 		return i.Team
@@ -25,13 +25,13 @@
 	return i.Team + "/" + i.Editor
 }
 
-// Tokens knows whose each bearer token is. It keeps hashes only, so that no token gets into logs or dumps.
+// Tokens maps bearer tokens to identities. It stores only hashes, so that no token can appear in logs or dumps.
 type Tokens struct {
 	identities []Identity
 	hashes     [][sha256.Size]byte
 }
 
-// NewTokens returns the tokens of the holders, which are no two the same.
+// NewTokens returns the tokens of the given identities. All tokens must be different.
 func NewTokens(byIdentity map[Identity]string) *Tokens {
 	t := &Tokens{}
 	for identity, token := range byIdentity {
@@ -41,7 +41,7 @@
 	return t
 }
 
-// Identify returns whose the token is. The comparison takes the same time whatever the token is.
+// Identify returns the holder of the token. The comparison takes the same time for every token.
 func (t *Tokens) Identify(token string) (Identity, bool) {
 	hash := sha256.Sum256([]byte(token))
 	identity, found := Identity{}, false
