--- a/internal/control/catalogue/catalogue.go
+++ b/internal/control/catalogue/catalogue.go
@@ -68,10 +68,10 @@
 	"written by `comfreyhoist events -markdown docs`."
 
 const reasonsIntroduction = "The header `Comfreyhoist-Reason` carries one of these where the answer isn't the backend\n" +
-	"server's own. Nobody up a chain of calls tries again after a final one. This page is written by\n" +
+	"server's own. No node or service up the call chain retries after a final one. This page is written by\n" +
 	"`comfreyhoist events -markdown docs`; CALLERS.md says what to do about the outcomes."
 
-const decisionsIntroduction = "## Decisions\n\nThe state dump of a node names one of these beside what it decided, with the time and the evidence."
+const decisionsIntroduction = "## Decisions\n\nThe state dump of a node shows each decision with one of these reasons, the time and the evidence."
 
 func eventRows() [][]string {
 	rows := [][]string{{"Number", "Level", "Name", "Since", "Text", "Action"}}
@@ -94,7 +94,7 @@
 // decisionRows returns the reasons that the decision packages give for their decisions.
 func decisionRows() [][]string {
 	rows := [][]string{{"Decision", "Reason", "Text"}}
-	rows = append(rows, decisionRowsOf("limit of requests in flight", admission.LimitReasons)...)
+	rows = append(rows, decisionRowsOf("in-flight limit", admission.LimitReasons)...)
 	rows = append(rows, decisionRowsOf("refusal at the gate", admission.ShedReasons)...)
 	rows = append(rows, decisionRowsOf("throttle at the entry", throttle.Reasons)...)
 	rows = append(rows, decisionRowsOf("instance passed over", routing.Reasons)...)
