--- a/internal/decide/trees/trees.go
+++ b/internal/decide/calllimit/calllimit.go
@@ -1,4 +1,4 @@
-// Package trees limits how many requests of each kind are in flight on a backend server while the calls that they make are
+// Package calllimit limits how many requests of each kind are in flight on a backend server while the calls that they make are
 // queued further down the call tree. A request whose calls are refused, or queued until the deadline, has wasted work at
 // every level. A refusal costs least before the request starts. If the number of requests that wait for their own calls is
 // limited, the queues below are limited too, even at the start of a burst.
@@ -10,12 +10,12 @@
 //
 // # Usage
 //
-//	start, ok := limits.Begin(now, trees.Offer{Kind: kind})
+//	start, ok := limits.Begin(now, calllimit.Offer{Kind: kind})
 //	if !ok { ... refuse ... }
-//	limits.End(now, start, trees.Sample{Duration: duration, QueueingDelay: delay, Calls: calls})
+//	limits.End(now, start, calllimit.Sample{Duration: duration, QueueingDelay: delay, Calls: calls})
 //
 // The package does no I/O and reads no clock. Limits is not safe for concurrent use.
-package trees
+package calllimit
 
 import (
 	"math"
--- a/internal/decide/trees/trees_test.go
+++ b/internal/decide/calllimit/calllimit_test.go
@@ -1,4 +1,4 @@
-package trees_test
+package calllimit_test
 
 import (
 	"math"
@@ -7,12 +7,12 @@
 
 	"github.com/matryer/is"
 
-	"github.com/comfreyhoist/comfreyhoist/internal/decide/trees"
+	"github.com/comfreyhoist/comfreyhoist/internal/decide/calllimit"
 )
 
 // closedLoop simulates requests that each make eight calls, one after the other, to a service with few slots.
 type closedLoop struct {
-	limits *trees.Limits
+	limits *calllimit.Limits
 	slots  int
 	now    time.Time
 	// active holds the requests in flight, ordered by their start.
@@ -24,7 +24,7 @@
 }
 
 type request struct {
-	start         trees.Start
+	start         calllimit.Start
 	startedAt     time.Time
 	callsLeft     int
 	queueingDelay time.Duration
@@ -46,7 +46,7 @@
 func (c *closedLoop) tick(arrivals int) {
 	c.now = c.now.Add(step)
 	for range arrivals {
-		start, ok := c.limits.Begin(c.now, trees.Offer{Kind: "sheet"})
+		start, ok := c.limits.Begin(c.now, calllimit.Offer{Kind: "sheet"})
 		if !ok {
 			c.refused++
 			continue
@@ -85,7 +85,7 @@
 		} else {
 			c.done++
 		}
-		c.limits.End(c.now, r.start, trees.Sample{Duration: took, QueueingDelay: r.queueingDelay, Calls: calls})
+		c.limits.End(c.now, r.start, calllimit.Sample{Duration: took, QueueingDelay: r.queueingDelay, Calls: calls})
 		return true
 	}
 	r.callsLeft--
@@ -98,16 +98,16 @@
 // time out after most of their work is done.
 func TestLimitUnderFloodOfRequestsWithManyCalls(t *testing.T) {
 	for name, test := range map[string]struct {
-		config  trees.Config
+		config  calllimit.Config
 		atLeast float64
 		atMost  float64
 	}{
-		"limited":   {trees.DefaultConfig, 0.75, 1},
-		"unlimited": {trees.Config{Initial: 1e6, Min: 1e6, Max: 1e6}, 0, 0.3},
+		"limited":   {calllimit.DefaultConfig, 0.75, 1},
+		"unlimited": {calllimit.Config{Initial: 1e6, Min: 1e6, Max: 1e6}, 0, 0.3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := &closedLoop{limits: trees.NewLimits(test.config), slots: 12, now: time.Now()}
+			c := &closedLoop{limits: calllimit.NewLimits(test.config), slots: 12, now: time.Now()}
 			const seconds = 10
 			capacity := float64(c.slots) * float64(time.Second) / float64(calls*callTime) * seconds
 			for ms := range seconds * 1000 {
@@ -127,15 +127,15 @@
 // Kinds that make no calls are not limited.
 func TestKindsWithoutCallsAreNotLimited(t *testing.T) {
 	is := is.New(t)
-	limits := trees.NewLimits(trees.DefaultConfig)
+	limits := calllimit.NewLimits(calllimit.DefaultConfig)
 	now := time.Now()
 	for range 100 {
-		start, ok := limits.Begin(now, trees.Offer{Kind: "browse"})
+		start, ok := limits.Begin(now, calllimit.Offer{Kind: "browse"})
 		is.True(ok)
-		limits.End(now, start, trees.Sample{Duration: time.Second})
+		limits.End(now, start, calllimit.Sample{Duration: time.Second})
 	}
 	for range 100 {
-		_, ok := limits.Begin(now, trees.Offer{Kind: "browse"})
+		_, ok := limits.Begin(now, calllimit.Offer{Kind: "browse"})
 		is.True(ok)
 	}
 }
@@ -149,7 +149,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := &closedLoop{limits: trees.NewLimits(trees.DefaultConfig), slots: 100, now: time.Now()}
+			c := &closedLoop{limits: calllimit.NewLimits(calllimit.DefaultConfig), slots: 100, now: time.Now()}
 			every := 1000 / perSecond // milliseconds
 			run := func(d time.Duration) {
 				c.refused = 0
@@ -167,8 +167,8 @@
 			every = 1000 / perSecond
 			for range 100 {
 				c.now = c.now.Add(80 * time.Millisecond)
-				if start, ok := c.limits.Begin(c.now, trees.Offer{Kind: "sheet"}); ok {
-					c.limits.End(c.now, start, trees.Sample{Duration: 100 * time.Millisecond, Calls: 2, Refused: true})
+				if start, ok := c.limits.Begin(c.now, calllimit.Offer{Kind: "sheet"}); ok {
+					c.limits.End(c.now, start, calllimit.Sample{Duration: 100 * time.Millisecond, Calls: 2, Refused: true})
 				}
 			}
 			run(3 * time.Second)
@@ -183,30 +183,30 @@
 // After a flood, the limit must recover within seconds.
 func TestLimitRecoversAfterFlood(t *testing.T) {
 	is := is.New(t)
-	limits := trees.NewLimits(trees.DefaultConfig)
+	limits := calllimit.NewLimits(calllimit.DefaultConfig)
 	now := time.Now()
 	for range 50 {
 		now = now.Add(200 * time.Millisecond)
-		start, ok := limits.Begin(now, trees.Offer{Kind: "sheet"})
+		start, ok := limits.Begin(now, calllimit.Offer{Kind: "sheet"})
 		is.True(ok)
-		limits.End(now, start, trees.Sample{Duration: 100 * time.Millisecond, QueueingDelay: 90 * time.Millisecond, Calls: 1})
+		limits.End(now, start, calllimit.Sample{Duration: 100 * time.Millisecond, QueueingDelay: 90 * time.Millisecond, Calls: 1})
 	}
 	low, _ := limits.Value("sheet")
 	is.True(low < 3)
-	var running []trees.Start
+	var running []calllimit.Start
 	for range 500 { // 5 s, the time in which the fleet must recover
 		now = now.Add(10 * time.Millisecond)
-		for start, ok := limits.Begin(now, trees.Offer{Kind: "sheet"}); ok; start, ok = limits.Begin(now, trees.Offer{Kind: "sheet"}) {
+		for start, ok := limits.Begin(now, calllimit.Offer{Kind: "sheet"}); ok; start, ok = limits.Begin(now, calllimit.Offer{Kind: "sheet"}) {
 			running = append(running, start)
 		}
 		ended := (len(running) + 9) / 10 // each takes 100 ms
 		for _, start := range running[:ended] {
-			limits.End(now, start, trees.Sample{Duration: 100 * time.Millisecond, Calls: 1})
+			limits.End(now, start, calllimit.Sample{Duration: 100 * time.Millisecond, Calls: 1})
 		}
 		running = running[ended:]
 	}
 	high, _ := limits.Value("sheet")
-	is.True(high >= trees.DefaultConfig.Initial)
+	is.True(high >= calllimit.DefaultConfig.Initial)
 }
 
 // All availability zones are overloaded and spill requests to each other. Local requests take precedence, so that zones don't just
@@ -222,16 +222,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			config := trees.DefaultConfig
+			config := calllimit.DefaultConfig
 			config.Initial, config.SpilledRatio = 20, 0.8
-			limits := trees.NewLimits(config)
+			limits := calllimit.NewLimits(config)
 			now := time.Now()
 			for range test.own {
-				limits.Begin(now, trees.Offer{Kind: "sheet"})
+				limits.Begin(now, calllimit.Offer{Kind: "sheet"})
 			}
 			spilled := 0
 			for range 40 {
-				if _, ok := limits.Begin(now, trees.Offer{Kind: "sheet", Spilled: true}); ok {
+				if _, ok := limits.Begin(now, calllimit.Offer{Kind: "sheet", Spilled: true}); ok {
 					spilled++
 				}
 			}
--- a/internal/process/routed/routed.go
+++ b/internal/process/routed/routed.go
@@ -28,10 +28,10 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/routes"
 	"github.com/comfreyhoist/comfreyhoist/internal/control/settings"
 	"github.com/comfreyhoist/comfreyhoist/internal/control/store"
+	"github.com/comfreyhoist/comfreyhoist/internal/decide/calllimit"
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/retry"
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/routing"
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/throttle"
-	"github.com/comfreyhoist/comfreyhoist/internal/decide/trees"
 	"github.com/comfreyhoist/comfreyhoist/internal/process/local"
 	"github.com/comfreyhoist/comfreyhoist/internal/process/parts"
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/backend"
@@ -180,7 +180,7 @@
 		Gate:           n.gate,
 		Backend:        client,
 		Quarantine:     n.quarantine,
-		CallTreeLimits: flow.NewCallTreeLimits(trees.DefaultConfig),
+		CallTreeLimits: flow.NewCallTreeLimits(calllimit.DefaultConfig),
 		RequeueShed:    true,
 		RequeueBudget:  &requeueBudget,
 		Events:         n.limiter,
--- a/internal/traffic/flow/calltreelimits.go
+++ b/internal/traffic/flow/calltreelimits.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"github.com/comfreyhoist/comfreyhoist/internal/decide/trees"
+	"github.com/comfreyhoist/comfreyhoist/internal/decide/calllimit"
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/backend"
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
@@ -13,27 +13,27 @@
 // CallTreeLimits sets no limit.
 type CallTreeLimits struct {
 	mu     sync.Mutex
-	limits *trees.Limits
+	limits *calllimit.Limits
 }
 
 // NewCallTreeLimits returns the limits for the requests of one node.
-func NewCallTreeLimits(config trees.Config) *CallTreeLimits {
-	return &CallTreeLimits{limits: trees.NewLimits(config)}
+func NewCallTreeLimits(config calllimit.Config) *CallTreeLimits {
+	return &CallTreeLimits{limits: calllimit.NewLimits(config)}
 }
 
 // begin counts a root request, or returns the reply that refuses it. Calls are not counted: they belong to a root request
 // that was admitted before.
-func (l *CallTreeLimits) begin(r *call.Request, slots int) (trees.Start, call.Reply, bool) {
+func (l *CallTreeLimits) begin(r *call.Request, slots int) (calllimit.Start, call.Reply, bool) {
 	if l == nil || r.Depth > 0 {
-		return trees.Start{}, call.Reply{}, true
+		return calllimit.Start{}, call.Reply{}, true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits.Announce(slots)
-	if start, ok := l.limits.Begin(time.Now(), trees.Offer{Kind: r.Kind, Spilled: r.Spilled}); ok {
+	if start, ok := l.limits.Begin(time.Now(), calllimit.Offer{Kind: r.Kind, Spilled: r.Spilled}); ok {
 		return start, call.Reply{}, true
 	}
-	return trees.Start{}, call.Refused(call.NotRun, call.ReasonCallsWait, backend.Jittered(l.limits.RetryAfter(r.Kind))), false
+	return calllimit.Start{}, call.Refused(call.NotRun, call.ReasonCallsWait, backend.Jittered(l.limits.RetryAfter(r.Kind))), false
 }
 
 // limit returns the in-flight limit for root requests of the kind, and whether it applies.
@@ -47,7 +47,7 @@
 }
 
 // cancel undoes a begin whose request did not start.
-func (l *CallTreeLimits) cancel(r *call.Request, start trees.Start) {
+func (l *CallTreeLimits) cancel(r *call.Request, start calllimit.Start) {
 	if l == nil || r.Depth > 0 {
 		return
 	}
@@ -57,13 +57,13 @@
 }
 
 // end records the result of a request and its queueing delay at the local gate.
-func (l *CallTreeLimits) end(r *call.Request, start trees.Start, queueingDelay time.Duration, result backend.Result) {
+func (l *CallTreeLimits) end(r *call.Request, start calllimit.Start, queueingDelay time.Duration, result backend.Result) {
 	if l == nil || r.Depth > 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limits.End(time.Now(), start, trees.Sample{
+	l.limits.End(time.Now(), start, calllimit.Sample{
 		Duration:      queueingDelay + result.HoldTime,
 		QueueingDelay: queueingDelay + result.Downstream.QueueingDelay,
 		Calls:         result.Downstream.Calls,
--- a/internal/traffic/flow/calltreelimits_test.go
+++ b/internal/traffic/flow/calltreelimits_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/comfreyhoist/comfreyhoist/internal/decide/trees"
+	"github.com/comfreyhoist/comfreyhoist/internal/decide/calllimit"
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/backend"
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
@@ -15,9 +15,9 @@
 // much as one further down the call tree.
 func TestLocalQueueingDelayLowersLimit(t *testing.T) {
 	limit := func(queueingDelay time.Duration) float64 {
-		limits := NewCallTreeLimits(trees.DefaultConfig)
+		limits := NewCallTreeLimits(calllimit.DefaultConfig)
 		r := &call.Request{Kind: "sheet"}
-		var running []trees.Start
+		var running []calllimit.Start
 		for range 100 {
 			for start, _, ok := limits.begin(r, 36); ok; start, _, ok = limits.begin(r, 36) {
 				running = append(running, start)
--- a/internal/traffic/flow/receiver.go
+++ b/internal/traffic/flow/receiver.go
@@ -8,8 +8,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/board"
 	"github.com/comfreyhoist/comfreyhoist/internal/control/events"
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
+	"github.com/comfreyhoist/comfreyhoist/internal/decide/calllimit"
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/retry"
-	"github.com/comfreyhoist/comfreyhoist/internal/decide/trees"
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/backend"
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
@@ -179,7 +179,7 @@
 }
 
 // finish records the end of a request that ran or that the backend server shed.
-func (v *Receiver) finish(r *call.Request, started trees.Start, queueingDelay time.Duration, result *backend.Result) {
+func (v *Receiver) finish(r *call.Request, started calllimit.Start, queueingDelay time.Duration, result *backend.Result) {
 	v.config.CallTreeLimits.end(r, started, queueingDelay, *result)
 	result.Reply.QueueingDelay += queueingDelay
 	v.counters.count(*result)
