--- a/internal/control/routes/routes.go
+++ b/internal/control/routes/routes.go
@@ -90,8 +90,8 @@
 	MaxConnections int `json:"connections"`
 }
 
-// Catalogue is one version of the routing configuration.
-type Catalogue struct {
+// Configuration is one version of the routing configuration.
+type Configuration struct {
 	Version  uint64    `json:"version"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
@@ -100,7 +100,7 @@
 
 // Table finds the route of a request.
 type Table struct {
-	Catalogue
+	Configuration
 
 	// byHost holds the routes of each host, sorted by decreasing length of the prefix.
 	byHost   map[string][]*Route
@@ -108,7 +108,7 @@
 }
 
 // NewTable validates the catalogue and returns its table, or a trace.BadParameter that names the first invalid value.
-func NewTable(c Catalogue) (*Table, error) {
+func NewTable(c Configuration) (*Table, error) {
 	t := &Table{Catalogue: c, byHost: map[string][]*Route{}, services: map[string]Service{}}
 	for _, s := range c.Services {
 		t.services[s.Name] = s
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -62,7 +62,7 @@
 	quarantine       *flow.Quarantine
 	controller       *zone.Controller
 	platform         *platform.Client
-	chains           *call.Chains
+	chains           *call.RunningRequests
 	keyOwner         *flow.KeyOwner
 	ownerController  *homes.Controller
 	keyedSender      *flow.KeyedSender
@@ -78,7 +78,7 @@
 func New(config Config) *Node {
 	s := config.Settings
 	self := outcome.Node{Name: s.Node.Name, Incarnation: uint64(time.Now().UnixNano())}
-	n := &Node{config: config, chains: call.NewChains(), limiter: events.NewLimiter(config.Log, parts.LogLimitInterval)}
+	n := &Node{config: config, chains: call.NewRunningRequests(), limiter: events.NewLimiter(config.Log, parts.LogLimitInterval)}
 	n.loop = board.NewLoop(board.Board{Self: board.Self{
 		Node:          s.Node.Name,
 		Zone:          s.Node.Zone,
--- a/internal/process/routed/fleet_test.go
+++ b/internal/process/routed/fleet_test.go
@@ -79,14 +79,14 @@
 	return b.buffer.String()
 }
 
-func newFleet(tb testing.TB, catalogue routes.Catalogue) *fleet {
+func newFleet(tb testing.TB, catalogue routes.Configuration) *fleet {
 	f := &fleet{store: kv.New()}
 	f.setRoutes(tb, catalogue)
 	tb.Cleanup(f.stop)
 	return f
 }
 
-func (f *fleet) setRoutes(tb testing.TB, catalogue routes.Catalogue) {
+func (f *fleet) setRoutes(tb testing.TB, catalogue routes.Configuration) {
 	value, err := json.Marshal(catalogue)
 	is.New(tb).NoErr(err)
 	f.store.ForcePut(routesKey, value)
@@ -128,7 +128,7 @@
 		Store:     f.store.ForNode(s.Node.Name),
 		RoutesKey: routesKey,
 		DecodeRoutes: func(value []byte) (*routes.Table, error) {
-			var c routes.Catalogue
+			var c routes.Configuration
 			if err := json.Unmarshal(value, &c); err != nil {
 				return nil, err
 			}
@@ -221,8 +221,8 @@
 var requestNumber atomic.Uint64
 
 // twoServices returns a catalogue with a route to each of two services.
-func twoServices(version uint64) routes.Catalogue {
-	return routes.Catalogue{
+func twoServices(version uint64) routes.Configuration {
+	return routes.Configuration{
 		Version: version,
 		Routes: []routes.Route{
 			{Name: "sheets", Host: "sheets.example", Prefix: "/", Idempotent: true, Timeout: 2 * time.Second, TargetLatency: time.Second, Rank: 1, MaxAttempts: 2, Clusters: []routes.Cluster{{Service: "crew", Weight: 1}}},
--- a/internal/process/routed/routed.go
+++ b/internal/process/routed/routed.go
@@ -88,7 +88,7 @@
 	receiver     *flow.Receiver
 	fencedRunner *flow.FencedRunner
 	sender       *flow.Sender
-	chains       *call.Chains
+	chains       *call.RunningRequests
 	reachability *flow.ReachabilityMonitor
 	members      *members.Controller
 	routes       *routesFollower
@@ -133,7 +133,7 @@
 	n := &Node{
 		config:       config,
 		compressor:   compressor,
-		chains:       call.NewChains(),
+		chains:       call.NewRunningRequests(),
 		limiter:      events.NewLimiter(config.Log, parts.LogLimitInterval),
 		requestLog:   events.NewBurstLimiter(config.Log, requestLogInterval, requestLogBurst),
 		requestStats: newRequestStats(),
--- a/internal/traffic/backend/client.go
+++ b/internal/traffic/backend/client.go
@@ -67,7 +67,7 @@
 // Client sends requests to the local backend server.
 type Client struct {
 	config    ClientConfig
-	chains    *call.Chains
+	chains    *call.RunningRequests
 	transport transport
 	tokens    atomic.Uint64
 
@@ -76,7 +76,7 @@
 }
 
 // NewClient returns a client that registers each running request in chains.
-func NewClient(config ClientConfig, chains *call.Chains) *Client {
+func NewClient(config ClientConfig, chains *call.RunningRequests) *Client {
 	if config.Headers == (Headers{}) {
 		config.Headers = DefaultHeaders
 	}
--- a/internal/traffic/backend/client_test.go
+++ b/internal/traffic/backend/client_test.go
@@ -23,7 +23,7 @@
 }
 
 func newClient() *backend.Client {
-	return backend.NewClient(backend.ClientConfig{MaxBody: 1 << 10}, call.NewChains())
+	return backend.NewClient(backend.ClientConfig{MaxBody: 1 << 10}, call.NewRunningRequests())
 }
 
 // TestBrokenConnectionSendsOnce guards against sending a request twice when a persistent connection breaks during the request.
--- a/internal/traffic/backend/gate.go
+++ b/internal/traffic/backend/gate.go
@@ -33,8 +33,8 @@
 
 // Slot is a slot of the backend server that a request holds.
 type Slot struct {
-	// FullAt is the in-flight limit if this slot was the last one within it, else 0.
-	FullAt int
+	// SaturatedLimit is the in-flight limit if this slot was the last one within it, else 0.
+	SaturatedLimit int
 }
 
 // Acquire waits for a slot and reports whether the request got one. If not, it returns the reply that refuses the request.
@@ -47,7 +47,7 @@
 	verdict, waiter := g.offer(t)
 	switch verdict.Action {
 	case admission.Run:
-		return Slot{FullAt: t.SaturatedLimit}, call.Reply{}, true
+		return Slot{SaturatedLimit: t.SaturatedLimit}, call.Reply{}, true
 	case admission.Shed:
 		return Slot{}, refusedReply(verdict.Refusal), false
 	}
@@ -55,7 +55,7 @@
 	if !admitted {
 		return Slot{}, refusal, false
 	}
-	return Slot{FullAt: t.SaturatedLimit}, call.Reply{}, true
+	return Slot{SaturatedLimit: t.SaturatedLimit}, call.Reply{}, true
 }
 
 // Release frees a slot and records the sample of the request that held it.
--- a/internal/traffic/backend/transport_test.go
+++ b/internal/traffic/backend/transport_test.go
@@ -65,7 +65,7 @@
 }
 
 func newClientWithRequestIDs() *backend.Client {
-	return backend.NewClient(backend.ClientConfig{MaxBody: 1 << 20, Headers: backend.Headers{RequestID: "Request-Name"}}, call.NewChains())
+	return backend.NewClient(backend.ClientConfig{MaxBody: 1 << 20, Headers: backend.Headers{RequestID: "Request-Name"}}, call.NewRunningRequests())
 }
 
 func newRequestWithID(id string) *call.Request {
--- a/internal/traffic/call/attempts.go
+++ b/internal/traffic/call/attempts.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// Attempts is the attempt allowance that a request shares with all calls below it in the call tree. Each attempt in it
+// AttemptAllowance is the attempt allowance that a request shares with all calls below it in the call tree. Each attempt in it
 // is in exactly one state: left, lent to a call, or used. The attempts used below a root request therefore never exceed
 // the allowance of the root request.
-type Attempts struct {
+type AttemptAllowance struct {
 	mu     sync.Mutex
 	left   int
 	lent   int
@@ -13,13 +13,13 @@
 	closed bool
 }
 
-// NewAttempts returns an allowance of the given number of attempts. A negative number counts as 0.
-func NewAttempts(allowed int) *Attempts {
-	return &Attempts{left: max(allowed, 0)}
+// NewAttemptAllowance returns an allowance of the given number of attempts. A negative number counts as 0.
+func NewAttemptAllowance(allowed int) *AttemptAllowance {
+	return &AttemptAllowance{left: max(allowed, 0)}
 }
 
 // Take uses one attempt and reports whether one was left.
-func (a *Attempts) Take() bool {
+func (a *AttemptAllowance) Take() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.left == 0 {
@@ -32,7 +32,7 @@
 
 // Lend lends half of the attempts left, rounded up, to one call and returns their number. The rest stays for parallel
 // calls, and for a retry if the reply that reports the attempts used by the call is lost.
-func (a *Attempts) Lend() int {
+func (a *AttemptAllowance) Lend() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	lent := (a.left + 1) / 2
@@ -42,7 +42,7 @@
 }
 
 // Return takes back the unused attempts of those lent to a call. It does nothing after Close.
-func (a *Attempts) Return(lent, used int) {
+func (a *AttemptAllowance) Return(lent, used int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
@@ -56,7 +56,7 @@
 
 // Close ends the allowance and returns the number of attempts used. A call that has not ended counts as having used all
 // attempts lent to it; attempts that it returns later are ignored.
-func (a *Attempts) Close() int {
+func (a *AttemptAllowance) Close() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.used += a.lent
@@ -66,7 +66,7 @@
 }
 
 // Left returns the number of attempts that are neither lent nor used.
-func (a *Attempts) Left() int {
+func (a *AttemptAllowance) Left() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.left
--- a/internal/traffic/call/attempts_test.go
+++ b/internal/traffic/call/attempts_test.go
@@ -27,7 +27,7 @@
 
 // send sends one request to a backend server at the given level of the tree, and retries it until it succeeds or no retry
 // is allowed.
-func (w *callTree) send(pool *call.Attempts, level int) (failed bool) {
+func (w *callTree) send(pool *call.AttemptAllowance, level int) (failed bool) {
 	for {
 		lent := pool.Lend()
 		reply := w.run(level, lent)
@@ -57,7 +57,7 @@
 // one parallel call, and may reply before that call has ended.
 func (w *callTree) run(level, lent int) call.Reply {
 	w.runs[level]++
-	chain := call.NewChains().Begin(w.t.Context(), "token", &call.Request{AttemptsLeft: lent})
+	chain := call.NewRunningRequests().Begin(w.t.Context(), "token", &call.Request{AttemptsLeft: lent})
 	reply := call.Reply{Outcome: call.Ran, Status: 200}
 	if w.draw("failed") {
 		reply.Status = 500
@@ -89,7 +89,7 @@
 
 // finishLentCall executes a call to which attempts were lent earlier and returns the unused ones to the pool, which may be
 // closed by then.
-func (w *callTree) finishLentCall(pool *call.Attempts, lent, level int) {
+func (w *callTree) finishLentCall(pool *call.AttemptAllowance, lent, level int) {
 	reply := w.run(level, lent)
 	pool.Return(lent, reply.AttemptsUsed)
 }
@@ -106,7 +106,7 @@
 		}
 		w.runs = make([]int, w.depth)
 		allowance := rapid.IntRange(0, 5).Draw(rt, "allowance")
-		w.send(call.NewAttempts(allowance), 0)
+		w.send(call.NewAttemptAllowance(allowance), 0)
 		if w.retries > allowance {
 			rt.Fatalf("%d retries with an allowance of %d", w.retries, allowance)
 		}
@@ -122,7 +122,7 @@
 
 func TestAttemptsReturnedLate(t *testing.T) {
 	is := is.New(t)
-	pool := call.NewAttempts(3)
+	pool := call.NewAttemptAllowance(3)
 	first, second := pool.Lend(), pool.Lend()
 	is.Equal(first, 2)
 	is.Equal(second, 1) // the rest stays for a parallel call
@@ -153,7 +153,7 @@
 
 func TestTokenOfCanceledRequest(t *testing.T) {
 	is := is.New(t)
-	chains := call.NewChains()
+	chains := call.NewRunningRequests()
 	running, cancel := context.WithCancel(t.Context())
 	chains.Begin(running, "canceled", &call.Request{})
 	chains.Begin(t.Context(), "answered", &call.Request{})
--- a/internal/traffic/call/call.go
+++ b/internal/traffic/call/call.go
@@ -79,7 +79,7 @@
 	// AttemptsLeft is the attempt allowance of the request and of all calls below it.
 	AttemptsLeft int
 	// Attempts is the allowance on the sending node from which AttemptsLeft is lent. It is not sent to other nodes.
-	Attempts *Attempts
+	Attempts *AttemptAllowance
 	// Resends is the number of times that the caller has sent the request before, as reported by the caller.
 	Resends int
 	// NewConnection is whether the attempt has to use a new connection, because an earlier attempt got no response on its
--- a/internal/traffic/call/chain.go
+++ b/internal/traffic/call/chain.go
@@ -8,10 +8,10 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/lineage"
 )
 
-// Chain is the state of a request that runs on the local backend server. Calls that carry its token inherit its root, its
+// RunningRequest is the state of a request that runs on the local backend server. Calls that carry its token inherit its root, its
 // deadline and its attempt allowance, regardless of their headers. Calls that are assigned to it by inference inherit only
 // its root.
-type Chain struct {
+type RunningRequest struct {
 	Root     Root
 	Depth    int
 	Kind     string
@@ -21,7 +21,7 @@
 	Context context.Context
 
 	// Attempts is the attempt allowance that all calls below the request share.
-	Attempts *Attempts
+	Attempts *AttemptAllowance
 
 	mu sync.Mutex
 	// failure is the cause of the most recent failure of a call, or ReasonNone.
@@ -57,7 +57,7 @@
 
 // Downstream returns the summary of the calls made until now. For a call that has not ended, the time by which it exceeds
 // the typical duration of its kind counts as queueing delay.
-func (c *Chain) Downstream(now time.Time) DownstreamSummary {
+func (c *RunningRequest) Downstream(now time.Time) DownstreamSummary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	summary := DownstreamSummary{Calls: c.endedCalls + len(c.openCalls), QueueingDelay: c.queueingDelay, CrossZoneBytes: c.crossZoneBytes, Failure: c.failure}
@@ -68,7 +68,7 @@
 }
 
 // RecordReply records the reply to a call that the request made.
-func (c *Chain) RecordReply(reply *Reply) {
+func (c *RunningRequest) RecordReply(reply *Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endedCalls++
@@ -80,7 +80,7 @@
 }
 
 // CompleteReply sets the number of attempts used below the request and, if the reply is a failure, its downstream cause.
-func (c *Chain) CompleteReply(reply *Reply) {
+func (c *RunningRequest) CompleteReply(reply *Reply) {
 	reply.AttemptsUsed = c.Attempts.Close()
 	if reply.Failure() == ReasonNone {
 		return
@@ -93,13 +93,13 @@
 	}
 }
 
-func (c *Chain) markCallsInferred() {
+func (c *RunningRequest) markCallsInferred() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.callsInferred = true
 }
 
-func (c *Chain) runningRequest() lineage.RunningRequest {
+func (c *RunningRequest) runningRequest() lineage.RunningRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return lineage.RunningRequest{Kind: c.Kind, Started: c.Started, Deadline: c.Deadline, HasOpenCall: len(c.openCalls) > 0, LastCallEnd: c.lastChildEnd}
@@ -114,7 +114,7 @@
 
 // BeginChild records the start of a call. typicalDuration is the typical duration of calls of its kind, without queueing
 // delay.
-func (c *Chain) BeginChild(now time.Time, typicalDuration time.Duration) *Child {
+func (c *RunningRequest) BeginChild(now time.Time, typicalDuration time.Duration) *Child {
 	child := &Child{start: now, typicalDuration: typicalDuration}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +127,7 @@
 }
 
 // EndChild records the end of a call.
-func (c *Chain) EndChild(now time.Time, child *Child) {
+func (c *RunningRequest) EndChild(now time.Time, child *Child) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.openCalls, child)
@@ -139,7 +139,7 @@
 
 // ChildTime returns for how long the request has waited for its calls until now, including those that have not ended.
 // This time is not part of the backend server's service time.
-func (c *Chain) ChildTime(now time.Time) time.Duration {
+func (c *RunningRequest) ChildTime(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.openCalls) > 0 {
@@ -148,11 +148,11 @@
 	return c.childTime
 }
 
-// Chains holds the requests that run on the local backend server, by the token that was sent to the backend server with
+// RunningRequests holds the requests that run on the local backend server, by the token that was sent to the backend server with
 // each. A call with an unknown token inherits nothing.
-type Chains struct {
+type RunningRequests struct {
 	mu      sync.RWMutex
-	byToken map[string]*Chain
+	byToken map[string]*RunningRequest
 	// canceled holds the tokens of requests that were canceled while they ran; canceledOrder holds the same tokens,
 	// oldest first.
 	canceled      map[string]bool
@@ -160,29 +160,29 @@
 	// matcher infers which running request made a call that has no token. candidates and runningRequests are reused
 	// between calls of Parent and describe the same requests in the same order.
 	matcher         *lineage.Matcher
-	candidates      []*Chain
+	candidates      []*RunningRequest
 	runningRequests []lineage.RunningRequest
 }
 
 // maxCanceledTokens is the number of tokens of canceled requests that are remembered.
 const maxCanceledTokens = 4096
 
-// NewChains returns an empty table.
-func NewChains() *Chains {
-	return &Chains{byToken: map[string]*Chain{}, canceled: map[string]bool{}, matcher: lineage.NewMatcher()}
+// NewRunningRequests returns an empty table.
+func NewRunningRequests() *RunningRequests {
+	return &RunningRequests{byToken: map[string]*RunningRequest{}, canceled: map[string]bool{}, matcher: lineage.NewMatcher()}
 }
 
 // Begin adds a request under the token and returns its state. ctx ends with the request; if it has ended before End
 // is called, the request counts as canceled.
-func (t *Chains) Begin(ctx context.Context, token string, r *Request) *Chain {
-	c := &Chain{
+func (t *RunningRequests) Begin(ctx context.Context, token string, r *Request) *RunningRequest {
+	c := &RunningRequest{
 		Root:     r.Root,
 		Depth:    r.Depth,
 		Kind:     r.Kind,
 		Started:  time.Now(),
 		Deadline: r.Deadline,
 		Context:  ctx,
-		Attempts: NewAttempts(r.AttemptsLeft),
+		Attempts: NewAttemptAllowance(r.AttemptsLeft),
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -192,7 +192,7 @@
 
 // End removes the request under the token. The token of a canceled request is remembered, so that a backend server that
 // continues to work on it cannot make calls for it.
-func (t *Chains) End(token string) {
+func (t *RunningRequests) End(token string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c, ok := t.byToken[token]
@@ -205,7 +205,7 @@
 	}
 }
 
-func (t *Chains) rememberCanceled(token string) {
+func (t *RunningRequests) rememberCanceled(token string) {
 	t.canceled[token] = true
 	t.canceledOrder = append(t.canceledOrder, token)
 	if len(t.canceledOrder) > maxCanceledTokens {
@@ -215,7 +215,7 @@
 }
 
 // Find returns the running request under the token, or nil.
-func (t *Chains) Find(token string) *Chain {
+func (t *RunningRequests) Find(token string) *RunningRequest {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.byToken[token]
@@ -224,7 +224,7 @@
 // Parent returns the running request that most likely made a call without a token, or nil if none matches. It also
 // reports whether the request is likely to be a call of the local backend server at all. Both results are inferred and may
 // be wrong.
-func (t *Chains) Parent(now time.Time, c lineage.Call) (*Chain, bool) {
+func (t *RunningRequests) Parent(now time.Time, c lineage.Call) (*RunningRequest, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.candidates, t.runningRequests = t.candidates[:0], t.runningRequests[:0]
@@ -241,7 +241,7 @@
 }
 
 // IsCanceled reports whether the token belongs to a request that was canceled while it ran.
-func (t *Chains) IsCanceled(token string) bool {
+func (t *RunningRequests) IsCanceled(token string) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.canceled[token]
--- a/internal/traffic/call/chain_test.go
+++ b/internal/traffic/call/chain_test.go
@@ -14,7 +14,7 @@
 	is := is.New(t)
 	start := time.Now()
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
-	chain := &call.Chain{}
+	chain := &call.RunningRequest{}
 	is.Equal(chain.ChildTime(at(0)), time.Duration(0))
 	first := chain.BeginChild(at(10), 0)
 	second := chain.BeginChild(at(20), 0) // overlaps the first
@@ -30,7 +30,7 @@
 func TestQueueingDelayIncludesOpenCalls(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
-	chain := &call.Chain{}
+	chain := &call.RunningRequest{}
 	ended := chain.BeginChild(start, 50*time.Millisecond)
 	chain.EndChild(start.Add(80*time.Millisecond), ended)
 	chain.RecordReply(&call.Reply{Outcome: call.Ran, Status: 200, QueueingDelay: 30 * time.Millisecond})
@@ -52,7 +52,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
-			chains := call.NewChains()
+			chains := call.NewRunningRequests()
 			chain := chains.Begin(t.Context(), "a", &call.Request{Kind: "sheets", Deadline: now.Add(time.Second)})
 			for n := range test.calls * 20 { // the first ones train the matcher that the kind consists of calls
 				later := now.Add(time.Duration(10+n) * time.Millisecond)
--- a/internal/traffic/caller/handler.go
+++ b/internal/traffic/caller/handler.go
@@ -53,7 +53,7 @@
 type Config struct {
 	Board  *board.Loop
 	Sender Sender
-	Chains *call.Chains
+	Chains *call.RunningRequests
 	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64
 	// Rejected is called for each request that is rejected before it is sent to an instance. It may be nil.
@@ -113,9 +113,9 @@
 
 // send forwards the request. A call of a running request uses the attempt allowance of that request and counts as its
 // child.
-func (h *handler) send(ctx context.Context, request *call.Request, chain *call.Chain) call.Reply {
+func (h *handler) send(ctx context.Context, request *call.Request, chain *call.RunningRequest) call.Reply {
 	if chain == nil {
-		request.Attempts = call.NewAttempts(request.AttemptsLeft)
+		request.Attempts = call.NewAttemptAllowance(request.AttemptsLeft)
 		return h.config.Sender.Send(ctx, request)
 	}
 	request.Attempts = chain.Attempts
@@ -126,7 +126,7 @@
 	return reply
 }
 
-func (h *handler) buildRequest(r *http.Request, p httprouter.Params) (*call.Request, *call.Chain, *rejection) {
+func (h *handler) buildRequest(r *http.Request, p httprouter.Params) (*call.Request, *call.RunningRequest, *rejection) {
 	accepted, kind, refused := h.matchKind(r, p)
 	if refused != nil {
 		return nil, nil, refused
@@ -196,7 +196,7 @@
 }
 
 // inheritRoot copies the root from the running request that made the call, or creates a new root if chain is nil.
-func inheritRoot(request *call.Request, r *http.Request, kind document.Kind, chain *call.Chain) {
+func inheritRoot(request *call.Request, r *http.Request, kind document.Kind, chain *call.RunningRequest) {
 	if chain == nil {
 		request.Root = call.Root{ID: uuid.NewString(), Start: time.Now(), Rank: kind.Rank, Caller: callerOf(r)}
 		return
--- a/internal/traffic/caller/routed.go
+++ b/internal/traffic/caller/routed.go
@@ -31,7 +31,7 @@
 type RoutedHandlerConfig struct {
 	Board   *board.Loop
 	Sender  Sender
-	Chains  *call.Chains
+	Chains  *call.RunningRequests
 	Headers RoutedHeaders
 	// Service is the service of this instance.
 	Service string
@@ -109,11 +109,11 @@
 		request.Depth = 1
 	}
 	if parent == nil {
-		request.Attempts = call.NewAttempts(request.AttemptsLeft)
+		request.Attempts = call.NewAttemptAllowance(request.AttemptsLeft)
 		return h.config.Sender.Send(ctx, request)
 	}
 	inheritParent(request, parent)
-	request.Attempts = call.NewAttempts(request.AttemptsLeft)
+	request.Attempts = call.NewAttemptAllowance(request.AttemptsLeft)
 	child := parent.BeginChild(time.Now(), h.typicalDurations.Of(request.Kind))
 	reply := h.config.Sender.Send(ctx, request)
 	parent.EndChild(time.Now(), child)
@@ -124,7 +124,7 @@
 	return reply
 }
 
-func inheritParent(request *call.Request, parent *call.Chain) {
+func inheritParent(request *call.Request, parent *call.RunningRequest) {
 	request.Root = parent.Root
 	request.Depth = parent.Depth + 1
 }
--- a/internal/traffic/caller/routed_test.go
+++ b/internal/traffic/caller/routed_test.go
@@ -24,7 +24,7 @@
 
 func newRoutedHandler(t *testing.T, send senderFunc) http.Handler {
 	t.Helper()
-	table, err := routes.NewTable(routes.Catalogue{
+	table, err := routes.NewTable(routes.Configuration{
 		Version: 1,
 		Routes: []routes.Route{{
 			Name: "deposits", Host: "deposits.example", Prefix: "/", Timeout: 100 * time.Millisecond, MaxAttempts: 2,
@@ -36,7 +36,7 @@
 	return caller.NewRoutedHandler(caller.RoutedHandlerConfig{
 		Board:    board.NewLoop(board.Board{Routes: table}),
 		Sender:   send,
-		Chains:   call.NewChains(),
+		Chains:   call.NewRunningRequests(),
 		Headers:  caller.RoutedHeaders{RequestID: "Request-Name", Timeout: "Time-Left", CallerService: "Calling-Service"},
 		Service:  "crew",
 		MaxBody:  100,
--- a/internal/traffic/flow/receiver.go
+++ b/internal/traffic/flow/receiver.go
@@ -197,7 +197,7 @@
 		HoldTime:       result.HoldTime,
 		Overloaded:     result.Overloaded,
 		Incomplete:     incomplete && !result.ConnectionBroken,
-		SaturatedLimit: slot.FullAt,
+		SaturatedLimit: slot.SaturatedLimit,
 		Failed:         result.ConnectionBroken || !incomplete && result.Reply.Status >= http.StatusInternalServerError,
 	}
 }
--- a/internal/traffic/flow/receiver_test.go
+++ b/internal/traffic/flow/receiver_test.go
@@ -68,7 +68,7 @@
 			v := NewReceiver(ReceiverConfig{
 				Board:       loop,
 				Gate:        backend.NewGate(admission.GateConfig{Limit: admission.LimitConfig{Initial: 4, Min: 1, Max: 8}, MaxDelayLeastUrgent: time.Second}),
-				Backend:     backend.NewClient(backend.ClientConfig{MaxBody: 1 << 10}, call.NewChains()),
+				Backend:     backend.NewClient(backend.ClientConfig{MaxBody: 1 << 10}, call.NewRunningRequests()),
 				Quarantine:  NewQuarantine(QuarantineConfig{Table: quarantine.DefaultConfig}),
 				RequeueShed: true,
 				Events:      log,
