--- a/internal/control/routes/routes.go
+++ b/internal/control/routes/routes.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	table, err := routes.NewTable(routes.Catalogue{Version: 7, Routes: list})
+//	table, err := routes.NewTable(routes.Configuration{Version: 7, Routes: list})
 //	route, ok := table.Match("sheets.example", "/today/12")
 //	service := route.Service(number)
 package routes
@@ -107,9 +107,9 @@
 	services map[string]Service
 }
 
-// NewTable validates the catalogue and returns its table, or a trace.BadParameter that names the first invalid value.
+// NewTable validates the configuration and returns its table, or a trace.BadParameter that names the first invalid value.
 func NewTable(c Configuration) (*Table, error) {
-	t := &Table{Catalogue: c, byHost: map[string][]*Route{}, services: map[string]Service{}}
+	t := &Table{Configuration: c, byHost: map[string][]*Route{}, services: map[string]Service{}}
 	for _, s := range c.Services {
 		t.services[s.Name] = s
 	}
--- a/internal/process/routed/routes.go
+++ b/internal/process/routed/routes.go
@@ -62,6 +62,6 @@
 	}
 	f.loop.Do(ctx, func(b *board.Board) { b.Routes = table })
 	f.config.Log.Emit(events.RoutesInForce, events.Fields{
-		"version": table.Version, "revision": item.Revision, "routes": len(table.Catalogue.Routes),
+		"version": table.Version, "revision": item.Revision, "routes": len(table.Configuration.Routes),
 	})
 }
