--- a/internal/proof/admission/admission_test.go
+++ b/internal/proof/admission/admission_test.go
@@ -67,8 +67,8 @@
 // serviceTime is long enough for the slots, not the processor, to bound what the fleet can do.
 const serviceTime = 80 * time.Millisecond
 
-// venue returns a deployment whose two backend servers have 10 slots each and run 250 requests a second together.
-func venue() fleet.Deployment {
+// venueDeployment returns a deployment whose two backend servers have 10 slots each and run 250 requests a second together.
+func venueDeployment() fleet.Deployment {
 	return fleet.Deployment{
 		Zones: []string{"lisbon_1"},
 		Services: []fleet.Service{{
@@ -88,14 +88,14 @@
 	}
 }
 
-// by gives the stream a caller of its own.
-func by(caller string, s load.Stream) load.Stream {
+// withCaller gives the stream a caller of its own.
+func withCaller(caller string, s load.Stream) load.Stream {
 	s.Caller = caller
 	return s
 }
 
-// hasty gives the stream a timeout below the wait in a backend server that was believed to have ten times its slots.
-func hasty(s load.Stream) load.Stream {
+// withShortTimeout gives the stream a timeout below the wait in a backend server that was believed to have ten times its slots.
+func withShortTimeout(s load.Stream) load.Stream {
 	s.Timeout = 600 * time.Millisecond
 	return s
 }
@@ -106,10 +106,10 @@
 	floodStop  = 3 * time.Second
 	// floodRate is three times what the fleet can do.
 	floodRate = 750
-	// transition is how long after a flood began the fleet may still run less urgent work.
-	transition = time.Second
-	// settled is how long after a flood ended its last requests may stand in a queue.
-	settled = 500 * time.Millisecond
+	// sheddingDelay is how long after a flood began the fleet may still run less urgent work.
+	sheddingDelay = time.Second
+	// queueClearTime is how long after a flood ended its last requests may stand in a queue.
+	queueClearTime = 500 * time.Millisecond
 )
 
 func flood(name, path string, rank int, rate float64) load.Stream {
@@ -135,8 +135,8 @@
 	return results
 }
 
-// share returns the part of the stream's requests, sent within the time, that got a good answer.
-func share(results []load.Result, stream string, from, to time.Duration) float64 {
+// goodRatio returns the part of the stream's requests, sent within the time, that got a good answer.
+func goodRatio(results []load.Result, stream string, from, to time.Duration) float64 {
 	sent, good := 0, 0
 	for _, r := range results {
 		if r.Stream != stream || r.Sent < from || r.Sent >= to {
@@ -165,19 +165,19 @@
 		},
 		"of one caller within the most urgent kind": {
 			floods:   []load.Stream{flood("flood", "/sheets/x", 0, floodRate)},
-			served:   []load.Stream{by("crew", stream("crew", "/sheets/x", 0, 50))},
+			served:   []load.Stream{withCaller("crew", stream("crew", "/sheets/x", 0, 50))},
 			unserved: []load.Stream{stream("archive", "/archive/x", 8, 60)},
 		},
 		"of the least urgent where ten times the slots are announced": {
 			floods: []load.Stream{flood("flood", "/archive/x", 8, floodRate)},
-			served: []load.Stream{hasty(stream("sheets", "/sheets/x", 0, 50))},
+			served: []load.Stream{withShortTimeout(stream("sheets", "/sheets/x", 0, 50))},
 			change: func(d *fleet.Deployment) { d.Services[0].AnnouncedSlots = 100 },
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := venue()
+			d := venueDeployment()
 			if test.change != nil {
 				test.change(&d)
 			}
@@ -185,12 +185,12 @@
 			results := run(t, f, slices.Concat(test.served, test.unserved, test.floods)...)
 			for _, s := range test.served {
 				logFailures(t, results, s.Name)
-				is.True(share(results, s.Name, 0, runTime) >= 0.99) // good answers in the deadline
+				is.True(goodRatio(results, s.Name, 0, runTime) >= 0.99) // good answers in the deadline
 			}
 			for _, s := range test.unserved {
-				is.True(share(results, s.Name, 0, floodStart-100*time.Millisecond) >= 0.99)
-				is.True(share(results, s.Name, floodStart+transition, floodStop-settled) <= 0.01)
-				is.True(share(results, s.Name, floodStop+settled, runTime) >= 0.95)
+				is.True(goodRatio(results, s.Name, 0, floodStart-100*time.Millisecond) >= 0.99)
+				is.True(goodRatio(results, s.Name, floodStart+sheddingDelay, floodStop-queueClearTime) <= 0.01)
+				is.True(goodRatio(results, s.Name, floodStop+queueClearTime, runTime) >= 0.95)
 			}
 			checkRefusals(is, results)
 			for _, n := range f.Nodes {
@@ -222,13 +222,13 @@
 func TestRecovery(t *testing.T) {
 	is := is.New(t)
 	const (
-		warm         = 500 * time.Millisecond
+		window       = 500 * time.Millisecond
 		triggerStart = 1500 * time.Millisecond
 		triggerStop  = 3 * time.Second
 		recovered    = triggerStop + 5*time.Second
 		end          = recovered + time.Second
 	)
-	d := venue()
+	d := venueDeployment()
 	d.Services[0].Slots = 30 // a call of the deep service takes as long again
 	d.Services[0].Behaviour.Calls = []server.DownstreamCall{{Service: "deep", Method: http.MethodGet, Path: "/lookups/x"}}
 	deep := d.Services[0]
@@ -241,9 +241,9 @@
 		time.Sleep(triggerStart)
 		slow := deep.Behaviour
 		slow.ServiceTime *= 8
-		setDeep(f, slow)
+		setDeepBehaviour(f, slow)
 		time.Sleep(triggerStop - triggerStart)
-		setDeep(f, deep.Behaviour)
+		setDeepBehaviour(f, deep.Behaviour)
 	})
 	surge := stream("surge", "/lookups/x", 5, 150)
 	surge.Start, surge.Stop, surge.Resends = triggerStart, triggerStop, 3
@@ -251,11 +251,11 @@
 	results := load.Run(t.Context(), load.Config{Streams: streams, Targets: f.Callers(), Duration: end, Seed: 1})
 	group.Wait()
 	for _, name := range []string{"sheets", "lookups"} {
-		for from := time.Duration(0); from < end; from += warm {
-			t.Logf("%s from %s: %.3f", name, from, share(results, name, from, from+warm))
+		for from := time.Duration(0); from < end; from += window {
+			t.Logf("%s from %s: %.3f", name, from, goodRatio(results, name, from, from+window))
 		}
-		is.True(share(results, name, warm, triggerStart-warm) >= 0.95)
-		is.True(share(results, name, recovered, end) >= 0.95)
+		is.True(goodRatio(results, name, window, triggerStart-window) >= 0.95)
+		is.True(goodRatio(results, name, recovered, end) >= 0.95)
 	}
 	for _, n := range f.Nodes {
 		dump, err := fleet.FetchDump(t.Context(), n.Backend)
@@ -265,7 +265,7 @@
 	}
 }
 
-func setDeep(f *fleet.Fleet, b server.Behaviour) {
+func setDeepBehaviour(f *fleet.Fleet, b server.Behaviour) {
 	for _, n := range f.Nodes {
 		if n.Service == "deep" {
 			n.Server.SetBehaviour(b)
@@ -276,7 +276,7 @@
 // A caller that goes away, or a deadline that passes, ends the work on the backend server.
 func TestCancellationReachesBackendServer(t *testing.T) {
 	is := is.New(t)
-	d := venue()
+	d := venueDeployment()
 	d.Services[0].Behaviour.ServiceTime = time.Minute
 	f := harness.Start(t, fleet.Config{Deployment: d})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/proof/admission/cold_test.go
+++ b/internal/proof/admission/cold_test.go
@@ -24,7 +24,7 @@
 // A backend server that comes back cold, at a sixth of its speed, gets what it can do and no more.
 func TestColdInstanceIsRamped(t *testing.T) {
 	is := is.New(t)
-	d := venue()
+	d := venueDeployment()
 	d.Services[0].Behaviour.CrashOn = crashText
 	d.Services[0].Behaviour.RestartAfter = coldRestart
 	d.Services[0].Behaviour.ColdFactor = 6
@@ -44,8 +44,8 @@
 		}
 	}
 	is.Equal(crashes, 1)
-	is.True(ran > 0)                                                        // the cold one is used
-	is.True(share(results, "sheets", crashAt+coldRestart, runTime) >= 0.99) // good answers in the deadline
+	is.True(ran > 0)                                                            // the cold one is used
+	is.True(goodRatio(results, "sheets", crashAt+coldRestart, runTime) >= 0.99) // good answers in the deadline
 }
 
 // crashOne sends a request that crashes the backend server that runs it. It is not idempotent, so no other one gets it.
--- a/internal/proof/control/document_test.go
+++ b/internal/proof/control/document_test.go
@@ -15,20 +15,20 @@
 )
 
 func TestDocumentsAndMembers(t *testing.T) {
-	f := harness.StartKilled(t, fleet.Config{Deployment: fleet.Chain()})
+	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: fleet.Chain()})
 
 	t.Run("in force everywhere within seconds", func(t *testing.T) {
 		for i, n := range f.Nodes {
 			stored := put(t, n, 100+i)
 			accepted := time.Now()
-			harness.Eventually(t, inForceWithin, func() bool { return agree(t, f.Nodes, stored.Operation) })
+			harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, f.Nodes, stored.Operation) })
 			t.Logf("accepted by %s, in force on all nodes after %s", n.Name, time.Since(accepted))
 		}
 	})
 
 	t.Run("operators race through two nodes", func(t *testing.T) {
 		is := is.New(t)
-		stands, err := client(f.Nodes[0]).Get(t.Context(), service)
+		current, err := client(f.Nodes[0]).Get(t.Context(), service)
 		is.NoErr(err)
 		var stored [2]zone.StoredDocument
 		var failed [2]error
@@ -36,7 +36,7 @@
 		var group conc.WaitGroup
 		for i := range failed {
 			group.Go(func() {
-				stored[i], failed[i] = client(f.Nodes[i]).Put(t.Context(), service, document(200+i), stands.Tag(), "")
+				stored[i], failed[i] = client(f.Nodes[i]).Put(t.Context(), service, document(200+i), current.Tag(), "")
 			})
 		}
 		group.Wait()
@@ -47,65 +47,65 @@
 		}
 		is.NoErr(failed[winner])
 		is.Equal(codeOf(failed[1-winner]), operator.CodeRevisionConflict)
-		harness.Eventually(t, inForceWithin, func() bool { return agree(t, f.Nodes, stored[winner].Operation) })
+		harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, f.Nodes, stored[winner].Operation) })
 	})
 
 	t.Run("answer lost after the write", func(t *testing.T) {
 		is := is.New(t)
-		stands, err := client(f.Nodes[1]).Get(t.Context(), service)
+		current, err := client(f.Nodes[1]).Get(t.Context(), service)
 		is.NoErr(err)
 		f.Store.SetFaults(store.Faults{LoseAnswers: true})
-		stored, err := client(f.Nodes[1]).Put(t.Context(), service, document(300), stands.Tag(), "lost-answer")
+		stored, err := client(f.Nodes[1]).Put(t.Context(), service, document(300), current.Tag(), "lost-answer")
 		f.Store.SetFaults(store.Faults{})
 		is.NoErr(err)
-		is.Equal(stored.Revision, stands.Revision+1) // written once
-		harness.Eventually(t, inForceWithin, func() bool { return agree(t, f.Nodes, "lost-answer") })
+		is.Equal(stored.Revision, current.Revision+1) // written once
+		harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, f.Nodes, "lost-answer") })
 	})
 
 	t.Run("restored and lagging platform", func(t *testing.T) { testRestored(t, f, f.Store.Snapshot, 400) })
 
 	t.Run("restored platform whose revisions went on", func(t *testing.T) {
-		later := func() store.Snapshot { return f.Store.Snapshot().WithAdvancedRevision(writesSince) }
-		testRestored(t, f, later, 500)
+		advanced := func() store.Snapshot { return f.Store.Snapshot().WithAdvancedRevision(advancedRevisions) }
+		testRestored(t, f, advanced, 500)
 	})
 
 	t.Run("dead member gets no new work", func(t *testing.T) {
-		zoneNodes, _ := inZone(f, "lisbon_2")
-		follower := without(zoneNodes, settledLeader(t, zoneNodes))[0]
+		zoneNodes, _ := splitByZone(f, "lisbon_2")
+		follower := without(zoneNodes, awaitLeader(t, zoneNodes))[0]
 		follower.Kill()
 		killed := time.Now()
-		harness.Eventually(t, noWorkAfter, func() bool { return !takesWork(t, without(f.Nodes, follower), follower) })
+		harness.Eventually(t, routingTimeout, func() bool { return !anyRoutesTo(t, without(f.Nodes, follower), follower) })
 		t.Logf("passed over in all zones after %s", time.Since(killed))
 	})
 }
 
-// writesSince is more writes than the fleet makes from a copy of the platform's content until it is put back.
-const writesSince = 1000
+// advancedRevisions is more writes than the fleet makes from a copy of the platform's content until it is put back.
+const advancedRevisions = 1000
 
 // testRestored puts the platform back to older content, and lets its reads lag, while a watch on all nodes looks for
 // one that takes the older document back. Save returns the content that is put back; edit tells the documents apart.
-func testRestored(t *testing.T, f *fleet.Fleet, save func() store.Snapshot, edit int) {
+func testRestored(t *testing.T, f *fleet.Fleet, snapshot func() store.Snapshot, edit int) {
 	is := is.New(t)
-	older := save()
+	older := snapshot()
 	stored := put(t, f.Nodes[2], edit)
-	harness.Eventually(t, inForceWithin, func() bool { return agree(t, f.Nodes, stored.Operation) })
+	harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, f.Nodes, stored.Operation) })
 	f.Store.Restore(older)
-	harness.Eventually(t, healWithin, func() bool {
-		is.True(agree(t, f.Nodes, stored.Operation)) // no node went back
-		return platformHas(t, f, stored.Operation)
+	harness.Eventually(t, healTimeout, func() bool {
+		is.True(allUseEdit(t, f.Nodes, stored.Operation)) // no node went back
+		return platformHasEdit(t, f, stored.Operation)
 	})
 	f.Store.SetFaults(store.Faults{Lag: 500 * time.Millisecond})
 	for end := time.Now().Add(time.Second); time.Now().Before(end); {
-		is.True(agree(t, f.Nodes, stored.Operation))
+		is.True(allUseEdit(t, f.Nodes, stored.Operation))
 	}
 	f.Store.SetFaults(store.Faults{})
-	is.True(platformHas(t, f, stored.Operation))
+	is.True(platformHasEdit(t, f, stored.Operation))
 	next := put(t, f.Nodes[3], edit+1)
 	is.True(next.Revision > stored.Revision)
-	harness.Eventually(t, inForceWithin, func() bool { return agree(t, f.Nodes, next.Operation) })
+	harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, f.Nodes, next.Operation) })
 }
 
-func platformHas(t *testing.T, f *fleet.Fleet, edit string) bool {
+func platformHasEdit(t *testing.T, f *fleet.Fleet, edit string) bool {
 	entry, err := platformClient(f).Get(t.Context(), zone.DocumentPrefix+service)
 	if err != nil {
 		return false
--- a/internal/proof/control/editor_test.go
+++ b/internal/proof/control/editor_test.go
@@ -23,13 +23,13 @@
 	deployment.Services[0].Instances = 1
 	var log strings.Builder
 	tokens := "*:" + fleet.OperatorToken + ",access-team:" + teamToken + "," + editor + ":" + anaToken
-	f := harness.StartKilled(t, fleet.Config{Deployment: deployment, Output: &log, ExtraFlags: []string{"-operator.tokens", tokens, "-log.level", "debug"}})
+	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: deployment, Output: &log, ExtraFlags: []string{"-operator.tokens", tokens, "-log.level", "debug"}})
 	n := f.Nodes[0]
 
 	ana := operator.NewClient(operator.ClientConfig{Address: n.Operator, Token: anaToken, Timeout: 10 * time.Second})
-	stands, err := ana.Get(t.Context(), service)
+	current, err := ana.Get(t.Context(), service)
 	is.NoErr(err)
-	_, err = ana.Put(t.Context(), service, document(950), stands.Tag(), "edit-of-ana")
+	_, err = ana.Put(t.Context(), service, document(950), current.Tag(), "edit-of-ana")
 	is.NoErr(err)
 	edits, err := ana.History(t.Context(), service)
 	is.NoErr(err)
--- a/internal/proof/control/main_test.go
+++ b/internal/proof/control/main_test.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// inForceWithin is the time in which an accepted document must be in force.
-	inForceWithin = 4 * time.Second
-	// noWorkAfter is the time in which a drained or dead member must be passed over.
-	noWorkAfter = 2 * time.Second
-	// healWithin is the time in which a healed fleet must agree.
-	healWithin = 10 * time.Second
-	// leadWithin is the time in which a zone must have another leader.
-	leadWithin = 10 * time.Second
-	service    = "access"
+	// inForceTimeout is the time in which an accepted document must be in force.
+	inForceTimeout = 4 * time.Second
+	// routingTimeout is the time in which a drained or dead member must be passed over.
+	routingTimeout = 2 * time.Second
+	// healTimeout is the time in which a healed fleet must agree.
+	healTimeout = 10 * time.Second
+	// electionTimeout is the time in which a zone must have another leader.
+	electionTimeout = 10 * time.Second
+	service         = "access"
 )
 
 func TestMain(m *testing.M) {
@@ -44,11 +44,11 @@
 // put writes a document over the one that stands, and fails the test where it is refused.
 func put(t *testing.T, n *fleet.Node, milliseconds int) zone.StoredDocument {
 	t.Helper()
-	stands, err := client(n).Get(t.Context(), service)
+	current, err := client(n).Get(t.Context(), service)
 	if err != nil {
 		t.Fatalf("get: %v", err)
 	}
-	stored, err := client(n).Put(t.Context(), service, document(milliseconds), stands.Tag(), "")
+	stored, err := client(n).Put(t.Context(), service, document(milliseconds), current.Tag(), "")
 	if err != nil {
 		t.Fatalf("put: %v", err)
 	}
@@ -71,7 +71,7 @@
 	return d, err == nil && d.Board != nil
 }
 
-func operation(t *testing.T, n *fleet.Node) string {
+func operationInForce(t *testing.T, n *fleet.Node) string {
 	d, ok := dump(t, n)
 	if !ok {
 		return ""
@@ -79,12 +79,12 @@
 	return d.Board.Documents.ByService[service].Operation
 }
 
-// agree reports whether all of the nodes go by the edit.
-func agree(t *testing.T, nodes []*fleet.Node, edit string) bool {
-	return !slices.ContainsFunc(nodes, func(n *fleet.Node) bool { return operation(t, n) != edit })
+// allUseEdit reports whether all of the nodes go by the edit.
+func allUseEdit(t *testing.T, nodes []*fleet.Node, edit string) bool {
+	return !slices.ContainsFunc(nodes, func(n *fleet.Node) bool { return operationInForce(t, n) != edit })
 }
 
-func inZone(f *fleet.Fleet, zone string) (inside, outside []*fleet.Node) {
+func splitByZone(f *fleet.Fleet, zone string) (inside, outside []*fleet.Node) {
 	for _, n := range f.Nodes {
 		if n.Zone == zone {
 			inside = append(inside, n)
@@ -95,7 +95,7 @@
 	return inside, outside
 }
 
-func names(nodes []*fleet.Node) []string {
+func nodeNames(nodes []*fleet.Node) []string {
 	var names []string
 	for _, n := range nodes {
 		names = append(names, n.Name)
@@ -107,8 +107,8 @@
 	return slices.DeleteFunc(slices.Clone(nodes), func(other *fleet.Node) bool { return other == n })
 }
 
-// leader returns the node that leads the zone by its own word, or nil where none or more than one does.
-func leader(t *testing.T, nodes []*fleet.Node) *fleet.Node {
+// findLeader returns the node that leads the zone by its own word, or nil where none or more than one does.
+func findLeader(t *testing.T, nodes []*fleet.Node) *fleet.Node {
 	var found []*fleet.Node
 	for _, n := range nodes {
 		if d, ok := dump(t, n); ok && d.Board.Leader.IsSelf {
@@ -121,27 +121,27 @@
 	return found[0]
 }
 
-// settledLeader waits until one node of the zone leads it, and returns that node.
-func settledLeader(t *testing.T, nodes []*fleet.Node) *fleet.Node {
+// awaitLeader waits until one node of the zone leads it, and returns that node.
+func awaitLeader(t *testing.T, nodes []*fleet.Node) *fleet.Node {
 	t.Helper()
 	var found *fleet.Node
-	harness.Eventually(t, leadWithin, func() bool {
-		found = leader(t, nodes)
+	harness.Eventually(t, electionTimeout, func() bool {
+		found = findLeader(t, nodes)
 		return found != nil
 	})
 	return found
 }
 
-// takesWork reports whether any of the nodes would send new work to the member.
-func takesWork(t *testing.T, nodes []*fleet.Node, member *fleet.Node) bool {
+// anyRoutesTo reports whether any of the nodes would send new work to the member.
+func anyRoutesTo(t *testing.T, nodes []*fleet.Node, member *fleet.Node) bool {
 	return slices.ContainsFunc(nodes, func(n *fleet.Node) bool {
 		d, ok := dump(t, n)
 		return !ok || d.Board.Members.AcceptsRequests(member.Service, member.Name)
 	})
 }
 
-// everyoneTakesWork reports whether each of the nodes would send new work to each of the others.
-func everyoneTakesWork(t *testing.T, nodes []*fleet.Node) bool {
+// allRouteToAll reports whether each of the nodes would send new work to each of the others.
+func allRouteToAll(t *testing.T, nodes []*fleet.Node) bool {
 	for _, n := range nodes {
 		d, ok := dump(t, n)
 		if !ok || d.Board.Members.CountAcceptingRequests() != len(nodes) {
--- a/internal/proof/control/reasons_test.go
+++ b/internal/proof/control/reasons_test.go
@@ -18,19 +18,19 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-const poison = "crash"
+const crashBody = "crash"
 
-// TestDumpSaysWhy floods a small service, sends requests that crash it, and reads from the dump and from its table
+// TestDumpNamesReasons floods a small service, sends requests that crash it, and reads from the dump and from its table
 // why each decision stands.
-func TestDumpSaysWhy(t *testing.T) {
+func TestDumpNamesReasons(t *testing.T) {
 	is := is.New(t)
 	deployment := fleet.Chain()
 	deployment.Services = deployment.Services[1:]
 	access := &deployment.Services[0]
 	access.Instances, access.Slots = 2, 2
 	access.Behaviour.ServiceTime = 50 * time.Millisecond
-	access.Behaviour.CrashOn, access.Behaviour.RestartAfter = poison, 200*time.Millisecond
-	f := harness.StartKilled(t, fleet.Config{Deployment: deployment})
+	access.Behaviour.CrashOn, access.Behaviour.RestartAfter = crashBody, 200*time.Millisecond
+	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: deployment})
 
 	flood := load.Stream{Name: "archive", Service: service, Method: http.MethodGet, Path: "/archive/x", Rank: 7, Rate: 600, Timeout: time.Second}
 	load.Run(t.Context(), load.Config{Streams: []load.Stream{flood}, Targets: f.Callers(), Duration: 2 * time.Second, Seed: 1})
@@ -39,7 +39,7 @@
 	is.True(slices.ContainsFunc(all, func(d node.Dump) bool {
 		return !d.Gate.Sheds[7].Last.At.IsZero() && d.Gate.Sheds[7].Last.Kind == "archive"
 	}))
-	is.True(slices.ContainsFunc(all, func(d node.Dump) bool { return refusedHere(d, "archive") }))
+	is.True(slices.ContainsFunc(all, func(d node.Dump) bool { return hasLocalRefusal(d, "archive") }))
 	for _, d := range all {
 		is.True(admission.LimitReasons[d.Gate.Change.Reason] != "")
 		is.Equal(d.Gate.Sheds[0].ByReason, nil) // nothing urgent was sent
@@ -48,8 +48,8 @@
 	is.True(slices.ContainsFunc(all, func(d node.Dump) bool { return strings.Contains(table(t, d), string(throttle.RefusedAboveRate)) }))
 	is.True(slices.ContainsFunc(all, func(d node.Dump) bool { return strings.Contains(table(t, d), string(admission.ShedOverload)) }))
 
-	harness.Eventually(t, healWithin, func() bool {
-		post(t, f.Nodes[0].Caller, "/call/access/bookings", poison)
+	harness.Eventually(t, healTimeout, func() bool {
+		post(t, f.Nodes[0].Caller, "/call/access/bookings", crashBody)
 		all = dumps(t, f)
 		return slices.ContainsFunc(all, func(d node.Dump) bool {
 			return hasCrash(d, quarantine.ObservedLocally) && hasCrash(d, quarantine.Reported)
@@ -70,8 +70,8 @@
 	return all
 }
 
-// refusedHere reports whether the node's entry says that it refused requests of the kind.
-func refusedHere(d node.Dump, kind string) bool {
+// hasLocalRefusal reports whether the node's entry says that it refused requests of the kind.
+func hasLocalRefusal(d node.Dump, kind string) bool {
 	for _, s := range d.Sender.Throttles {
 		if s.Kind == kind && s.LastHere.Reason == throttle.RefusedAboveRate && !s.LastBelow.IsZero() {
 			return true
--- a/internal/proof/control/session_test.go
+++ b/internal/proof/control/session_test.go
@@ -75,7 +75,7 @@
 	addresses  = regexp.MustCompile(`127\.\d+\.\d+\.\d+:\d+`)
 )
 
-func normalized(text string) []byte {
+func normalize(text string) []byte {
 	text = operations.ReplaceAllString(text, "<operation>")
 	text = times.ReplaceAllString(text, "<time>")
 	text = tagHashes.ReplaceAllString(text, "$1-<hash>")
@@ -87,7 +87,7 @@
 	deployment.Services = deployment.Services[1:]
 	deployment.Services[0].Instances = 1
 	tokens := "*:" + fleet.OperatorToken + ",access-team:" + teamToken + ",bookings-team:" + otherToken
-	f := harness.StartKilled(t, fleet.Config{Deployment: deployment, ExtraFlags: []string{"-operator.tokens", tokens}})
+	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: deployment, ExtraFlags: []string{"-operator.tokens", tokens}})
 	s := &session{t: t, node: f.Nodes[0]}
 	const path = "/v1/documents/access"
 	faulty := strings.NewReplacer("rank = 2", "rank = 12", "idempotent = true", "idempotent = perhaps").Replace(string(document(900)))
@@ -113,14 +113,14 @@
 	s.send("drain as a team", teamToken, http.MethodPost, "/v1/drain", false, nil)
 	s.send("drain", fleet.OperatorToken, http.MethodPost, "/v1/drain", false, nil)
 
-	goldie.New(t).Assert(t, "operator_session", normalized(s.text.String()))
+	goldie.New(t).Assert(t, "operator_session", normalize(s.text.String()))
 }
 
 // TestDumpAndMetrics reads the state of a node in each way in which operators can.
 func TestDumpAndMetrics(t *testing.T) {
 	is := is.New(t)
-	f := harness.StartKilled(t, fleet.Config{Deployment: fleet.Chain()})
-	is.True(serves(t, f.Nodes))
+	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: fleet.Chain()})
+	is.True(servesAll(t, f.Nodes))
 	for _, n := range f.Nodes {
 		encoded, err := client(n).Dump(t.Context())
 		is.NoErr(err)
--- a/internal/proof/control/stale_test.go
+++ b/internal/proof/control/stale_test.go
@@ -20,9 +20,9 @@
 	is := is.New(t)
 	deployment := fleet.Chain()
 	deployment.Services[1].Instances = 6 // three nodes in each zone
-	f := harness.StartKilled(t, fleet.Config{Deployment: deployment})
-	zoneNodes, _ := inZone(f, "lisbon_1")
-	frozen := settledLeader(t, zoneNodes)
+	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: deployment})
+	zoneNodes, _ := splitByZone(f, "lisbon_1")
+	frozen := awaitLeader(t, zoneNodes)
 	followers := without(zoneNodes, frozen)
 	changed, candidate := followers[0], followers[1]
 	term := termOf(t, frozen)
@@ -30,14 +30,14 @@
 	hold := f.Store.HoldNext(zoneKey)
 	t.Cleanup(hold.Release)
 	changed.Kill() // gives the leader something to write
-	harness.Eventually(t, leadWithin, func() bool { return isClosed(hold.Arrived) })
+	harness.Eventually(t, electionTimeout, func() bool { return isClosed(hold.Arrived) })
 	frozen.Freeze()
-	is.Equal(settledLeader(t, []*fleet.Node{candidate}), candidate)
+	is.Equal(awaitLeader(t, []*fleet.Node{candidate}), candidate)
 	is.True(termOf(t, candidate) > term)
-	harness.Eventually(t, leadWithin, func() bool { return writtenTerm(t, f) == termOf(t, candidate) })
+	harness.Eventually(t, electionTimeout, func() bool { return writtenTerm(t, f) == termOf(t, candidate) })
 
 	hold.Release()
-	harness.Eventually(t, leadWithin, func() bool { return len(heldWrites(f)) == 1 })
+	harness.Eventually(t, electionTimeout, func() bool { return len(heldWrites(f)) == 1 })
 	stale := heldWrites(f)[0]
 	is.Equal(batchTerm(t, stale.Value), term) // it is the frozen leader's
 	is.True(stale.Refused())
@@ -45,13 +45,13 @@
 
 	frozen.Resume()
 	alive := without(f.Nodes, changed)
-	harness.Eventually(t, healWithin, func() bool { return everyoneTakesWork(t, alive) && follows(t, frozen, candidate) })
+	harness.Eventually(t, healTimeout, func() bool { return allRouteToAll(t, alive) && follows(t, frozen, candidate) })
 	is.Equal(writtenTerm(t, f), termOf(t, candidate))
-	isOrdered(t, f.Store.Writes(zoneKey))
+	checkTermOrder(t, f.Store.Writes(zoneKey))
 }
 
-// isOrdered fails the test where a batch took effect after one of a later leader.
-func isOrdered(t *testing.T, writes []store.Write) {
+// checkTermOrder fails the test where a batch took effect after one of a later leader.
+func checkTermOrder(t *testing.T, writes []store.Write) {
 	t.Helper()
 	var latest uint64
 	for _, w := range writes {
--- a/internal/proof/harness/harness.go
+++ b/internal/proof/harness/harness.go
@@ -23,8 +23,8 @@
 const (
 	// startTimeout bounds the start of a fleet.
 	startTimeout = 60 * time.Second
-	// pollEvery is the time between looks at a condition.
-	pollEvery = 20 * time.Millisecond
+	// pollInterval is the time between looks at a condition.
+	pollInterval = 20 * time.Millisecond
 )
 
 // Main builds the program, runs the tests of the package and returns the exit code.
@@ -60,9 +60,9 @@
 	return f
 }
 
-// StartKilled starts a fleet as Start does, and kills its nodes when the test is over, which spares their drains. It is
+// StartWithoutDrain starts a fleet as Start does, and kills its nodes when the test is over, which spares their drains. It is
 // for tests that look at nothing after their last step.
-func StartKilled(t *testing.T, config fleet.Config) *fleet.Fleet {
+func StartWithoutDrain(t *testing.T, config fleet.Config) *fleet.Fleet {
 	t.Helper()
 	f := Start(t, config)
 	t.Cleanup(func() {
@@ -74,13 +74,13 @@
 }
 
 // Eventually waits until the condition holds and fails the test where it does not within the time.
-func Eventually(t *testing.T, within time.Duration, condition func() bool) {
+func Eventually(t *testing.T, timeout time.Duration, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(within)
+	deadline := time.Now().Add(timeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("the condition did not hold within %s", within)
+			t.Fatalf("the condition did not hold within %s", timeout)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
--- a/internal/proof/once/leave_test.go
+++ b/internal/proof/once/leave_test.go
@@ -23,7 +23,7 @@
 
 // One backend server says that it leaves, and an operator drains another node. Both processes end by themselves, and
 // what they remembered is known to the node that is left.
-func leave(t *testing.T, f *fleet.Fleet) {
+func testPlannedLeave(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	var sends []once.Send
 	for i := range 6 {
@@ -51,7 +51,7 @@
 		again := book(f.Nodes[2], s.Key, "a wash")
 		is.Equal(again.Outcome, "ran")
 		is.Equal(again.Body, s.Body)
-		is.Equal(started(f, s.Key), 1)
+		is.Equal(startCount(f, s.Key), 1)
 		other := book(f.Nodes[2], s.Key, "another wash")
 		is.Equal(other.Status, http.StatusUnprocessableEntity)
 		is.Equal(other.Reason, "key_reused")
--- a/internal/proof/once/outage_test.go
+++ b/internal/proof/once/outage_test.go
@@ -13,8 +13,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/store"
 )
 
-// outage takes the platform away for longer than the epochs reach. Keys of every kind run on.
-func outage(t *testing.T, f *fleet.Fleet) {
+// testPlatformOutage takes the platform away for longer than the epochs reach. Keys of every kind run on.
+func testPlatformOutage(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	f.Store.SetFaults(store.Faults{Down: true})
 	defer f.Store.SetFaults(store.Faults{})
@@ -24,7 +24,7 @@
 		for _, key := range []string{"", uuid.Must(uuid.NewV7()).String(), fmt.Sprintf("outage-%d", i)} {
 			s := book(n, key, "a wash")
 			is.Equal(s.Outcome, "ran")
-			is.Equal(started(f, s.Key), 1)
+			is.Equal(startCount(f, s.Key), 1)
 		}
 	}
 }
--- a/internal/proof/once/outcome_test.go
+++ b/internal/proof/once/outcome_test.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// started returns how often the key was started, on all backend servers together.
-func started(f *fleet.Fleet, key string) int {
+// startCount returns how often the key was started, on all backend servers together.
+func startCount(f *fleet.Fleet, key string) int {
 	count := 0
 	for _, n := range f.Nodes {
 		for _, r := range n.Server.Ledger().Runs() {
@@ -34,16 +34,16 @@
 	return count
 }
 
-// keyWithHomeElsewhere returns a key of the present whose home is not the node.
-func keyWithHomeElsewhere(t *testing.T, f *fleet.Fleet, n *fleet.Node) (string, string) {
+// keyOwnedByAnother returns a key of the present whose home is not the node.
+func keyOwnedByAnother(t *testing.T, f *fleet.Fleet, n *fleet.Node) (string, string) {
 	dump, err := fleet.FetchDump(t.Context(), n.Backend)
 	is.New(t).NoErr(err)
 	zones := once.Deployment(len(f.Nodes)).Zones
 	for {
 		key := uuid.Must(uuid.NewV7()).String()
 		shard := dump.Board.KeyOwners.Shards[outcome.ShardOf(zones, key)]
-		if home, ok := shard.Owner("bookings", key, time.Now().UnixMilli()); ok && home.Name != n.Name {
-			return key, home.Name
+		if owner, ok := shard.Owner("bookings", key, time.Now().UnixMilli()); ok && owner.Name != n.Name {
+			return key, owner.Name
 		}
 	}
 }
@@ -54,26 +54,26 @@
 	deployment.Services[0].Behaviour.ServiceTime = 400 * time.Millisecond
 	deployment.Services[0].Behaviour.Spread = 0
 	f := harness.Start(t, fleet.Config{Deployment: deployment})
-	harness.Eventually(t, 20*time.Second, func() bool { return settled(t, f) })
+	harness.Eventually(t, 20*time.Second, func() bool { return allOwnersKnown(t, f) })
 	for name, key := range map[string]string{
 		"key with a time":    uuid.Must(uuid.NewV7()).String(),
 		"key without a time": "booking-17",
 		"key of the entry":   "",
 	} {
-		t.Run(name, func(t *testing.T) { resend(t, f, key) })
+		t.Run(name, func(t *testing.T) { testResend(t, f, key) })
 	}
-	t.Run("answer lost on a silent connection", func(t *testing.T) { silence(t, f) })
+	t.Run("answer lost on a silent connection", func(t *testing.T) { testSilentConnection(t, f) })
 	for _, n := range f.Nodes {
 		quick := n.Server.Behaviour()
 		quick.ServiceTime = 20 * time.Millisecond
 		n.Server.SetBehaviour(quick)
 	}
-	t.Run("platform away", func(t *testing.T) { outage(t, f) })
-	t.Run("planned stops", func(t *testing.T) { leave(t, f) })
+	t.Run("platform away", func(t *testing.T) { testPlatformOutage(t, f) })
+	t.Run("planned stops", func(t *testing.T) { testPlannedLeave(t, f) })
 }
 
-// resend sends one key through all nodes: at the same moment, afterwards, and with another body.
-func resend(t *testing.T, f *fleet.Fleet, key string) {
+// testResend sends one key through all nodes: at the same moment, afterwards, and with another body.
+func testResend(t *testing.T, f *fleet.Fleet, key string) {
 	is := is.New(t)
 	first := book(f.Nodes[0], key, "a wash")
 	is.Equal(first.Outcome, "ran")
@@ -87,24 +87,24 @@
 		is.Equal(s.Outcome, "ran")
 		is.Equal(s.Body, first.Body)
 	}
-	is.Equal(started(f, first.Key), 1)
+	is.Equal(startCount(f, first.Key), 1)
 	other := book(f.Nodes[1], first.Key, "another wash")
 	is.Equal(other.Status, http.StatusUnprocessableEntity)
 	is.Equal(other.Reason, "key_reused")
 }
 
-// silence makes the connections between the entry and the home silent while the home runs the key. The entry asks on
+// testSilentConnection makes the connections between the entry and the home silent while the home runs the key. The entry asks on
 // a new connection, so its caller gets the answer.
-func silence(t *testing.T, f *fleet.Fleet) {
+func testSilentConnection(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	entry := f.Nodes[0]
-	key, home := keyWithHomeElsewhere(t, f, entry)
+	key, owner := keyOwnedByAnother(t, f, entry)
 	var answer once.Send
 	var group conc.WaitGroup
 	group.Go(func() { answer = book(entry, key, "a wash") })
-	harness.Eventually(t, 10*time.Second, func() bool { return started(f, key) == 1 })
-	is.True(f.Network.SilenceOpen(entry.Name, home) > 0)
+	harness.Eventually(t, 10*time.Second, func() bool { return startCount(f, key) == 1 })
+	is.True(f.Network.SilenceOpen(entry.Name, owner) > 0)
 	group.Wait()
 	is.Equal(answer.Outcome, "ran")
-	is.Equal(started(f, key), 1)
+	is.Equal(startCount(f, key), 1)
 }
--- a/internal/proof/once/renewal_test.go
+++ b/internal/proof/once/renewal_test.go
@@ -16,8 +16,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// stored returns the shards at the platform and the revisions of their entries.
-func stored(t *testing.T, f *fleet.Fleet) (map[string]outcome.Shard, map[string]uint64) {
+// storedShards returns the shards at the platform and the revisions of their entries.
+func storedShards(t *testing.T, f *fleet.Fleet) (map[string]outcome.Shard, map[string]uint64) {
 	is := is.New(t)
 	client := platform.NewClient(platform.Config{URL: f.StoreURL, Timeout: time.Second})
 	listed, err := client.List(t.Context(), homes.Prefix)
@@ -35,10 +35,10 @@
 func TestRenewal(t *testing.T) {
 	t.Parallel()
 	f := harness.Start(t, fleet.Config{Deployment: once.Deployment(3)})
-	harness.Eventually(t, 20*time.Second, func() bool { return settled(t, f) })
+	harness.Eventually(t, 20*time.Second, func() bool { return allOwnersKnown(t, f) })
 	// A zone's first leader may have taken other zones' shards before these had a leader.
 	harness.Eventually(t, 20*time.Second, func() bool {
-		shards, _ := stored(t, f)
+		shards, _ := storedShards(t, f)
 		for name, s := range shards {
 			if s.Last().Zone != name || len(s.Keepers) != 2 {
 				return false
@@ -46,31 +46,31 @@
 		}
 		return len(shards) == len(f.Nodes)
 	})
-	t.Run("the ends move without the platform", func(t *testing.T) { renewWithoutWrites(t, f) })
-	t.Run("a zone that reaches the platform only keeps its shard", func(t *testing.T) { keepAlone(t, f) })
+	t.Run("the ends move without the platform", func(t *testing.T) { testRenewalWithoutWrites(t, f) })
+	t.Run("a zone that reaches the platform only keeps its shard", func(t *testing.T) { testIsolatedZoneKeepsShard(t, f) })
 }
 
-// renewWithoutWrites waits for longer than one renewal reaches. The keys of all shards have homes, and no record at the
+// testRenewalWithoutWrites waits for longer than one renewal reaches. The keys of all shards have homes, and no record at the
 // platform was written.
-func renewWithoutWrites(t *testing.T, f *fleet.Fleet) {
+func testRenewalWithoutWrites(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
-	_, before := stored(t, f)
+	_, before := storedShards(t, f)
 	time.Sleep(homes.DefaultTiming.Horizon + time.Second)
-	is.True(settled(t, f))
-	_, after := stored(t, f)
+	is.True(allOwnersKnown(t, f))
+	_, after := storedShards(t, f)
 	is.Equal(after, before)
 }
 
-// keepAlone cuts a zone off from the others, but not from the platform, for longer than after which a silent shard is
+// testIsolatedZoneKeepsShard cuts a zone off from the others, but not from the platform, for longer than after which a silent shard is
 // taken over.
-func keepAlone(t *testing.T, f *fleet.Fleet) {
+func testIsolatedZoneKeepsShard(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
-	alone := []string{f.Nodes[2].Name}
+	isolated := []string{f.Nodes[2].Name}
 	others := []string{f.Nodes[0].Name, f.Nodes[1].Name}
-	f.Network.SetBoth(alone, others, proxy.Fault{Cut: true})
-	defer f.Network.SetBoth(alone, others, proxy.Fault{})
+	f.Network.SetBoth(isolated, others, proxy.Fault{Cut: true})
+	defer f.Network.SetBoth(isolated, others, proxy.Fault{})
 	time.Sleep(homes.DefaultTiming.Horizon + homes.DefaultTiming.TakeoverDelay + 3*time.Second)
-	shards, _ := stored(t, f)
+	shards, _ := storedShards(t, f)
 	for name, s := range shards {
 		is.Equal(s.Last().Zone, name)
 	}
--- a/internal/proof/once/roll_test.go
+++ b/internal/proof/once/roll_test.go
@@ -16,8 +16,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// settled reports whether every node knows all members and the homes of all availability zones.
-func settled(t *testing.T, f *fleet.Fleet) bool {
+// allOwnersKnown reports whether every node knows all members and the homes of all availability zones.
+func allOwnersKnown(t *testing.T, f *fleet.Fleet) bool {
 	zones := map[string]bool{}
 	for _, n := range f.Nodes {
 		zones[n.Zone] = true
@@ -39,15 +39,15 @@
 	return true
 }
 
-// rolling is a fleet whose nodes are replaced in rounds, those of one round at the same time.
-type rolling struct {
+// rollingReplacement is a fleet whose nodes are replaced in rounds, those of one round at the same time.
+type rollingReplacement struct {
 	deployment fleet.Deployment
 	rounds     [][]int
 }
 
-// chain returns three services with an instance in each of three zones. A booking calls the others: one request that
+// chainDeployment returns three services with an instance in each of three zones. A booking calls the others: one request that
 // is idempotent and one that is not.
-func chain() fleet.Deployment {
+func chainDeployment() fleet.Deployment {
 	d := once.Deployment(3)
 	bookings := &d.Services[0]
 	bookings.Slots = 20
@@ -66,7 +66,7 @@
 	return d
 }
 
-func three() fleet.Deployment {
+func threeInstances() fleet.Deployment {
 	d := once.Deployment(3)
 	d.Services[0].Slots = 20
 	d.Services[0].Behaviour.ServiceTime = 100 * time.Millisecond
@@ -76,10 +76,10 @@
 // Every node is replaced while callers use the nodes that are up. No answer may fail.
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
-	for name, r := range map[string]rolling{
-		"one service, one after the other": {deployment: three(), rounds: [][]int{{0}, {1}, {2}}},
+	for name, r := range map[string]rollingReplacement{
+		"one service, one after the other": {deployment: threeInstances(), rounds: [][]int{{0}, {1}, {2}}},
 		"nine nodes, one of each service and zone at the same time": {
-			deployment: chain(),
+			deployment: chainDeployment(),
 			rounds:     [][]int{{0, 4, 8}, {1, 5, 6}, {2, 3, 7}},
 		},
 	} {
@@ -90,10 +90,10 @@
 	}
 }
 
-func (r rolling) replace(t *testing.T) {
+func (r rollingReplacement) replace(t *testing.T) {
 	is := is.New(t)
 	f := harness.Start(t, fleet.Config{Deployment: r.deployment})
-	harness.Eventually(t, 20*time.Second, func() bool { return settled(t, f) })
+	harness.Eventually(t, 20*time.Second, func() bool { return allOwnersKnown(t, f) })
 	running, stop := context.WithCancel(t.Context())
 	var report once.Report
 	var group conc.WaitGroup
@@ -109,7 +109,7 @@
 			})
 		}
 		replaced.Wait()
-		harness.Eventually(t, 20*time.Second, func() bool { return settled(t, f) })
+		harness.Eventually(t, 20*time.Second, func() bool { return allOwnersKnown(t, f) })
 	}
 	stop()
 	group.Wait()
--- a/internal/proof/once/zone_test.go
+++ b/internal/proof/once/zone_test.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// cutFor is how long an availability zone is cut off: two thirds of it after the epochs agreed before.
-	cutFor = 24 * time.Second
-	// atOnce is the longest time to a refusal.
-	atOnce = 500 * time.Millisecond
-	// lostElsewhere is the part of the requests that may be lost in the zones that still reach each other.
-	lostElsewhere = 0.01
+	// cutTime is how long an availability zone is cut off: two thirds of it after the epochs agreed before.
+	cutTime = 24 * time.Second
+	// maxRefusalLatency is the longest time to a refusal.
+	maxRefusalLatency = 500 * time.Millisecond
+	// maxLostRatio is the part of the requests that may be lost in the zones that still reach each other.
+	maxLostRatio = 0.01
 )
 
 // While an availability zone is cut off from all, minted keys run on both sides, and callers' own keys outside. What
 // doesn't run is refused at once.
-func TestKeysWhileAZoneIsCutOff(t *testing.T) {
+func TestKeysDuringZonePartition(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	deployment := once.Deployment(6)
 	f := harness.Start(t, fleet.Config{Deployment: deployment})
-	harness.Eventually(t, 20*time.Second, func() bool { return settled(t, f) })
+	harness.Eventually(t, 20*time.Second, func() bool { return allOwnersKnown(t, f) })
 	var report once.Report
 	var group conc.WaitGroup
 	group.Go(func() {
-		report = once.Run(t.Context(), once.Config{Fleet: f, Service: "bookings", Duration: cutFor, Seed: 5, Callers: 6, SingleSend: true, Outage: once.ZoneOutage})
+		report = once.Run(t.Context(), once.Config{Fleet: f, Service: "bookings", Duration: cutTime, Seed: 5, Callers: 6, SingleSend: true, Outage: once.ZoneOutage})
 	})
-	time.Sleep(cutFor / 2)
-	sendNamed(t, f)
+	time.Sleep(cutTime / 2)
+	testKeyOfIsolatedOwner(t, f)
 	group.Wait()
 	for _, v := range report.Violations {
 		t.Error(v)
@@ -46,39 +46,39 @@
 	for name, s := range report.FirstSends {
 		t.Logf("%s: %+v", name, s)
 		is.True(s.Sent > 0)
-		is.True(s.SlowestRefusal < atOnce)
+		is.True(s.SlowestRefusal < maxRefusalLatency)
 	}
 	inside := f.Nodes[0].Zone
 	minted := report.FirstSends[string(once.Minted)+" "+inside]
-	is.True(minted.Sent-minted.Ran <= failuresToEject(f, inside))
+	is.True(minted.Sent-minted.Ran <= failuresBeforeEjection(f, inside))
 	for _, kind := range []once.KeyKind{once.Timed, once.Opaque} {
 		s := report.FirstSends[string(kind)+" "+inside]
 		is.Equal(s.Ran+s.Refused, s.Sent)
 	}
 	for _, zone := range deployment.Zones[1:] {
-		is.True(lost(report, once.Minted, zone) <= lostElsewhere)
-		is.True(lost(report, once.Timed, zone) <= lostElsewhere)
+		is.True(lostRatio(report, once.Minted, zone) <= maxLostRatio)
+		is.True(lostRatio(report, once.Timed, zone) <= maxLostRatio)
 		s := report.FirstSends[string(once.Opaque)+" "+zone]
 		is.Equal(s.Ran+s.Refused, s.Sent)
 		is.True(s.Ran > 0)
 	}
 }
 
-// sendNamed sends a key that the caller made for a node of the zone that is cut off: one that it knows from an earlier
+// testKeyOfIsolatedOwner sends a key that the caller made for a node of the zone that is cut off: one that it knows from an earlier
 // answer. It runs inside, once, and is refused outside.
-func sendNamed(t *testing.T, f *fleet.Fleet) {
+func testKeyOfIsolatedOwner(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	zones := map[string]string{}
 	for _, n := range f.Nodes {
 		zones[n.Name] = n.Zone
 	}
-	var told outcome.Key
+	var known outcome.Key
 	harness.Eventually(t, 10*time.Second, func() bool {
 		s := book(f.Nodes[0], "", "a wash")
-		told, _ = outcome.ParseKey(s.Key)
-		return s.Outcome == "ran" && zones[told.Owner.Name] == f.Nodes[0].Zone
+		known, _ = outcome.ParseKey(s.Key)
+		return s.Outcome == "ran" && zones[known.Owner.Name] == f.Nodes[0].Zone
 	})
-	key := outcome.Mint(told.Owner, uuid.Must(uuid.NewV7()))
+	key := outcome.Mint(known.Owner, uuid.Must(uuid.NewV7()))
 	for _, n := range f.Nodes {
 		s := book(n, key, "another wash")
 		if n.Zone == f.Nodes[0].Zone {
@@ -87,22 +87,22 @@
 			is.Equal(s.Outcome, "not_admitted")
 		}
 	}
-	is.Equal(started(f, key), 1)
+	is.Equal(startCount(f, key), 1)
 }
 
-// lost is the part of the first sends in the zone that did not run.
-func lost(report once.Report, kind once.KeyKind, zone string) float64 {
+// lostRatio is the part of the first sends in the zone that did not run.
+func lostRatio(report once.Report, kind once.KeyKind, zone string) float64 {
 	s := report.FirstSends[string(kind)+" "+zone]
 	return float64(s.Sent-s.Ran) / float64(s.Sent)
 }
 
-// failuresToEject is how many attempts the nodes inside lose to those outside before each has ejected each.
-func failuresToEject(f *fleet.Fleet, inside string) int {
-	within := 0
+// failuresBeforeEjection is how many attempts the nodes inside lose to those outside before each has ejected each.
+func failuresBeforeEjection(f *fleet.Fleet, inside string) int {
+	insideCount := 0
 	for _, n := range f.Nodes {
 		if n.Zone == inside {
-			within++
+			insideCount++
 		}
 	}
-	return within * (len(f.Nodes) - within) * routing.DefaultConfig("", "").FailuresToEject
+	return insideCount * (len(f.Nodes) - insideCount) * routing.DefaultConfig("", "").FailuresToEject
 }
--- a/internal/proof/path/path_test.go
+++ b/internal/proof/path/path_test.go
@@ -19,8 +19,8 @@
 
 const token = "a-token-for-the-operator"
 
-// side is one node with its backend server, by their addresses.
-type side struct {
+// nodeSetup is one node with its backend server, by their addresses.
+type nodeSetup struct {
 	name     string
 	service  string
 	calls    string
@@ -34,20 +34,20 @@
 func TestRequestThroughSeparateProcesses(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
-	build(t, directory)
-	store := address(t)
-	spawn(t, filepath.Join(directory, "hoistlab"), "store", "-address", store)
-	first := newSide(t, "first", "bookings", "access/urgent/windows")
-	second := newSide(t, "second", "access", "")
-	for _, s := range []side{first, second} {
-		spawn(t, filepath.Join(directory, "comfreyhoist"), "node",
+	buildBinaries(t, directory)
+	store := freeAddress(t)
+	startProcess(t, filepath.Join(directory, "hoistlab"), "store", "-address", store)
+	first := newNodeSetup(t, "first", "bookings", "access/urgent/windows")
+	second := newNodeSetup(t, "second", "access", "")
+	for _, s := range []nodeSetup{first, second} {
+		startProcess(t, filepath.Join(directory, "comfreyhoist"), "node",
 			"-node.name", s.name, "-node.zone", "lisbon_1", "-node.zones", "lisbon_1",
 			"-caller.address", s.caller, "-peer.address", s.peer, "-backend.address", s.backend,
 			"-operator.address", s.operator, "-operator.tokens", "*:"+token, "-platform.url", "http://"+store)
-		spawn(t, filepath.Join(directory, "hoistlab"), "backend", "-service", s.service, "-address", s.server,
+		startProcess(t, filepath.Join(directory, "hoistlab"), "backend", "-service", s.service, "-address", s.server,
 			"-node_backend", s.backend, "-node_caller", s.caller, "-calls", s.calls)
 	}
-	for _, s := range []side{first, second} {
+	for _, s := range []nodeSetup{first, second} {
 		document := filepath.Join(directory, s.service+".ini")
 		text := "[service]\nname = " + s.service + "\nteam = crews\n\n[kind urgent]\npath = /urgent/*\nrank = 0\nidempotent = true\n"
 		is.NoErr(os.WriteFile(document, []byte(text), 0o600))
@@ -69,7 +69,7 @@
 	is.True(regexp.MustCompile(`(?m)^0 +load +(\d+) +\d+ +100\.0 `).Match(table)) // every request got a good answer
 }
 
-func build(t *testing.T, directory string) {
+func buildBinaries(t *testing.T, directory string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Minute)
 	defer cancel()
@@ -79,21 +79,21 @@
 	}
 }
 
-func newSide(t *testing.T, name, service, calls string) side {
-	return side{
+func newNodeSetup(t *testing.T, name, service, calls string) nodeSetup {
+	return nodeSetup{
 		name:     name,
 		service:  service,
 		calls:    calls,
-		caller:   address(t),
-		peer:     address(t),
-		backend:  address(t),
-		operator: address(t),
-		server:   address(t),
+		caller:   freeAddress(t),
+		peer:     freeAddress(t),
+		backend:  freeAddress(t),
+		operator: freeAddress(t),
+		server:   freeAddress(t),
 	}
 }
 
-// address returns a loopback address whose port was free a moment ago.
-func address(t *testing.T) string {
+// freeAddress returns a loopback address whose port was free a moment ago.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,8 +103,8 @@
 	return l.Addr().String()
 }
 
-// spawn starts a process and ends it with the test.
-func spawn(t *testing.T, path string, arguments ...string) {
+// startProcess starts a process and ends it with the test.
+func startProcess(t *testing.T, path string, arguments ...string) {
 	t.Helper()
 	command := exec.Command(path, arguments...)
 	command.Stdout, command.Stderr = t.Output(), t.Output()
--- a/internal/proof/recovery/recovery_test.go
+++ b/internal/proof/recovery/recovery_test.go
@@ -30,15 +30,15 @@
 	slowFactor = 6
 	// recoveryTime is what docs/PROOF.md states, and recoveredShare the part of the earlier goodput that is back by then.
 	recoveryTime   = 5 * time.Second
-	recoveredShare = 0.95
-	// warm is left out at the start, and watched is how long goodput is looked at after the recovery time.
-	warm    = time.Second
-	watched = 2 * time.Second
+	recoveredRatio = 0.95
+	// warmup is left out at the start, and watched is how long goodput is looked at after the recovery time.
+	warmup      = time.Second
+	measureTime = 2 * time.Second
 	// triggerStart and triggerTime are when the first trigger comes and how long each lasts.
 	triggerStart = 3 * time.Second
 	triggerTime  = 2 * time.Second
-	// lastAnswers is how long before a trigger requests are left out, because they still meet it.
-	lastAnswers = 500 * time.Millisecond
+	// preTriggerMargin is how long before a trigger requests are left out, because they still meet it.
+	preTriggerMargin = 500 * time.Millisecond
 )
 
 func document(service string) string {
@@ -139,7 +139,7 @@
 	ejected := false
 	for !ejected && time.Since(begin) < tr.stop() {
 		ejected = anyEjected(t, f)
-		pause.For(t.Context(), lookEvery)
+		pause.For(t.Context(), pollInterval)
 	}
 	pause.Until(t.Context(), begin.Add(tr.stop()))
 	for n, b := range ordinary {
@@ -148,8 +148,8 @@
 	return ejected
 }
 
-// lookEvery is the time between looks at the ejections.
-const lookEvery = 100 * time.Millisecond
+// pollInterval is the time between looks at the ejections.
+const pollInterval = 100 * time.Millisecond
 
 func anyEjected(t *testing.T, f *fleet.Fleet) bool {
 	t.Helper()
@@ -193,7 +193,7 @@
 			f := harness.Start(t, fleet.Config{Deployment: frontAndDeep()})
 			ordinary := []load.Stream{stream("sheets", 0, 20), stream("lookups", 5, 80)}
 			stop := test.triggers[len(test.triggers)-1].stop()
-			end := stop + recoveryTime + watched
+			end := stop + recoveryTime + measureTime
 			streams := ordinary
 			for _, tr := range test.triggers {
 				streams = append(streams, tr.streams()...)
@@ -208,23 +208,23 @@
 			})
 			results := load.Run(t.Context(), load.Config{Streams: streams, Targets: f.Callers(), Duration: end, Seed: 1})
 			group.Wait()
-			logShares(t, results, ordinary, end)
+			logGoodRatios(t, results, ordinary, end)
 			for _, s := range ordinary {
-				before := share(results, s.Name, warm, triggerStart-lastAnswers)
-				during := share(results, s.Name, triggerStart, triggerStart+triggerTime)
-				after := share(results, s.Name, stop+recoveryTime, end)
+				before := goodRatio(results, s.Name, warmup, triggerStart-preTriggerMargin)
+				during := goodRatio(results, s.Name, triggerStart, triggerStart+triggerTime)
+				after := goodRatio(results, s.Name, stop+recoveryTime, end)
 				is.True(before >= 0.99)
 				is.True(s.Rank == 0 || during < 0.9) // the trigger overloads, else there is nothing to recover from
-				is.True(after >= recoveredShare*before)
+				is.True(after >= recoveredRatio*before)
 			}
 			is.True(!test.ejects || ejected) // else nothing can be left over
-			checkNothingLeft(t, f)
+			checkNoResidualState(t, f)
 		})
 	}
 }
 
-// checkNothingLeft checks the dumps of all nodes for what the triggers could have left behind.
-func checkNothingLeft(t *testing.T, f *fleet.Fleet) {
+// checkNoResidualState checks the dumps of all nodes for what the triggers could have left behind.
+func checkNoResidualState(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	is := is.New(t)
 	for _, n := range f.Nodes {
@@ -247,17 +247,17 @@
 	}
 }
 
-func logShares(t *testing.T, results []load.Result, streams []load.Stream, end time.Duration) {
+func logGoodRatios(t *testing.T, results []load.Result, streams []load.Stream, end time.Duration) {
 	t.Helper()
 	for _, s := range streams {
-		for from := time.Duration(0); from < end; from += warm {
-			t.Logf("%s from %s: %.3f", s.Name, from, share(results, s.Name, from, from+warm))
+		for from := time.Duration(0); from < end; from += warmup {
+			t.Logf("%s from %s: %.3f", s.Name, from, goodRatio(results, s.Name, from, from+warmup))
 		}
 	}
 }
 
-// share returns the part of the stream's requests, sent within the time, that got a good answer.
-func share(results []load.Result, stream string, from, to time.Duration) float64 {
+// goodRatio returns the part of the stream's requests, sent within the time, that got a good answer.
+func goodRatio(results []load.Result, stream string, from, to time.Duration) float64 {
 	sent, good := 0, 0
 	for _, r := range results {
 		if r.Stream != stream || r.Sent < from || r.Sent >= to {
--- a/internal/proof/routing/capacity_test.go
+++ b/internal/proof/routing/capacity_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// enough is the part of what a backend server can do that counts as good.
-	enough = 0.9
-	// overload is what is sent over what a backend server can do.
-	overload = 1.5
-	// watched is how long goodput is looked at, after the node had time to learn.
-	watched = 10 * time.Second
+	// minGoodputRatio is the part of what a backend server can do that counts as good.
+	minGoodputRatio = 0.9
+	// overloadRatio is what is sent over what a backend server can do.
+	overloadRatio = 1.5
+	// measureTime is how long goodput is looked at, after the node had time to learn.
+	measureTime = 10 * time.Second
 )
 
 // A node finds what its backend server can do, whatever this announces.
-func TestLimitFindsWhatABackendServerCanDo(t *testing.T) {
+func TestLimitConvergesToServerCapacity(t *testing.T) {
 	tests := map[string]struct {
 		slots, announced, queue int
 
@@ -32,22 +32,22 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := plain(1)
+			d := plainDeployment(1)
 			d.Services[0].Slots, d.Services[0].AnnouncedSlots = test.slots, test.announced
-			d.Services[0].Behaviour.ServiceTime, d.Services[0].Behaviour.Queue = usualTime, test.queue
+			d.Services[0].Behaviour.ServiceTime, d.Services[0].Behaviour.Queue = ordinaryServiceTime, test.queue
 			f := harness.Start(t, fleet.Config{Deployment: d})
-			possible := float64(test.slots) * float64(time.Second/usualTime)
-			end := test.learned + watched
+			capacity := float64(test.slots) * float64(time.Second/ordinaryServiceTime)
+			end := test.learned + measureTime
 			results := load.Run(t.Context(), load.Config{
-				Streams:  []load.Stream{lookups(overload*possible, 0)},
+				Streams:  []load.Stream{lookupStream(overloadRatio*capacity, 0)},
 				Targets:  f.Callers(),
 				Duration: end,
 				Seed:     1,
 			})
-			rate := float64(tallied(results, test.learned, end).good) / watched.Seconds()
+			rate := float64(tallyBetween(results, test.learned, end).good) / measureTime.Seconds()
 			shed := f.Nodes[0].Server.Report().Shed
-			t.Logf("%.0f good answers a second of %.0f possible; the backend server shed %d", rate, possible, shed)
-			is.True(rate >= enough*possible)
+			t.Logf("%.0f good answers a second of %.0f possible; the backend server shed %d", rate, capacity, shed)
+			is.True(rate >= minGoodputRatio*capacity)
 		})
 	}
 }
@@ -57,7 +57,7 @@
 func TestUrgentWorkIsServedWhereBackendServersShed(t *testing.T) {
 	is := is.New(t)
 	const instances, slots = 2, 10
-	d := plain(instances)
+	d := plainDeployment(instances)
 	s := &d.Services[0]
 	s.Document = levelDocument("level0") + `
 [kind sheets]
@@ -67,28 +67,28 @@
 deadline = 3s
 `
 	s.Slots, s.AnnouncedSlots = slots, 3*slots
-	s.Behaviour.ServiceTime, s.Behaviour.Queue = usualTime, 0
+	s.Behaviour.ServiceTime, s.Behaviour.Queue = ordinaryServiceTime, 0
 	f := harness.Start(t, fleet.Config{Deployment: d})
-	const possible = instances * slots * float64(time.Second/usualTime)
-	flood, sheets := lookups(overload*possible, 1), lookups(possible/4, 0)
+	const capacity = instances * slots * float64(time.Second/ordinaryServiceTime)
+	flood, sheets := lookupStream(overloadRatio*capacity, 1), lookupStream(capacity/4, 0)
 	sheets.Name, sheets.Path = "sheets", "/sheets"
 	results := load.Run(t.Context(), load.Config{
 		Streams:  []load.Stream{flood, sheets},
 		Targets:  f.Callers(),
-		Duration: watched,
+		Duration: measureTime,
 		Seed:     1,
 	})
 	byStream := map[string][]load.Result{}
 	for _, r := range results {
 		byStream[r.Stream] = append(byStream[r.Stream], r)
 	}
-	urgent, lesser := tallied(byStream["sheets"], 0, watched), tallied(byStream["lookups"], 0, watched)
+	urgent, lesser := tallyBetween(byStream["sheets"], 0, measureTime), tallyBetween(byStream["lookups"], 0, measureTime)
 	shed := 0
 	for _, n := range f.Nodes {
 		shed += n.Server.Report().Shed
 	}
 	t.Logf("%d of %d urgent and %d of %d lesser requests good, of %.0f possible; the backend servers shed %d",
-		urgent.good, urgent.sent, lesser.good, lesser.sent, possible*watched.Seconds(), shed)
+		urgent.good, urgent.sent, lesser.good, lesser.sent, capacity*measureTime.Seconds(), shed)
 	is.True(shed > 0)
 	is.True(float64(urgent.good) >= 0.99*float64(urgent.sent))
 }
@@ -97,22 +97,22 @@
 func TestConnectionsKeepToTheirBound(t *testing.T) {
 	const (
 		connections = 4
-		possible    = connections * float64(time.Second/usualTime)
+		capacity    = connections * float64(time.Second/ordinaryServiceTime)
 		rush        = 3 * time.Second
 	)
 	tests := map[string]time.Duration{ // the callers' patience
 		"callers wait":    3 * time.Second,
-		"callers go away": usualTime / 2,
+		"callers go away": ordinaryServiceTime / 2,
 	}
-	for name, patience := range tests {
+	for name, timeout := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := plain(1)
+			d := plainDeployment(1)
 			d.Services[0].Slots, d.Services[0].Connections = 5*connections, connections
-			d.Services[0].Behaviour.ServiceTime = usualTime
+			d.Services[0].Behaviour.ServiceTime = ordinaryServiceTime
 			f := harness.Start(t, fleet.Config{Deployment: d})
-			crowd, after := lookups(5*possible, 0), lookups(possible/2, 0)
-			crowd.Name, crowd.Timeout, crowd.Stop = "crowd", patience, rush
+			crowd, after := lookupStream(5*capacity, 0), lookupStream(capacity/2, 0)
+			crowd.Name, crowd.Timeout, crowd.Stop = "crowd", timeout, rush
 			after.Start = rush + time.Second
 			results := load.Run(t.Context(), load.Config{
 				Streams:  []load.Stream{crowd, after},
@@ -120,9 +120,9 @@
 				Duration: after.Start + 2*time.Second,
 				Seed:     1,
 			})
-			during, later := tallied(results, time.Second, rush), tallied(results, after.Start, time.Minute)
+			during, later := tallyBetween(results, time.Second, rush), tallyBetween(results, after.Start, time.Minute)
 			t.Logf("%d good answers of %d during the rush, %d of %d later", during.good, during.sent, later.good, later.sent)
-			is.True(patience < usualTime || float64(during.good) >= enough*possible*(rush-time.Second).Seconds())
+			is.True(timeout < ordinaryServiceTime || float64(during.good) >= minGoodputRatio*capacity*(rush-time.Second).Seconds())
 			is.Equal(later.good, later.sent)
 			is.Equal(f.Nodes[0].Server.Report().PeakConnections, connections) // the bound is reached and kept to
 		})
--- a/internal/proof/routing/chain_test.go
+++ b/internal/proof/routing/chain_test.go
@@ -21,14 +21,14 @@
 }
 
 const (
-	// levels is the length of an ordinary chain, and mostLevels of the longest.
-	levels     = 6
-	mostLevels = 12
-	allowance  = 2
+	// chainLength is the length of an ordinary chain, and mostLevels of the longest.
+	chainLength      = 6
+	maxChainLength   = 12
+	attemptAllowance = 2
 )
 
-// deepChain is a chain of services, each of which calls the next.
-func deepChain(levels, instances int, serviceTime time.Duration) fleet.Deployment {
+// chainDeployment is a chain of services, each of which calls the next.
+func chainDeployment(levels, instances int, serviceTime time.Duration) fleet.Deployment {
 	d := fleet.Deployment{Zones: []string{"lisbon_1", "lisbon_2"}}
 	for level := range levels {
 		name := levelName(level)
@@ -63,11 +63,11 @@
 rank = 3
 idempotent = true
 deadline = 3s
-`, name, allowance)
+`, name, attemptAllowance)
 }
 
-// setAll changes the behaviour of every backend server.
-func setAll(f *fleet.Fleet, change func(*server.Behaviour)) {
+// setAllBehaviours changes the behaviour of every backend server.
+func setAllBehaviours(f *fleet.Fleet, change func(*server.Behaviour)) {
 	for _, n := range f.Nodes {
 		b := n.Server.Behaviour()
 		change(&b)
@@ -89,7 +89,7 @@
 	return runs
 }
 
-func lookups(rate float64, resends int) load.Stream {
+func lookupStream(rate float64, resends int) load.Stream {
 	return load.Stream{
 		Name:    "lookups",
 		Service: "level0",
@@ -101,9 +101,9 @@
 	}
 }
 
-func TestRetriesBoundedDownTheChain(t *testing.T) {
-	f := harness.Start(t, fleet.Config{Deployment: deepChain(levels, 2, 5*time.Millisecond)})
-	setAll(f, func(b *server.Behaviour) { b.FailRate = 0.4 })
+func TestRetriesAreBoundedAlongCallChain(t *testing.T) {
+	f := harness.Start(t, fleet.Config{Deployment: chainDeployment(chainLength, 2, 5*time.Millisecond)})
+	setAllBehaviours(f, func(b *server.Behaviour) { b.FailRate = 0.4 })
 	var group conc.WaitGroup
 	defer group.Wait()
 	group.Go(func() {
@@ -111,30 +111,30 @@
 		f.Nodes[7].Kill() // a node of the fourth level, whose replies are lost
 	})
 	results := load.Run(t.Context(), load.Config{
-		Streams:  []load.Stream{lookups(60, 3)},
+		Streams:  []load.Stream{lookupStream(60, 3)},
 		Targets:  f.Callers(),
 		Duration: 3 * time.Second,
 		Seed:     1,
 	})
-	checkRuns(t, f, results, levels)
+	checkRuns(t, f, results, chainLength)
 }
 
 // The longest chain, while every level fails and callers send again hard.
-func TestRetriesBoundedDownTheLongestChain(t *testing.T) {
+func TestRetriesAreBoundedAlongLongestCallChain(t *testing.T) {
 	is := is.New(t)
-	f := harness.Start(t, fleet.Config{Deployment: deepChain(mostLevels, 2, 2*time.Millisecond)})
-	setAll(f, func(b *server.Behaviour) { b.FailRate = 0.3 })
+	f := harness.Start(t, fleet.Config{Deployment: chainDeployment(maxChainLength, 2, 2*time.Millisecond)})
+	setAllBehaviours(f, func(b *server.Behaviour) { b.FailRate = 0.3 })
 	timer := time.AfterFunc(2*time.Second, f.Nodes[15].Kill) // a node of the eighth level, whose replies are lost
 	defer timer.Stop()
 	results := load.Run(t.Context(), load.Config{
-		Streams:  []load.Stream{lookups(20, 5)},
+		Streams:  []load.Stream{lookupStream(20, 5)},
 		Targets:  f.Callers(),
 		Duration: 3 * time.Second,
 		Seed:     1,
 	})
-	checkRuns(t, f, results, mostLevels)
-	for level := range mostLevels {
-		is.True(ranAt(f, level) > 0) // the chain was gone down to its end
+	checkRuns(t, f, results, maxChainLength)
+	for level := range maxChainLength {
+		is.True(requestsRunAt(f, level) > 0) // the chain was gone down to its end
 	}
 }
 
@@ -146,38 +146,38 @@
 	for _, r := range results {
 		sends[r.ID] = r.Sends
 	}
-	sent, ran, retried, attempts := 0, 0, 0, 0
+	sent, ran, retried, totalRetries := 0, 0, 0, 0
 	for request, byService := range runsByRequest(f) {
 		is.True(sends[request] > 0)
 		roots := min(sends[request], byService[levelName(0)]) // a send that did not run at level 0 was refused
-		runs, further := 0, 0
-		above := roots // each run makes one call, so what runs beyond those above was a further attempt
+		runs, retries := 0, 0
+		expected := roots // each run makes one call, so what runs beyond those above was a further attempt
 		for level := range levels {
-			own := byService[levelName(level)]
-			if own > roots*(1+allowance) {
-				t.Errorf("%s ran %d times at level %d for %d root requests", request, own, level, roots)
+			levelRuns := byService[levelName(level)]
+			if levelRuns > roots*(1+attemptAllowance) {
+				t.Errorf("%s ran %d times at level %d for %d root requests", request, levelRuns, level, roots)
 			}
-			runs += own
-			further += max(0, own-above)
-			retried += max(0, own-sends[request])
-			above = own
+			runs += levelRuns
+			retries += max(0, levelRuns-expected)
+			retried += max(0, levelRuns-sends[request])
+			expected = levelRuns
 		}
-		if further > roots*allowance {
-			t.Errorf("%s had %d further attempts for %d root requests", request, further, roots)
+		if retries > roots*attemptAllowance {
+			t.Errorf("%s had %d further attempts for %d root requests", request, retries, roots)
 		}
-		if runs > levels*roots*(1+allowance) {
+		if runs > levels*roots*(1+attemptAllowance) {
 			t.Errorf("%s ran %d times in all for %d root requests", request, runs, roots)
 		}
 		sent += sends[request]
 		ran += runs
-		attempts += further
+		totalRetries += retries
 	}
-	t.Logf("%d sends, %d runs, at least %d further attempts", sent, ran, attempts)
+	t.Logf("%d sends, %d runs, at least %d further attempts", sent, ran, totalRetries)
 	is.True(retried > 0) // nodes did try again, else the bound says nothing
 }
 
-// ranAt returns how many requests ran at the level.
-func ranAt(f *fleet.Fleet, level int) int {
+// requestsRunAt returns how many requests ran at the level.
+func requestsRunAt(f *fleet.Fleet, level int) int {
 	ran := 0
 	for _, byService := range runsByRequest(f) {
 		if byService[levelName(level)] > 0 {
--- a/internal/proof/routing/crash_test.go
+++ b/internal/proof/routing/crash_test.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	poison = "crystal-from-hell"
+	crashBody = "crystal-from-hell"
 	// maxCrashes is what docs/QUARANTINE.md states for a request that is sent again after pauses.
 	maxCrashes = 3
-	// pause is longer than the news of a crash takes from node to node.
-	pause = 100 * time.Millisecond
+	// resendDelay is longer than the news of a crash takes from node to node.
+	resendDelay = 100 * time.Millisecond
 )
 
-// bookable is one service whose requests have bodies; bookings are not idempotent, searches are.
-func bookable() fleet.Deployment {
+// bookingsDeployment is one service whose requests have bodies; bookings are not idempotent, searches are.
+func bookingsDeployment() fleet.Deployment {
 	return fleet.Deployment{
 		Zones: []string{"lisbon_1", "lisbon_2", "lisbon_3"},
 		Services: []fleet.Service{{
@@ -56,16 +56,16 @@
 			Behaviour: server.Behaviour{
 				ServiceTime:  20 * time.Millisecond,
 				Queue:        20,
-				CrashOn:      poison,
+				CrashOn:      crashBody,
 				RestartAfter: 300 * time.Millisecond,
 			},
 		}},
 	}
 }
 
-// sendPoison sends a request that crashes backend servers again and again, under a new key through another node
+// sendCrashing sends a request that crashes backend servers again and again, under a new key through another node
 // each time, and returns the reasons that it was told.
-func sendPoison(t *testing.T, f *fleet.Fleet, path, body string, sends int) []string {
+func sendCrashing(t *testing.T, f *fleet.Fleet, path, body string, sends int) []string {
 	t.Helper()
 	var reasons []string
 	for i := range sends {
@@ -81,13 +81,13 @@
 		}
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
-		time.Sleep(pause)
+		time.Sleep(resendDelay)
 		reasons = append(reasons, response.Header.Get(caller.ReasonHeader))
 	}
 	return reasons
 }
 
-func crashes(f *fleet.Fleet) int {
+func totalCrashes(f *fleet.Fleet) int {
 	total := 0
 	for _, n := range f.Nodes {
 		total += n.Server.Report().Crashes
@@ -97,22 +97,22 @@
 
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	f := harness.Start(t, fleet.Config{Deployment: bookable()})
+	f := harness.Start(t, fleet.Config{Deployment: bookingsDeployment()})
 	others := load.Stream{
 		Name: "others", Service: "bookings", Method: http.MethodPost, Path: "/search", Body: "a good one",
 		Rate: 100, Resends: 3, Timeout: 2 * time.Second,
 	}
 	run := func(d time.Duration) tally {
 		config := load.Config{Streams: []load.Stream{others}, Targets: f.Callers(), Duration: d, Seed: 1}
-		return tallied(load.Run(t.Context(), config), 0, d)
+		return tallyBetween(load.Run(t.Context(), config), 0, d)
 	}
 	var group conc.WaitGroup
 	group.Go(func() { run(3 * time.Second) })
 	for _, path := range []string{"/search", "/bookings"} {
-		before := crashes(f)
-		reasons := sendPoison(t, f, path, poison+" for "+path, 12)
-		counted := crashes(f) - before
-		t.Logf("%s: %d crashes; %s", path, counted, summary(reasons))
+		before := totalCrashes(f)
+		reasons := sendCrashing(t, f, path, crashBody+" for "+path, 12)
+		counted := totalCrashes(f) - before
+		t.Logf("%s: %d crashes; %s", path, counted, countReasons(reasons))
 		is.True(counted >= 1)
 		is.True(counted <= maxCrashes)
 		is.Equal(reasons[len(reasons)-1], "quarantined")
@@ -124,7 +124,7 @@
 	})
 }
 
-func summary(reasons []string) string {
+func countReasons(reasons []string) string {
 	counts := map[string]int{}
 	for _, r := range reasons {
 		counts[r]++
--- a/internal/proof/routing/early_test.go
+++ b/internal/proof/routing/early_test.go
@@ -48,7 +48,7 @@
 	good int
 }
 
-func tallied(results []load.Result, from, to time.Duration) tally {
+func tallyBetween(results []load.Result, from, to time.Duration) tally {
 	var sum tally
 	for _, r := range results {
 		if r.Sent < from || r.Sent >= to {
@@ -62,11 +62,11 @@
 	return sum
 }
 
-func TestEntryRefusesWhatADeepServiceSheds(t *testing.T) {
+func TestEntryRefusesWhenDeepServiceSheds(t *testing.T) {
 	is := is.New(t)
 	f := harness.Start(t, fleet.Config{Deployment: shallowAndDeep()})
 	const seconds = 5
-	base, flood := lookups(float64(deepCapacity)/2, 0), lookups(2*float64(deepCapacity), 0)
+	base, flood := lookupStream(float64(deepCapacity)/2, 0), lookupStream(2*float64(deepCapacity), 0)
 	flood.Name, flood.Stop = "flood", 3*time.Second
 	results := load.Run(t.Context(), load.Config{
 		Streams:  []load.Stream{base, flood},
@@ -74,9 +74,9 @@
 		Duration: seconds * time.Second,
 		Seed:     1,
 	})
-	during := tallied(results, time.Second, 3*time.Second)
-	after := tallied(results, 4*time.Second, seconds*time.Second)
-	runs, good := 0, tallied(results, 0, seconds*time.Second).good
+	during := tallyBetween(results, time.Second, 3*time.Second)
+	after := tallyBetween(results, 4*time.Second, seconds*time.Second)
+	runs, good := 0, tallyBetween(results, 0, seconds*time.Second).good
 	for _, byService := range runsByRequest(f) {
 		runs += byService["level0"]
 	}
--- a/internal/proof/routing/lost_test.go
+++ b/internal/proof/routing/lost_test.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// passedOverAfter is the time after which a dead backend server gets no new work.
-	passedOverAfter = 2 * time.Second
-	// hungAfter is that time for one that hangs, which is known only by what it leaves out.
-	hungAfter = 3 * time.Second
-	// takenBackAfter is the time after which one that is there again gets work.
-	takenBackAfter = 2 * time.Second
+	// detectTimeout is the time after which a dead backend server gets no new work.
+	detectTimeout = 2 * time.Second
+	// hangDetectTimeout is that time for one that hangs, which is known only by what it leaves out.
+	hangDetectTimeout = 3 * time.Second
+	// returnTimeout is the time after which one that is there again gets work.
+	returnTimeout = 2 * time.Second
 )
 
-// TestLostBackendServerIsPassedOver loses a backend server while its node lives on.
-func TestLostBackendServerIsPassedOver(t *testing.T) {
+// TestLostBackendServerGetsNoRequests loses a backend server while its node lives on.
+func TestLostBackendServerGetsNoRequests(t *testing.T) {
 	const crash = "crash-now"
 	cases := map[string]struct {
 		lose   func(b *server.Behaviour)
@@ -32,47 +32,47 @@
 	}{
 		"ends": {
 			lose:   func(b *server.Behaviour) { b.CrashOn, b.RestartAfter = crash, 3*time.Second },
-			within: passedOverAfter,
+			within: detectTimeout,
 		},
 		"hangs": {
 			lose:   func(b *server.Behaviour) { b.Hung = true },
-			within: hungAfter,
+			within: hangDetectTimeout,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := harness.Start(t, fleet.Config{Deployment: plain(3)})
+			f := harness.Start(t, fleet.Config{Deployment: plainDeployment(3)})
 			lost := f.Nodes[0]
 			before := lost.Server.Behaviour()
-			harness.Eventually(t, takenBackAfter, func() bool { return allKnow(t, f, lost, true) })
-			time.Sleep(announcedOften)
+			harness.Eventually(t, returnTimeout, func() bool { return allRouteTo(t, f, lost, true) })
+			time.Sleep(announcementLearnTime)
 			changed := before
 			c.lose(&changed)
 			lost.Server.SetBehaviour(changed)
 			var group conc.WaitGroup
-			for range requests { // some of them reach the lost one
+			for range probeRequests { // some of them reach the lost one
 				group.Go(func() { get(t, f.Nodes[1].Caller, crash) })
 			}
-			harness.Eventually(t, c.within, func() bool { return allKnow(t, f, lost, false) })
+			harness.Eventually(t, c.within, func() bool { return allRouteTo(t, f, lost, false) })
 			group.Wait()
-			for range requests {
+			for range probeRequests {
 				is.Equal(get(t, f.Nodes[1].Caller, "plain"), http.StatusOK)
 			}
 			lost.Server.SetBehaviour(before)
-			harness.Eventually(t, changed.RestartAfter+takenBackAfter, func() bool { return allKnow(t, f, lost, true) })
+			harness.Eventually(t, changed.RestartAfter+returnTimeout, func() bool { return allRouteTo(t, f, lost, true) })
 		})
 	}
 }
 
-// requests are so many that each of three instances gets some.
-const requests = 20
+// probeRequests are so many that each of three instances gets some.
+const probeRequests = 20
 
-// announcedOften is longer than a backend server takes until its announcements are known to be regular.
-const announcedOften = 3 * time.Second
+// announcementLearnTime is longer than a backend server takes until its announcements are known to be regular.
+const announcementLearnTime = 3 * time.Second
 
-// allKnow reports whether every node sends requests to the lost one's backend server, or none does.
-func allKnow(t *testing.T, f *fleet.Fleet, lost *fleet.Node, takesWork bool) bool {
+// allRouteTo reports whether every node sends requests to the lost one's backend server, or none does.
+func allRouteTo(t *testing.T, f *fleet.Fleet, lost *fleet.Node, takesWork bool) bool {
 	for _, n := range f.Nodes {
 		dump, err := fleet.FetchDump(t.Context(), n.Backend)
 		if err != nil {
--- a/internal/proof/routing/silent_test.go
+++ b/internal/proof/routing/silent_test.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// silentBound is how long docs/RETRIES.md says that a request may be held up by a silent connection, and
+	// maxSilentDelay is how long docs/RETRIES.md says that a request may be held up by a silent connection, and
 	// aftermath the time after which none is.
-	silentBound = time.Second
-	aftermath   = 2 * time.Second
+	maxSilentDelay  = time.Second
+	silenceRecovery = 2 * time.Second
 )
 
 // twoServices are one service, and a node of another one through which its requests enter.
@@ -34,7 +34,7 @@
 	return d
 }
 
-func TestSilentConnectionsAreLeft(t *testing.T) {
+func TestSilentConnectionsAreAbandoned(t *testing.T) {
 	is := is.New(t)
 	f := harness.Start(t, fleet.Config{Deployment: twoServices()})
 	entry := f.Nodes[2]
@@ -48,7 +48,7 @@
 		}
 	})
 	// A rush opens many connections; after the silence few requests come, so that most connections lie idle.
-	rush, calm := lookups(500, 0), lookups(10, 0)
+	rush, calm := lookupStream(500, 0), lookupStream(10, 0)
 	rush.Name, rush.Stop = "rush", silence-300*time.Millisecond
 	calm.Name, calm.Start = "calm", silence
 	results := load.Run(t.Context(), load.Config{
@@ -70,19 +70,19 @@
 		if r.Latency > 250*time.Millisecond {
 			delayed++
 		}
-		if r.Sent > silence+aftermath && r.Latency > silentBound {
+		if r.Sent > silence+silenceRecovery && r.Latency > maxSilentDelay {
 			late++
 		}
 	}
 	t.Logf("%d connections silenced, %d requests delayed; %d of %d failed, slowest %s, %d late",
-		silenced, delayed, failed, tallied(results, silence, time.Minute).sent, slowest, late)
+		silenced, delayed, failed, tallyBetween(results, silence, time.Minute).sent, slowest, late)
 	is.True(silenced > 10)
 	is.True(2*delayed < silenced) // the first that notices closes the idle ones
 	is.Equal(failed, 0)
 	is.Equal(late, 0)
-	is.True(slowest < silentBound)
+	is.True(slowest < maxSilentDelay)
 	for request, byService := range runsByRequest(f) {
-		if byService["level0"] > 1+allowance {
+		if byService["level0"] > 1+attemptAllowance {
 			t.Errorf("%s ran %d times", request, byService["level0"])
 		}
 	}
--- a/internal/proof/routing/uneven_test.go
+++ b/internal/proof/routing/uneven_test.go
@@ -15,8 +15,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// plain is one service whose requests are never tried again, so that each failure is seen.
-func plain(instances int) fleet.Deployment {
+// plainDeployment is one service whose requests are never tried again, so that each failure is seen.
+func plainDeployment(instances int) fleet.Deployment {
 	return fleet.Deployment{
 		Zones: []string{"lisbon_1", "lisbon_2", "lisbon_3"},
 		Services: []fleet.Service{{
@@ -30,12 +30,12 @@
 
 func TestFastFailingServerDoesNotAttractRequests(t *testing.T) {
 	is := is.New(t)
-	f := harness.Start(t, fleet.Config{Deployment: plain(3)})
+	f := harness.Start(t, fleet.Config{Deployment: plainDeployment(3)})
 	b := f.Nodes[0].Server.Behaviour()
 	b.FailFast = true
 	f.Nodes[0].Server.SetBehaviour(b)
 	results := load.Run(t.Context(), load.Config{
-		Streams:  []load.Stream{lookups(100, 0)},
+		Streams:  []load.Stream{lookupStream(100, 0)},
 		Targets:  f.Callers(),
 		Duration: 3 * time.Second,
 		Seed:     1,
@@ -51,33 +51,33 @@
 	is.True(10*failed < len(results)) // an equal part would be a third
 }
 
-// ask reads what a backend server tells at one of its endpoints.
-func ask(t *testing.T, n *fleet.Node, path string, told any) {
+// queryEndpoint reads what a backend server tells at one of its endpoints.
+func queryEndpoint(t *testing.T, n *fleet.Node, path string, result any) {
 	t.Helper()
 	response, err := http.Get("http://" + n.Server.Address() + path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	if err := json.NewDecoder(response.Body).Decode(told); err != nil {
+	if err := json.NewDecoder(response.Body).Decode(result); err != nil {
 		t.Fatal(err)
 	}
 }
 
 const (
-	// usualTime is the service time of a good backend server; the slow one takes slowFactor times as long.
-	usualTime  = 100 * time.Millisecond
-	slowFactor = 4
+	// ordinaryServiceTime is the service time of a good backend server; the slow one takes slowFactor times as long.
+	ordinaryServiceTime = 100 * time.Millisecond
+	slowFactor          = 4
 	// unevenSlots is what each of the backend servers has, and unevenCapacity what a good and a slow one of them run
 	// together, in requests a second.
 	unevenSlots    = 10
-	unevenCapacity = unevenSlots * float64(time.Second/usualTime) * (1 + 1.0/slowFactor)
+	unevenCapacity = unevenSlots * float64(time.Second/ordinaryServiceTime) * (1 + 1.0/slowFactor)
 )
 
 // One backend server fails and one is slow, and both say that all is well; the good one says that it fails and is full.
-func TestLyingEndpointsMisleadNobody(t *testing.T) {
+func TestFalseEndpointReportsDoNotAffectRouting(t *testing.T) {
 	is := is.New(t)
-	f := harness.Start(t, fleet.Config{Deployment: plain(3)})
+	f := harness.Start(t, fleet.Config{Deployment: plainDeployment(3)})
 	failing, slow, good := f.Nodes[0], f.Nodes[1], f.Nodes[2]
 	idle, full := &server.Load{Slots: unevenSlots}, &server.Load{Slots: unevenSlots, Busy: unevenSlots, Waiting: unevenSlots}
 	for n, e := range map[*fleet.Node]server.EndpointFaults{
@@ -86,16 +86,16 @@
 		good:    {Health: server.Failing, Load: full},
 	} {
 		b := n.Server.Behaviour()
-		b.ServiceTime, b.Endpoints = usualTime, e
+		b.ServiceTime, b.Endpoints = ordinaryServiceTime, e
 		b.FailFast = n == failing
 		if n == slow {
 			b.ServiceTime *= slowFactor
 		}
 		n.Server.SetBehaviour(b)
 	}
-	const learned, end = 2 * time.Second, 5 * time.Second
+	const learnTime, end = 2 * time.Second, 5 * time.Second
 	results := load.Run(t.Context(), load.Config{
-		Streams:  []load.Stream{lookups(1.6*unevenCapacity, 0)},
+		Streams:  []load.Stream{lookupStream(1.6*unevenCapacity, 0)},
 		Targets:  f.Callers(),
 		Duration: end,
 		Seed:     1,
@@ -106,7 +106,7 @@
 			failed++
 		}
 	}
-	rate := float64(tallied(results, learned, end).good) / (end - learned).Seconds()
+	rate := float64(tallyBetween(results, learnTime, end).good) / (end - learnTime).Seconds()
 	t.Logf("%.0f good answers a second of %.0f possible; %d of %d requests went to the failing server; runs: %d good, %d slow",
 		rate, unevenCapacity, failed, len(results), len(good.Server.Ledger().Runs()), len(slow.Server.Ledger().Runs()))
 	is.True(rate >= 0.9*unevenCapacity)
@@ -116,8 +116,8 @@
 		is.Equal(n.Server.Report().EndpointQueries, 0)
 	}
 	var health server.Health
-	ask(t, failing, server.HealthPath, &health)
+	queryEndpoint(t, failing, server.HealthPath, &health)
 	is.Equal(health, server.Healthy)
-	ask(t, good, server.HealthPath, &health)
+	queryEndpoint(t, good, server.HealthPath, &health)
 	is.Equal(health, server.Failing)
 }
--- a/internal/proof/shell/answers_test.go
+++ b/internal/proof/shell/answers_test.go
@@ -24,8 +24,8 @@
 	// roundsPerSeed is how often the faults change.
 	roundsPerSeed = 3
 	// requestsPerRound are sent by callersAtOnce callers.
-	requestsPerRound = 40
-	callersAtOnce    = 12
+	requestsPerRound  = 40
+	concurrentCallers = 12
 	// Bodies are long, so that a flipped bit falls into them; TestDamagedFieldsAreFound is about the other fields.
 	minBodyBytes = 2 << 10
 	maxBodyBytes = 24 << 10
@@ -47,21 +47,21 @@
 // faultNames fixes the order and the weights, so that a seed gives one course of faults.
 var faultNames = []string{"none", "none", "late", "late", "crossed", "crossed", "doubled", "truncated", "corrupted"}
 
-// TestEveryCallerGetsItsOwnAnswer sends many different bodies at once while the bytes between the nodes are late,
+// TestEveryCallerGetsItsOwnResponse sends many different bodies at once while the bytes between the nodes are late,
 // crossed, doubled, truncated and corrupted, and holds each answer against its request and the backend servers' ledgers.
-func TestEveryCallerGetsItsOwnAnswer(t *testing.T) {
+func TestEveryCallerGetsItsOwnResponse(t *testing.T) {
 	t.Parallel()
-	f := harness.StartKilled(t, fleet.Config{Deployment: deployment(len(bookingsNodes)), Seed: 1})
+	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: deployment(len(bookingsNodes)), Seed: 1})
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, seed))
-			var answers []answer
+			var exchanges []exchange
 			for range roundsPerSeed {
 				setFaults(f, random)
-				answers = append(answers, sendMany(t, f, random)...)
+				exchanges = append(exchanges, sendMany(t, f, random)...)
 			}
 			f.Network.Clear()
-			checkAnswers(t, f, answers)
+			checkExchanges(t, f, exchanges)
 		})
 	}
 }
@@ -81,43 +81,43 @@
 	statusPath  = "/bookings/status"
 )
 
-// usualDeadline is in milliseconds.
-const usualDeadline = "1000"
+// defaultDeadline is in milliseconds.
+const defaultDeadline = "1000"
 
-// answer is one request and what came back.
-type answer struct {
+// exchange is one request and what came back.
+type exchange struct {
 	id   string
 	path string
 	key  string
 	// deadline is in milliseconds; empty for usualDeadline.
-	deadline string
-	body     []byte
-	status   int
-	outcome  string
-	got      []byte
-	err      error
+	deadline     string
+	body         []byte
+	status       int
+	outcome      string
+	responseBody []byte
+	err          error
 }
 
-func sendMany(t *testing.T, f *fleet.Fleet, random *rand.Rand) []answer {
+func sendMany(t *testing.T, f *fleet.Fleet, random *rand.Rand) []exchange {
 	t.Helper()
-	answers := make([]answer, requestsPerRound)
-	for i := range answers {
-		a := answer{id: fmt.Sprintf("r-%x", random.Uint64()), path: bookingPath, body: randomBody(random)}
+	exchanges := make([]exchange, requestsPerRound)
+	for i := range exchanges {
+		a := exchange{id: fmt.Sprintf("r-%x", random.Uint64()), path: bookingPath, body: randomBody(random)}
 		if random.IntN(2) == 0 {
 			a.path = statusPath
 		}
-		answers[i] = a
+		exchanges[i] = a
 	}
-	sendAll(t, f, answers)
-	return answers
+	sendAll(t, f, exchanges)
+	return exchanges
 }
 
 // sendAll sends the requests by callersAtOnce callers and fills in their answers.
-func sendAll(t *testing.T, f *fleet.Fleet, answers []answer) {
+func sendAll(t *testing.T, f *fleet.Fleet, exchanges []exchange) {
 	t.Helper()
-	callers := pool.New().WithMaxGoroutines(callersAtOnce)
-	for i := range answers {
-		callers.Go(func() { send(t.Context(), f.Nodes[0].Caller, &answers[i]) })
+	callers := pool.New().WithMaxGoroutines(concurrentCallers)
+	for i := range exchanges {
+		callers.Go(func() { send(t.Context(), f.Nodes[0].Caller, &exchanges[i]) })
 	}
 	callers.Wait()
 }
@@ -130,7 +130,7 @@
 	return body
 }
 
-func send(ctx context.Context, address string, a *answer) {
+func send(ctx context.Context, address string, a *exchange) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/call/bookings"+a.path, bytes.NewReader(a.body))
 	if err != nil {
 		a.err = err
@@ -140,29 +140,29 @@
 	if a.key != "" {
 		request.Header.Set(keyHeader, a.key)
 	}
-	request.Header.Set(deadlineHeader, cmp.Or(a.deadline, usualDeadline))
+	request.Header.Set(deadlineHeader, cmp.Or(a.deadline, defaultDeadline))
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		a.err = err
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	a.got, a.err = io.ReadAll(response.Body)
+	a.responseBody, a.err = io.ReadAll(response.Body)
 	a.status, a.outcome = response.StatusCode, response.Header.Get("Comfreyhoist-Outcome")
 }
 
-func checkAnswers(t *testing.T, f *fleet.Fleet, answers []answer) {
+func checkExchanges(t *testing.T, f *fleet.Fleet, exchanges []exchange) {
 	t.Helper()
 	started := startedByRequest(f)
-	counts := outcomesOf(answers)
-	for _, a := range answers {
+	counts := outcomesOf(exchanges)
+	for _, a := range exchanges {
 		is := is.New(t)
 		is.NoErr(a.err)                                      // the caller's own connection is whole
 		is.True(a.path != bookingPath || started[a.id] <= 1) // a booking runs at most once
 		switch a.outcome {
 		case "ran":
 			is.Equal(a.status, http.StatusOK)
-			is.True(bytes.Equal(a.got, a.body)) // the whole answer to its own request
+			is.True(bytes.Equal(a.responseBody, a.body)) // the whole answer to its own request
 			is.True(started[a.id] > 0)
 		case "not_run":
 			is.True(a.status >= http.StatusBadRequest)
--- a/internal/proof/shell/fixture_test.go
+++ b/internal/proof/shell/fixture_test.go
@@ -71,13 +71,13 @@
 	return l.text.Write(text)
 }
 
-func (l *logs) has(t *testing.T, parts ...string) {
+func (l *logs) waitFor(t *testing.T, parts ...string) {
 	t.Helper()
 	harness.Eventually(t, 20*time.Second, func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for line := range strings.Lines(l.text.String()) {
-			if hasAll(line, parts) {
+			if containsAll(line, parts) {
 				return true
 			}
 		}
@@ -85,7 +85,7 @@
 	})
 }
 
-func hasAll(line string, parts []string) bool {
+func containsAll(line string, parts []string) bool {
 	for _, part := range parts {
 		if !strings.Contains(line, part) {
 			return false
--- a/internal/proof/shell/input_test.go
+++ b/internal/proof/shell/input_test.go
@@ -14,13 +14,13 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// limitedEvery is longer than the time between two events of one number that strangers can cause.
-const limitedEvery = 1100 * time.Millisecond
+// logLimitInterval is longer than the time between two events of one number that strangers can cause.
+const logLimitInterval = 1100 * time.Millisecond
 
 func TestBadInputOfCallers(t *testing.T) {
 	t.Parallel()
 	l := &logs{}
-	f := harness.StartKilled(t, fleet.Config{
+	f := harness.StartWithoutDrain(t, fleet.Config{
 		Deployment: deployment(1),
 		Output:     l,
 		ExtraFlags: []string{"-caller.max_body", "1024", "-caller.header_timeout", "500ms", "-caller.body_timeout", "1s"},
@@ -69,20 +69,20 @@
 			is.Equal(response.Header.Get("Comfreyhoist-Outcome"), want)
 		})
 	}
-	l.has(t, `"event":1204`, `"reason":"`)
+	l.waitFor(t, `"event":1204`, `"reason":"`)
 	t.Run("slow head", func(t *testing.T) {
-		time.Sleep(limitedEvery)
-		expectEnd(t, f.Nodes[0].Caller, "POST /call/bookings/bookings HTTP/1.1\r\nHost: a\r\nX-Slow: ")
-		l.has(t, `"event":1204`, "ended before a whole request head")
+		time.Sleep(logLimitInterval)
+		readUntilClosed(t, f.Nodes[0].Caller, "POST /call/bookings/bookings HTTP/1.1\r\nHost: a\r\nX-Slow: ")
+		l.waitFor(t, `"event":1204`, "ended before a whole request head")
 	})
 	t.Run("slow body", func(t *testing.T) {
-		time.Sleep(limitedEvery)
-		answer := expectEnd(t, f.Nodes[0].Caller, "POST /call/bookings/bookings HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nab")
+		time.Sleep(logLimitInterval)
+		answer := readUntilClosed(t, f.Nodes[0].Caller, "POST /call/bookings/bookings HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nab")
 		is.New(t).True(strings.HasPrefix(answer, "HTTP/1.1 400 "))
-		l.has(t, `"event":1204`, "body could not be read")
+		l.waitFor(t, `"event":1204`, "body could not be read")
 	})
 	t.Run("no HTTP", func(t *testing.T) {
-		answer := expectEnd(t, f.Nodes[0].Caller, "\x00\x01\x02 rubbish\r\n\r\n")
+		answer := readUntilClosed(t, f.Nodes[0].Caller, "\x00\x01\x02 rubbish\r\n\r\n")
 		is.New(t).True(strings.HasPrefix(answer, "HTTP/1.1 400 "))
 	})
 	for _, n := range f.Nodes {
@@ -90,13 +90,13 @@
 			t.Errorf("ran: %+v", r)
 		}
 	}
-	stillServes(t, f, pid)
+	checkStillServes(t, f, pid)
 }
 
-func TestGarbageOnThePeerAddress(t *testing.T) {
+func TestGarbageOnPeerAddress(t *testing.T) {
 	t.Parallel()
 	l := &logs{}
-	f := harness.StartKilled(t, fleet.Config{
+	f := harness.StartWithoutDrain(t, fleet.Config{
 		Deployment: deployment(1),
 		Output:     l,
 		ExtraFlags: []string{"-peer.idle_timeout", "1s", "-log.level", "debug"},
@@ -110,16 +110,16 @@
 		"huge length": "\x05\x01\x01\xff\xff\xff\xff\x0f" + strings.Repeat("x", 1<<16),
 	} {
 		t.Run(name, func(t *testing.T) {
-			expectEnd(t, entry.Peer, bytes)
+			readUntilClosed(t, entry.Peer, bytes)
 		})
 	}
-	l.has(t, `"event":1203`)
-	l.has(t, `"event":1206`)
-	stillServes(t, f, pid)
+	l.waitFor(t, `"event":1203`)
+	l.waitFor(t, `"event":1206`)
+	checkStillServes(t, f, pid)
 }
 
-// expectEnd sends the bytes on a new connection, leaves it open, and returns what comes until the other side ends it.
-func expectEnd(t *testing.T, address, bytes string) string {
+// readUntilClosed sends the bytes on a new connection, leaves it open, and returns what comes until the other side ends it.
+func readUntilClosed(t *testing.T, address, bytes string) string {
 	t.Helper()
 	is := is.New(t)
 	conn, err := net.Dial("tcp", address)
@@ -135,8 +135,8 @@
 	return string(answer)
 }
 
-// stillServes sends a good request through the process that took the bad ones.
-func stillServes(t *testing.T, f *fleet.Fleet, pid int) {
+// checkStillServes sends a good request through the process that took the bad ones.
+func checkStillServes(t *testing.T, f *fleet.Fleet, pid int) {
 	t.Helper()
 	is := is.New(t)
 	response, err := http.Post("http://"+f.Nodes[0].Caller+"/call/bookings/bookings", "text/plain", strings.NewReader("a ballroom"))
--- a/internal/proof/shell/session_test.go
+++ b/internal/proof/shell/session_test.go
@@ -52,29 +52,29 @@
 	}
 }
 
-func with(s step, toInstance, toEntry proxy.Fault) step {
+func withFaults(s step, toInstance, toEntry proxy.Fault) step {
 	s.toInstance, s.toEntry = toInstance, toEntry
 	return s
 }
 
-// within gives the step a deadline of its own, in milliseconds.
-func within(deadline string, s step) step {
+// withDeadline gives the step a deadline of its own, in milliseconds.
+func withDeadline(deadline string, s step) step {
 	s.header[deadlineHeader] = deadline
 	return s
 }
 
-func silenced(s step) step {
+func withSilence(s step) step {
 	s.silence = true
 	return s
 }
 
-// once damages one long message and leaves the control messages on the link alone.
-func once(f proxy.Fault) proxy.Fault {
-	f.MinChunkSize, f.MaxDamagedChunks = len(long)/4, 1
+// onLongMessage damages one long message and leaves the control messages on the link alone.
+func onLongMessage(f proxy.Fault) proxy.Fault {
+	f.MinChunkSize, f.MaxDamagedChunks = len(longBody)/4, 1
 	return f
 }
 
-var long = strings.Repeat("a lowered chandelier, ", 500)
+var longBody = strings.Repeat("a lowered chandelier, ", 500)
 
 // sessions are the golden files. In each the caller ends with its own whole answer, and the ledger shows one run.
 var sessions = map[string][]step{
@@ -89,28 +89,28 @@
 		{title: "no such deadline", method: http.MethodGet, path: "/call/bookings/bookings/7", header: map[string]string{deadlineHeader: "soon"}},
 	},
 	"late": {
-		within("300", with(book("the answer comes after the deadline", "key 1", "ballroom"), proxy.Fault{}, proxy.Fault{Delay: time.Second})),
+		withDeadline("300", withFaults(book("the answer comes after the deadline", "key 1", "ballroom"), proxy.Fault{}, proxy.Fault{Delay: time.Second})),
 		book("the caller asks again", "key 1", "ballroom"),
 	},
 	"truncated": {
-		with(book("the answer is cut short", "key 1", long), proxy.Fault{}, once(proxy.Fault{TruncateAfter: 1})),
-		book("the caller asks again", "key 1", long),
+		withFaults(book("the answer is cut short", "key 1", longBody), proxy.Fault{}, onLongMessage(proxy.Fault{TruncateAfter: 1})),
+		book("the caller asks again", "key 1", longBody),
 	},
 	"truncated_request": {
-		with(book("the request is cut short", "key 1", long), once(proxy.Fault{TruncateAfter: 1}), proxy.Fault{}),
-		book("the caller asks again", "key 1", long),
+		withFaults(book("the request is cut short", "key 1", longBody), onLongMessage(proxy.Fault{TruncateAfter: 1}), proxy.Fault{}),
+		book("the caller asks again", "key 1", longBody),
 	},
 	"corrupted": {
-		with(book("the answer is damaged", "key 1", long), proxy.Fault{}, once(proxy.Fault{Corrupt: true})),
-		book("the caller asks again", "key 1", long),
+		withFaults(book("the answer is damaged", "key 1", longBody), proxy.Fault{}, onLongMessage(proxy.Fault{Corrupt: true})),
+		book("the caller asks again", "key 1", longBody),
 	},
 	"doubled": {
-		with(book("the answer comes twice", "key 1", long), proxy.Fault{}, once(proxy.Fault{Duplicate: true})),
-		book("the caller asks again", "key 1", long),
+		withFaults(book("the answer comes twice", "key 1", longBody), proxy.Fault{}, onLongMessage(proxy.Fault{Duplicate: true})),
+		book("the caller asks again", "key 1", longBody),
 	},
 	"silenced": {
 		{title: "a lookup opens a connection", method: http.MethodGet, path: "/call/bookings/bookings/7"},
-		silenced(book("the open connections have gone silent", "key 1", "ballroom")),
+		withSilence(book("the open connections have gone silent", "key 1", "ballroom")),
 		book("the caller asks again", "key 1", "ballroom"),
 	},
 }
@@ -119,18 +119,18 @@
 func TestSessions(t *testing.T) {
 	f := startSessions(t)
 	for name, steps := range sessions {
-		t.Run(name, func(t *testing.T) { playSession(t, f, name, steps) })
+		t.Run(name, func(t *testing.T) { runSession(t, f, name, steps) })
 	}
-	t.Run("damage leaves nothing behind", func(t *testing.T) { leavesNothingBehind(t, f) })
+	t.Run("damage leaves nothing behind", func(t *testing.T) { testRecoveryAfterDamage(t, f) })
 }
 
-// leavesNothingBehind damages everything between two nodes for a while. Afterwards all works as before.
-func leavesNothingBehind(t *testing.T, f *fleet.Fleet) {
+// testRecoveryAfterDamage damages everything between two nodes for a while. Afterwards all works as before.
+func testRecoveryAfterDamage(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	f.Network.SetBoth([]string{f.Nodes[0].Name}, []string{f.Nodes[1].Name}, proxy.Fault{Corrupt: true})
 	time.Sleep(damageTime)
 	f.Network.Clear()
-	harness.Eventually(t, 20*time.Second, func() bool { return remembers(t, f) })
+	harness.Eventually(t, 20*time.Second, func() bool { return hasKeyOwner(t, f) })
 }
 
 // damageTime is several heartbeats.
@@ -138,26 +138,26 @@
 
 func startSessions(t *testing.T) *fleet.Fleet {
 	t.Helper()
-	f := harness.StartKilled(t, fleet.Config{Deployment: oneInstance()})
-	harness.Eventually(t, 60*time.Second, func() bool { return remembers(t, f) })
+	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: oneInstance()})
+	harness.Eventually(t, 60*time.Second, func() bool { return hasKeyOwner(t, f) })
 	return f
 }
 
-func playSession(t *testing.T, f *fleet.Fleet, name string, steps []step) {
+func runSession(t *testing.T, f *fleet.Fleet, name string, steps []step) {
 	t.Helper()
 	golden := goldie.New(t, goldie.WithFixtureDir("testdata"), goldie.WithNameSuffix(".golden"), goldie.WithDiffEngine(goldie.ClassicDiff))
-	p := &player{fleet: f, keys: map[string]string{}}
+	p := &sessionRunner{fleet: f, keys: map[string]string{}}
 	for _, s := range steps {
-		p.play(t, s)
+		p.runStep(t, s)
 	}
 	golden.Assert(t, name, p.transcript.Bytes())
 	p.checkRuns(t)
 }
 
-// remembers reports whether a key of a caller has a home yet.
-func remembers(t *testing.T, f *fleet.Fleet) bool {
+// hasKeyOwner reports whether a key of a caller has a home yet.
+func hasKeyOwner(t *testing.T, f *fleet.Fleet) bool {
 	t.Helper()
-	a := answer{id: "remembers", path: bookingPath, key: uuid.Must(uuid.NewV7()).String()}
+	a := exchange{id: "remembers", path: bookingPath, key: uuid.Must(uuid.NewV7()).String()}
 	send(t.Context(), f.Nodes[0].Caller, &a)
 	return a.outcome == "ran"
 }
@@ -169,14 +169,14 @@
 	return d
 }
 
-// player plays the steps of one session and writes down what goes over the caller's connection.
-type player struct {
+// sessionRunner plays the steps of one session and writes down what goes over the caller's connection.
+type sessionRunner struct {
 	fleet      *fleet.Fleet
 	keys       map[string]string
 	transcript bytes.Buffer
 }
 
-func (p *player) play(t *testing.T, s step) {
+func (p *sessionRunner) runStep(t *testing.T, s step) {
 	t.Helper()
 	entry, instance := p.fleet.Nodes[0].Name, p.fleet.Nodes[1].Name
 	p.fleet.Network.Set(entry, instance, s.toInstance)
@@ -187,10 +187,10 @@
 	fmt.Fprintf(&p.transcript, "== %s\n", s.title)
 	p.exchange(t, s)
 	p.fleet.Network.Clear()
-	harness.Eventually(t, 30*time.Second, func() bool { return wholeAgain(t, p.fleet) && remembers(t, p.fleet) })
+	harness.Eventually(t, 30*time.Second, func() bool { return isHealthy(t, p.fleet) && hasKeyOwner(t, p.fleet) })
 }
 
-func (p *player) exchange(t *testing.T, s step) {
+func (p *sessionRunner) exchange(t *testing.T, s step) {
 	t.Helper()
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -210,7 +210,7 @@
 }
 
 // value returns the key that "key 1" and so on stand for; other values stand for themselves.
-func (p *player) value(text string) string {
+func (p *sessionRunner) value(text string) string {
 	if !strings.HasPrefix(text, "key ") {
 		return text
 	}
@@ -222,45 +222,45 @@
 
 var (
 	mintedKey = regexp.MustCompile(`m\.[0-9a-z]+\.[0-9a-f-]+\.\w+`)
-	// changing are the headers whose values differ from run to run.
-	changing = []string{"Date", "Retry-After", "Comfreyhoist-Retry-After-Ms"}
+	// varyingHeaders are the headers whose values differ from run to run.
+	varyingHeaders = []string{"Date", "Retry-After", "Comfreyhoist-Retry-After-Ms"}
 )
 
-func (p *player) write(mark, first string, header http.Header, body []byte) {
+func (p *sessionRunner) write(prefix, first string, header http.Header, body []byte) {
 	lines := []string{first}
 	for name, values := range header {
 		value := strings.Join(values, ", ")
-		if slices.Contains(changing, name) {
+		if slices.Contains(varyingHeaders, name) {
 			value = "(changes)"
 		}
-		lines = append(lines, name+": "+p.normalized(value))
+		lines = append(lines, name+": "+p.normalize(value))
 	}
 	slices.Sort(lines[1:])
-	lines = append(lines, p.normalized(shortened(string(body))))
+	lines = append(lines, p.normalize(shorten(string(body))))
 	for _, line := range lines {
-		p.transcript.WriteString(strings.TrimSpace(mark+line) + "\n")
+		p.transcript.WriteString(strings.TrimSpace(prefix+line) + "\n")
 	}
 }
 
-func (p *player) normalized(text string) string {
+func (p *sessionRunner) normalize(text string) string {
 	for name, key := range p.keys {
 		text = strings.ReplaceAll(text, key, "("+name+")")
 	}
 	return mintedKey.ReplaceAllString(text, "(key of the node)")
 }
 
-// longestShown is the longest body that a transcript shows whole.
-const longestShown = 120
+// maxShownBody is the longest body that a transcript shows whole.
+const maxShownBody = 120
 
-func shortened(body string) string {
-	if len(body) > longestShown {
-		return fmt.Sprintf("%s... (%d bytes, xxhash %x)", body[:longestShown/4], len(body), xxhash.Sum64String(body))
+func shorten(body string) string {
+	if len(body) > maxShownBody {
+		return fmt.Sprintf("%s... (%d bytes, xxhash %x)", body[:maxShownBody/4], len(body), xxhash.Sum64String(body))
 	}
 	return strings.TrimSpace(body)
 }
 
 // checkRuns holds the keys of the session against the ledger: each ran once.
-func (p *player) checkRuns(t *testing.T) {
+func (p *sessionRunner) checkRuns(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
 	for _, key := range p.keys {
