--- a/internal/decide/outcome/explore_opaque_test.go
+++ b/internal/decide/outcome/explore_opaque_test.go
@@ -25,7 +25,7 @@
 	askOnlyLatest     bool
 	// skipAfterRefusal lets an owner that has refused a key run it later without asking earlier owners again.
 	skipAfterRefusal bool
-	// forgetMoved lets a node that has moved a key drop its record of the move at once.
+	// forgetMoved lets a node that has moved a key drop its record of the move immediately.
 	forgetMoved bool
 	// ignoreEpochEnd lets an owner run keys after the end of the last epoch that it knows.
 	ignoreEpochEnd bool
@@ -39,7 +39,8 @@
 
 const (
 	opaqueKey = "opaque"
-	// opaqueWindow is in the model's milliseconds, and is longer than a renewal extends the shard.
+	// opaqueWindow is the window of the opaque key, in the model's milliseconds. It is longer than the time by which a
+	// renewal extends the shard.
 	opaqueWindow = 3
 	// opaqueLastTime is the time at which the exploration ends, in the model's milliseconds.
 	opaqueLastTime = 9
@@ -123,7 +124,8 @@
 // everyNode is the set of all nodes, one bit per node.
 const everyNode = 1<<3 - 1
 
-// renewShard renews the shard with the member as the owner. The nodes in reach, one bit per node, learn of it at once.
+// renewShard renews the shard with the member as the owner. The nodes in reach, one bit per node, learn of it
+// immediately.
 func (m *model) renewShard(member, reach int) bool {
 	next, changed := m.written.Renew(Renewal{
 		Until:      m.now + 2,
@@ -252,7 +254,7 @@
 	return m.now
 }
 
-// begin passes a copy to the node's table, and answers a challenge at once.
+// begin passes a copy to the node's table, and confirms a challenge immediately.
 func (m *model) begin(n *modelNode, end State) bool {
 	now := m.tableTime()
 	start := m.windowStart(n)
--- a/internal/decide/outcome/explore_test.go
+++ b/internal/decide/outcome/explore_test.go
@@ -14,8 +14,8 @@
 // at any time or never. The agreed shard is renewed with any members at any time, and each node learns of it or lags
 // behind for good, as in a pause, a network partition or an outage of the platform. Responses to writes are lost, the
 // keepers extend the shard, processes restart, and keys are handed over in messages that are lost, late or duplicated.
-// Shard, Promises and Table are the production types. What a writer read earlier needs no state of its own, because
-// writes compare and swap.
+// Shard, Promises and Table are the production types. The model doesn't store what a writer read earlier, because every
+// write compares and swaps.
 
 // rules selects the guards to disable, and what is explored.
 type rules struct {
@@ -408,8 +408,8 @@
 				if n.ranTwice || slices.Max(n.runs) > 1 {
 					return steps, len(seen)
 				}
-				if name := n.encode(); !seen[name] {
-					seen[name] = true
+				if encoded := n.encode(); !seen[encoded] {
+					seen[encoded] = true
 					following = append(following, n)
 				}
 			}
--- a/internal/decide/outcome/promise.go
+++ b/internal/decide/outcome/promise.go
@@ -8,6 +8,7 @@
 	byShard map[string]promise
 }
 
+// promise holds the latest end promised for one shard, in Unix milliseconds, and the latest term, which may be fenced.
 type promise struct {
 	term   uint64
 	until  int64
--- a/internal/decide/outcome/shard.go
+++ b/internal/decide/outcome/shard.go
@@ -91,7 +91,8 @@
 	return append(kept, Epoch{Start: last.Until, Until: max(r.Until, last.Until+1), Zone: r.Zone, Members: r.Members})
 }
 
-// Extend returns the shard with its end moved forward to the given time, in Unix milliseconds.
+// Extend returns the shard with its end moved forward to the given time, in Unix milliseconds. A shard that ends later,
+// or has no epochs, is returned unchanged.
 func (s Shard) Extend(until int64) Shard {
 	if len(s.Epochs) == 0 || until <= s.Last().Until {
 		return s
--- a/internal/decide/outcome/table.go
+++ b/internal/decide/outcome/table.go
@@ -3,10 +3,12 @@
 //
 // Each request has a Key. A minted key, which a node creates for a request that came without one, names the only
 // process that may run it. The owner of a caller's key is given by the timestamp in the key and a Shard, which the
-// nodes agree on through the platform. The key owner keeps a Table of its keys.
+// nodes agree on through the platform. A key without a timestamp is opaque: its owner is given by the last epoch of the
+// Shard, and must first ask the earlier owners to move the key. The key owner keeps a Table of its keys.
 //
 // # Usage
 //
+//	table := outcome.NewTable[string](config)
 //	k, err := outcome.ParseKey(text)
 //	owner, ok := shard.Owner(service, k.Text, k.UnixMillis)
 //	verdict := table.Begin(now, outcome.RequestCopy{ID: id, UnixMillis: k.UnixMillis, Timed: k.Timed, Fingerprint: sum})
@@ -28,7 +30,7 @@
 	Running
 	// Done means that the request has a final reply.
 	Done
-	// NotRun means that the request has not run, and that no copy sent before may still run.
+	// NotRun means that the request has not run. Copies that entered before this was reported must not run.
 	NotRun
 	// Moved means that the key has not run on this node and never will, because another node took it over.
 	Moved
@@ -45,9 +47,10 @@
 	Attach
 	// Answer means that the copy gets the recorded reply.
 	Answer
-	// Challenge means that the source must confirm, with the token of the verdict, that its caller still waits.
+	// Challenge means that the source, which is the node that sent the copy, must confirm with the verdict's token that
+	// its caller still waits.
 	Challenge
-	// RefuseNotRun means that the copy entered before another copy was told that the request has not run.
+	// RefuseNotRun means that the copy entered before the key was last reported as not run, and therefore must not run.
 	RefuseNotRun
 	// RefuseReused means that the key was used for another request.
 	RefuseReused
@@ -134,8 +137,8 @@
 	entries map[string]*Entry[R]
 	bytes   int
 	running int
-	// windowStart only grows, so that a key that was dropped stays refused if the clock is set back. It is in Unix
-	// milliseconds.
+	// windowStart is the time, in Unix milliseconds, before which keys are refused and dropped. It only grows, so that a
+	// dropped key stays refused if the clock is set back.
 	windowStart int64
 	closed      bool
 }
@@ -146,22 +149,22 @@
 }
 
 // Begin decides what to do with one copy of a request.
-func (t *Table[R]) Begin(now time.Time, a RequestCopy) Verdict[R] {
+func (t *Table[R]) Begin(now time.Time, c RequestCopy) Verdict[R] {
 	t.advanceWindow(now)
-	if a.Timed && t.isOutsideWindow(now, a.UnixMillis) {
+	if c.Timed && t.isOutsideWindow(now, c.UnixMillis) {
 		return Verdict[R]{Action: RefuseTime}
 	}
-	e, ok := t.find(a.ID)
+	e, ok := t.find(c.ID)
 	if t.closed && (!ok || e.State == NotRun) {
 		return Verdict[R]{Action: RefuseClosed}
 	}
 	if !ok {
-		return t.beginNew(a)
+		return t.beginNew(c)
 	}
-	if e.Fingerprint != a.Fingerprint && e.State != Moved {
+	if e.Fingerprint != c.Fingerprint && e.State != Moved {
 		return Verdict[R]{Action: RefuseReused}
 	}
-	return t.beginKnown(now, e, a)
+	return t.beginKnown(now, e, c)
 }
 
 // Settle records the end of a run. Done stores the reply, of the given size in bytes. NotRun stores only the state, and
@@ -214,18 +217,18 @@
 
 // Move returns the state of a key. A key that has not run is first moved to the given node, and then never runs here.
 // The state is Absent if the table can't record the move, or has been handed over.
-func (t *Table[R]) Move(now time.Time, a RequestCopy, to Node) MoveResult[R] {
+func (t *Table[R]) Move(now time.Time, c RequestCopy, to Node) MoveResult[R] {
 	t.advanceWindow(now)
-	e, ok := t.find(a.ID)
+	e, ok := t.find(c.ID)
 	switch {
 	case ok && e.State != NotRun:
 		return MoveResult[R]{State: e.State, Reply: e.Reply, Fingerprint: e.Fingerprint}
 	case t.closed || (!ok && t.isFull()):
 		return MoveResult[R]{State: Absent}
 	case !ok:
-		e = t.insert(a)
+		e = t.insert(c)
 	}
-	t.restartWindow(e, a)
+	t.restartWindow(e, c)
 	e.State = Moved
 	e.MovedTo = to
 	return MoveResult[R]{State: Moved, Fingerprint: e.Fingerprint}
@@ -298,8 +301,8 @@
 
 // restartWindow restarts the window of a key without a timestamp. The window counts from the latest time ever seen, so
 // that a clock that was set back doesn't drop a key early.
-func (t *Table[R]) restartWindow(e *Entry[R], a RequestCopy) {
-	if !a.Timed {
+func (t *Table[R]) restartWindow(e *Entry[R], c RequestCopy) {
+	if !c.Timed {
 		e.UnixMillis = t.windowStart + t.config.Window.Milliseconds()
 	}
 }
@@ -328,51 +331,51 @@
 	return len(t.entries) >= t.config.MaxKeys || t.bytes+EntryBytes > t.config.MaxBytes
 }
 
-func (t *Table[R]) beginNew(a RequestCopy) Verdict[R] {
+func (t *Table[R]) beginNew(c RequestCopy) Verdict[R] {
 	if t.isFull() {
 		return Verdict[R]{Action: RefuseFull}
 	}
-	e := t.insert(a)
+	e := t.insert(c)
 	e.State = Running
 	t.running++
 	return Verdict[R]{Action: Run}
 }
 
-func (t *Table[R]) beginKnown(now time.Time, e *Entry[R], a RequestCopy) Verdict[R] {
+func (t *Table[R]) beginKnown(now time.Time, e *Entry[R], c RequestCopy) Verdict[R] {
 	switch e.State {
 	case Running:
-		e.onlyCopy = e.onlyCopy && a.OnlyCopy
+		e.onlyCopy = e.onlyCopy && c.OnlyCopy
 		return Verdict[R]{Action: Attach}
 	case Done:
 		return Verdict[R]{Action: Answer, Reply: e.Reply}
 	case Moved:
 		return Verdict[R]{Action: RefuseClosed}
 	}
-	if a.Confirm == "" || a.Confirm != e.token {
-		e.token, e.tokenIssuedAt = a.Token, now
-		return Verdict[R]{Action: Challenge, Token: a.Token}
+	if c.Confirm == "" || c.Confirm != e.token {
+		e.token, e.tokenIssuedAt = c.Token, now
+		return Verdict[R]{Action: Challenge, Token: c.Token}
 	}
-	return t.beginConfirmed(now, e, a)
+	return t.beginConfirmed(now, e, c)
 }
 
 // beginConfirmed runs a request that its source still holds, if the request entered after the key was last reported as
 // not run. The source measured the age after the challenge was issued, so the request entered later than tokenIssuedAt
 // minus the age. This compares no clocks of two nodes.
-func (t *Table[R]) beginConfirmed(now time.Time, e *Entry[R], a RequestCopy) Verdict[R] {
+func (t *Table[R]) beginConfirmed(now time.Time, e *Entry[R], c RequestCopy) Verdict[R] {
 	e.token = ""
-	if !e.tokenIssuedAt.Add(-a.Age).After(e.reportedAt) {
+	if !e.tokenIssuedAt.Add(-c.Age).After(e.reportedAt) {
 		e.markReported(now)
 		return Verdict[R]{Action: RefuseNotRun}
 	}
-	t.restartWindow(e, a)
+	t.restartWindow(e, c)
 	e.State = Running
 	t.running++
 	return Verdict[R]{Action: Run}
 }
 
-func (t *Table[R]) insert(a RequestCopy) *Entry[R] {
-	e := &Entry[R]{ID: a.ID, UnixMillis: a.UnixMillis, Fingerprint: a.Fingerprint, Bytes: EntryBytes, onlyCopy: a.OnlyCopy}
-	t.restartWindow(e, a)
+func (t *Table[R]) insert(c RequestCopy) *Entry[R] {
+	e := &Entry[R]{ID: c.ID, UnixMillis: c.UnixMillis, Fingerprint: c.Fingerprint, Bytes: EntryBytes, onlyCopy: c.OnlyCopy}
+	t.restartWindow(e, c)
 	t.entries[e.ID] = e
 	t.bytes += e.Bytes
 	return e
--- a/internal/decide/outcome/table_test.go
+++ b/internal/decide/outcome/table_test.go
@@ -101,7 +101,7 @@
 	is.Equal(table.Move(start, unseen, other), outcome.MoveResult[string]{State: outcome.Moved})
 	is.Equal(table.Begin(start, copyAt("new", start)).Action, outcome.RefuseClosed)
 	table.Reclaim(func(n outcome.Node) bool { return n == other })
-	is.Equal(table.Begin(start, copyAt("new", start)).Action, outcome.Run) // the other node handed the key back with all that it knew
+	is.Equal(table.Begin(start, copyAt("new", start)).Action, outcome.Run) // the other node handed its keys over to this one
 }
 
 // Resolve reports a key as not run, so that later only copies that entered afterwards may run.
