--- a/internal/decide/fence/fence.go
+++ b/internal/decide/fence/fence.go
@@ -1,4 +1,4 @@
-// Package fence decides whether an attempt whose answer was lost has run. A request that may run at most once can then
+// Package fence decides whether an attempt whose reply was lost has run. A request that may run at most once can then
 // be sent to another instance if the attempt has not run. Asking about an attempt that has not begun fences it, so that
 // it never runs.
 //
@@ -26,7 +26,8 @@
 	Ran
 )
 
-// retention is how long an attempt is kept after its last change. It is longer than any message is in transit.
+// retention is how long an attempt is kept after it ended or was fenced. It is longer than any message is in transit, so
+// that an attempt that arrives late is still refused.
 const retention = 30 * time.Second
 
 // Table records the states of attempts.
@@ -56,7 +57,8 @@
 	return true
 }
 
-// End records that an attempt ended. An attempt that was refused before it started has not run.
+// End records that an attempt ended. started reports whether the attempt was started; one that was refused before that
+// has not run.
 func (t *Table) End(now time.Time, id string, started bool) {
 	t.states[id] = Fenced
 	if started {
@@ -76,7 +78,8 @@
 	return state
 }
 
-// Knows reports whether the table has a record of the attempt, because the attempt began here or was asked about.
+// Knows reports whether the table has a record of the attempt, because the attempt began here or Resolve was called for
+// it.
 func (t *Table) Knows(id string) bool {
 	_, known := t.states[id]
 	return known
--- a/internal/decide/fence/fence_test.go
+++ b/internal/decide/fence/fence_test.go
@@ -9,7 +9,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/fence"
 )
 
-// An attempt that arrives after its sender was told that it has not run must not run.
+// An attempt that arrives after Resolve reported that it has not run must not run.
 func TestLateAttemptDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
