--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -129,8 +129,8 @@
 	Reason   Reason     `json:"reason"`
 	Evidence []Evidence `json:"evidence"`
 
-	// crashIDs are the identifiers of the known crashes. Crashes may be larger, because for some
-	// crashes only the count is known.
+	// crashIDs are the identifiers of the known crashes. Crashes may be larger, because for some crashes only the count
+	// is known.
 	crashIDs map[uint64]bool
 }
 
@@ -175,8 +175,8 @@
 	}
 }
 
-// Begin decides whether the request may run. crashes is the number of crashes that its sender has seen the request
-// cause.
+// Begin decides whether the request may run. crashes is the number of attempts of the request that ended with a crash,
+// as observed by the request's sender.
 func (t *Table) Begin(now time.Time, f Fingerprint, crashes int) Verdict {
 	if crashes > 0 && !t.isGood(now, f) {
 		t.Learn(now, Blame{Fingerprint: f, Crashes: crashes})
