--- a/internal/decide/lineage/lineage_test.go
+++ b/internal/decide/lineage/lineage_test.go
@@ -42,9 +42,9 @@
 		"deadline of its request":                   {1200, running, 0},
 		"shorter timeout, after the last call":      {700, running, 1},
 		"shorter timeout, outlasts the last parent": {1000, running, 0},
-		"outlasts all possible parents":             {1250, running, lineage.Unknown},
-		"only a kind runs that makes no such calls": {700, running[4:], lineage.Unknown},
-		"deadline of such a kind by chance":         {1900, running[4:], lineage.Unknown},
+		"outlasts all parents that can call now":    {1250, running, lineage.Unknown},
+		"only requests that make no such calls run": {700, running[4:], lineage.Unknown},
+		"deadline of such a request by chance":      {1900, running[4:], lineage.Unknown},
 		"nothing runs":                              {700, nil, lineage.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	m := lineage.NewMatcher()
-	known := 0
+	recognized := 0
 	for n := range 200 {
 		now := at(10 * n)
 		deadline := now.Add(time.Duration(200+random.IntN(1000)) * time.Millisecond)
@@ -71,10 +71,10 @@
 		}
 		running := []lineage.RunningRequest{{Started: now.Add(-30 * time.Millisecond), Deadline: deadline}}
 		if _, ok := m.Match(now, lineage.Call{Kind: "keys", Expires: expires}, running); ok && n >= 50 {
-			known++
+			recognized++
 		}
 	}
-	is.True(known > 140)
+	is.True(recognized > 140)
 }
 
 // Callers' requests that have the deadline of a running request by chance must not be taken for calls.
