--- a/internal/decide/liveness/liveness.go
+++ b/internal/decide/liveness/liveness.go
@@ -1,8 +1,8 @@
-// Package liveness decides whether the local backend server is alive. A node whose backend server is down tells its
-// peers, which send it no more requests. Otherwise each peer would notice only when its own requests fail.
+// Package liveness decides whether the local backend server is alive. A node whose backend server is down reports this
+// to its peers, which send it no more requests. Otherwise each peer would notice only when its own requests fail.
 //
-// The package uses no health endpoint, which may lag or mislead. It uses only signs that a backend server which is down
-// can't give: accepted connections, answers and announcements.
+// The package uses no health endpoint, whose result may be late or wrong. It uses only signs that a backend server which
+// is down can't give: accepted connections, responses and announcements.
 //
 // # Usage
 //
@@ -28,8 +28,8 @@
 	Alive State = "alive"
 	// Refusing means that connections are refused: the process has ended or has not started.
 	Refusing State = "refusing"
-	// Silent means that a backend server that announced itself regularly has stopped doing so, and gives no answers
-	// either.
+	// Silent means that a backend server that announced itself regularly has stopped doing so, and gives no
+	// responses either.
 	Silent State = "silent"
 )
 
@@ -71,7 +71,7 @@
 	t.announced = now
 }
 
-// Answered records an answer to a request.
+// Answered records a response to a request.
 func (t *Tracker) Answered(now time.Time) {
 	t.answered = now
 	t.refusing, t.brokenSinceAccept = false, false
--- a/internal/decide/liveness/liveness_test.go
+++ b/internal/decide/liveness/liveness_test.go
@@ -44,7 +44,7 @@
 			do:   func(t *liveness.Tracker) time.Time { t.ConnectionRefused(); t.ConnectionAccepted(); return start },
 			want: liveness.Alive,
 		},
-		"a broken connection": {
+		"a broken connection is no evidence": {
 			do:   func(t *liveness.Tracker) time.Time { t.ConnectionBroken(); return start },
 			want: liveness.Alive,
 		},
