--- a/internal/decide/reach/reach.go
+++ b/internal/decide/reach/reach.go
@@ -1,12 +1,12 @@
-// Package reach tracks the nodes that gave no answer, so that requests avoid them, and decides when to probe each of
-// these nodes. Requests would find out at a high cost: an attempt to connect to a node behind a network partition can
-// take half of a request's time, and there are many requests.
+// Package reach tracks the nodes that did not reply, so that requests avoid them, and decides when to probe each of
+// these nodes. Requests themselves would detect an unreachable node at a high cost: an attempt to connect to a node
+// behind a network partition can take half of the time until a request's deadline, and there are many requests.
 //
 // # Usage
 //
 //	t := reach.NewTracker()
 //	t.MarkUnreachable(now, "node_2")
-//	for _, node := range t.Due(now) { ... probe it; t.Clear(node) if it answers ... }
+//	for _, node := range t.Due(now) { ... probe it; t.Clear(node) if it replies ... }
 //
 // The package does no I/O and reads no clock. A Tracker is not safe for concurrent use.
 package reach
@@ -24,7 +24,7 @@
 	maxProbeInterval = 600 * time.Millisecond
 )
 
-// Tracker holds the nodes that gave no answer.
+// Tracker holds the nodes that did not reply.
 type Tracker struct {
 	unreachable map[string]*probe
 }
@@ -41,8 +41,8 @@
 	return &Tracker{unreachable: map[string]*probe{}}
 }
 
-// MarkUnreachable records that a node gave no answer, and reports whether this is new. The node is due for a probe at
-// once, because perhaps only its open connection has failed.
+// MarkUnreachable records that a node did not reply, and reports whether this is new. The node is due for a probe
+// immediately, because perhaps only its open connection has failed.
 func (t *Tracker) MarkUnreachable(now time.Time, node string) bool {
 	if _, known := t.unreachable[node]; known {
 		return false
@@ -51,7 +51,7 @@
 	return true
 }
 
-// Clear records that a node answers again or is no longer a member. It returns the time since which the node was
+// Clear records that a node replies again or is no longer a member. It returns the time since which the node was
 // unreachable, and reports whether it was.
 func (t *Tracker) Clear(node string) (time.Time, bool) {
 	p, known := t.unreachable[node]
--- a/internal/decide/reach/reach_test.go
+++ b/internal/decide/reach/reach_test.go
@@ -19,25 +19,25 @@
 	const cut = 6 * time.Second
 	is.True(tracker.MarkUnreachable(start, "node_1"))
 	is.True(!tracker.MarkUnreachable(start, "node_1")) // many requests fail at the same time
-	asked, found := 0, time.Duration(0)
+	probes, found := 0, time.Duration(0)
 	for at := time.Duration(0); found == 0; at += 10 * time.Millisecond {
 		for range tracker.Due(start.Add(at)) {
-			asked++
+			probes++
 			if at >= cut {
 				found = at
 			}
 		}
 	}
-	is.True(asked <= 15)
+	is.True(probes <= 15)
 	is.True(found-cut <= 600*time.Millisecond)
-	since, lost := tracker.Clear("node_1")
-	is.True(lost)
+	since, wasUnreachable := tracker.Clear("node_1")
+	is.True(wasUnreachable)
 	is.Equal(since, start)
 	is.Equal(tracker.Len(), 0)
 	is.Equal(len(tracker.Due(start.Add(time.Minute))), 0)
 }
 
-// Only the open connection to a node fails. A probe on a new connection reaches the node at once.
+// Only the open connection to a node fails. A probe on a new connection reaches the node immediately.
 func TestUnreachableNodeIsDueAtOnce(t *testing.T) {
 	is := is.New(t)
 	tracker := reach.NewTracker()
@@ -45,6 +45,6 @@
 	tracker.MarkUnreachable(start, "node_1")
 	is.Equal(tracker.Due(start), []string{"node_1", "node_2"})
 	is.Equal(len(tracker.Due(start)), 0)
-	_, lost := tracker.Clear("node_3")
-	is.True(!lost)
+	_, wasUnreachable := tracker.Clear("node_3")
+	is.True(!wasUnreachable)
 }
