--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -77,8 +77,8 @@
 func TestCoalesceDelayLimitsCallsToStore(t *testing.T) {
 	for name, test := range map[string]struct {
 		members int
-		// most is the limit of calls per second by the whole fleet.
-		most float64
+		// maxCalls is the limit of calls per second by the whole fleet.
+		maxCalls float64
 	}{
 		"13":  {13, 90},
 		"60":  {60, 90},
@@ -86,9 +86,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			settle := roster.CoalesceDelay(test.members)
-			is.True(float64(test.members)/settle.Seconds() <= test.most)
-			is.True(settle <= 1500*time.Millisecond)
+			delay := roster.CoalesceDelay(test.members)
+			is.True(float64(test.members)/delay.Seconds() <= test.maxCalls)
+			is.True(delay <= 1500*time.Millisecond)
 		})
 	}
 }
