--- a/internal/decide/announcement/announcement.go
+++ b/internal/decide/announcement/announcement.go
@@ -19,7 +19,8 @@
 	Sequence uint64
 }
 
-// IsStale reports whether next was not made after held. An announcement without the values to compare is not stale.
+// IsStale reports whether next is the same announcement as held or an older one. An announcement that lacks the values
+// to compare is not stale.
 func IsStale(held, next Position) bool {
 	if held.Started != next.Started {
 		return held.Started > next.Started && next.Started != 0
