--- a/internal/decide/membership/election.go
+++ b/internal/decide/membership/election.go
@@ -35,7 +35,7 @@
 // ElectionConfig configures an Election.
 type ElectionConfig struct {
 	Node string
-	// FollowTimeout is the time without an answer after which a node no longer follows its leader.
+	// FollowTimeout is the time without a reply after which a node no longer follows its leader.
 	FollowTimeout time.Duration
 	// RetryInterval is the time after which an unresponsive node is asked again. It is also the time between two
 	// searches for a better leader.
@@ -45,20 +45,23 @@
 	Candidates int
 }
 
-// Election decides which node to follow and when to lead. As long as the platform answers, its lease decides who
+// Election decides which node to follow and when to lead. As long as the platform responds, its lease decides which node
 // leads. While it does not, the live member with the lowest name distributes the records that the zone holds.
 type Election struct {
 	config   ElectionConfig
 	lease    Lease
 	followed Target
-	// relayed says that the followed node is not the leader but follows it.
-	relayed             bool
-	leased              bool
-	lastAnswer          time.Time
-	hint                Target
+	// relayed reports whether the followed node is not the leader but follows it.
+	relayed bool
+	// leased reports whether the leader holds a lease.
+	leased    bool
+	lastReply time.Time
+	// hint is the node that was last named as the leader.
+	hint Target
+	// unresponsive maps each node that did not reply to its last heartbeat to the time of that heartbeat's failure.
 	unresponsive        map[string]time.Time
 	platformUnreachable bool
-	// spreading says that the node was in the Spreading role last. It stays in it until another node leads.
+	// spreading reports whether the node's last role was Spreading. The node keeps that role until another node leads.
 	spreading bool
 	// lastProbe is when the node last asked others for a better leader.
 	lastProbe time.Time
@@ -69,13 +72,13 @@
 	return &Election{config: config, unresponsive: map[string]time.Time{}}
 }
 
-// Plan says what a node does until it asks for the next plan.
+// Plan holds what a node does until it asks for the next plan.
 type Plan struct {
 	Role Role
 	// HeartbeatTargets lists the nodes to send heartbeats to.
 	HeartbeatTargets []Target
-	// ReadPlatform says that the node should read the platform's leader entry, and try to become the leader if there
-	// is none.
+	// ReadPlatform reports whether the node should read the platform's leader entry, and try to become the leader if
+	// there is none.
 	ReadPlatform bool
 }
 
@@ -185,19 +188,19 @@
 }
 
 func (e *Election) isFollowing(now time.Time) bool {
-	return e.followed.Node != "" && now.Sub(e.lastAnswer) <= e.config.FollowTimeout
+	return e.followed.Node != "" && now.Sub(e.lastReply) <= e.config.FollowTimeout
 }
 
-// Answer is the election state in a node's answer to a heartbeat.
+// Answer is the election state in a node's reply to a heartbeat.
 type Answer struct {
-	// Leads says that the node leads the zone, with or without a lease.
+	// Leads reports whether the node leads the zone, with or without a lease.
 	Leads  bool
 	Leased bool
 	// Leader is the leader that the node follows directly, if it does not lead itself.
 	Leader Target
 }
 
-// RecordAnswer records the answer of a node of the same zone.
+// RecordAnswer records the reply of a node of the same zone.
 func (e *Election) RecordAnswer(now time.Time, from Target, a Answer) {
 	delete(e.unresponsive, from.Node)
 	knowsLeader := a.Leader.Node != "" && a.Leader.Node != e.config.Node
@@ -230,22 +233,22 @@
 	if !better && !lower {
 		return
 	}
-	e.followed, e.relayed, e.leased, e.lastAnswer = t, relayed, leased, now
+	e.followed, e.relayed, e.leased, e.lastReply = t, relayed, leased, now
 }
 
-// RecordFailure records that a heartbeat to the node was not answered.
+// RecordFailure records that a heartbeat to the node got no reply.
 func (e *Election) RecordFailure(now time.Time, t Target) {
 	e.unresponsive[t.Node] = now
 }
 
-// IsUnresponsive reports whether the last heartbeat to the node was not answered.
+// IsUnresponsive reports whether the last heartbeat to the node got no reply.
 func (e *Election) IsUnresponsive(node string) bool {
 	_, unresponsive := e.unresponsive[node]
 	return unresponsive
 }
 
-// SuggestLeader records that a node says it leads. If it holds a lease, or if no other node is followed, it is asked
-// next.
+// SuggestLeader records that a node claims to lead the zone. If it holds a lease, or if no other node is followed, it is
+// asked next.
 func (e *Election) SuggestLeader(now time.Time, t Target, leased bool) {
 	if t.Node != e.config.Node && (leased || !e.isFollowing(now)) {
 		e.hint = t
@@ -261,7 +264,7 @@
 	}
 }
 
-// RecordPlatformUnreachable records that the platform did not answer.
+// RecordPlatformUnreachable records that the platform did not respond.
 func (e *Election) RecordPlatformUnreachable() {
 	e.platformUnreachable = true
 }
--- a/internal/decide/membership/election_test.go
+++ b/internal/decide/membership/election_test.go
@@ -15,7 +15,7 @@
 
 const (
 	heartbeatPeriod = 250 * time.Millisecond
-	ttl             = 1500 * time.Millisecond
+	leaseTTL        = 1500 * time.Millisecond
 	followTimeout   = 750 * time.Millisecond
 	retryInterval   = 2 * time.Second
 )
@@ -101,7 +101,7 @@
 		z.election[name].RecordPlatformUnreachable()
 		return
 	}
-	z.until = z.now.Add(ttl)
+	z.until = z.now.Add(leaseTTL)
 	z.election[name].RecordLeaseRenewed(z.until)
 }
 
@@ -114,7 +114,7 @@
 		z.election[name].RecordPlatformLeader(membership.Target{Node: z.holder, Address: z.holder})
 	default:
 		z.term++
-		z.holder, z.until = name, z.now.Add(ttl)
+		z.holder, z.until = name, z.now.Add(leaseTTL)
 		z.election[name].RecordLeaseGranted(membership.Lease{Term: z.term, Until: z.until})
 	}
 }
--- a/internal/decide/membership/member.go
+++ b/internal/decide/membership/member.go
@@ -32,12 +32,12 @@
 	Slots       int    `json:"slots,omitempty"`
 	Connections int    `json:"connections,omitempty"`
 	State       State  `json:"state"`
-	// BackendLost says that the node is up but its backend server is not.
+	// BackendLost reports whether the node is up but its backend server is not.
 	BackendLost bool `json:"lost,omitempty"`
-	// Unconfirmed says that the member's entry in the platform's store disappeared without the member having
+	// Unconfirmed reports whether the member's entry in the platform's store disappeared although the member had not
 	// announced that it leaves.
 	Unconfirmed bool `json:"unconfirmed,omitempty"`
-	// DownSince is when a leader marked the member down, in seconds of Unix time.
+	// DownSince is when a leader marked the member down, in Unix seconds.
 	DownSince int64 `json:"down_since,omitempty"`
 	// Successor is the node that takes over the keys of a leaving member; empty if there is none.
 	Successor string `json:"successor,omitempty"`
@@ -86,7 +86,8 @@
 	return v.Sequence%2 == 1
 }
 
-// downRetention is how long the record of a down member is kept, so that no older record of the member comes back.
+// downRetention is how long the record of a down member is kept, so that no node accepts an older record of the member
+// meanwhile.
 const downRetention = time.Hour
 
 // IsExpired reports whether the member has been down for so long that every node drops its record.
--- a/internal/decide/membership/patch.go
+++ b/internal/decide/membership/patch.go
@@ -21,7 +21,8 @@
 	Checksum uint64
 }
 
-// minPatchSaving is the number of bytes that a patch must save to be used instead of the value.
+// minPatchSaving is the number of unchanged bytes above which a patch is used instead of the value. A patch has bytes of
+// its own: its base version, its lengths and its checksum.
 const minPatchSaving = 64
 
 // NewPatch returns the patch from one record to another, and whether it saves enough bytes to be used.
--- a/internal/decide/membership/records.go
+++ b/internal/decide/membership/records.go
@@ -176,7 +176,7 @@
 }
 
 // Since returns the changes after the one with the given number, in order, and the number to continue from. It
-// returns at least one change and stops before the values exceed maxBytes.
+// returns at least one change, if there are any, and stops before the values exceed maxBytes.
 //
 // A non-nil filter selects the availability zones whose renewals are returned. For records of the other zones, only
 // structural changes are returned; these come first and do not count towards maxBytes.
--- a/internal/decide/membership/renewal.go
+++ b/internal/decide/membership/renewal.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// RenewalRule selects records that are renewed all the time, such as a lease with its end.
+// RenewalRule selects records that are renewed continuously, such as a lease with its end.
 type RenewalRule struct {
 	// Prefix is the prefix of the keys of these records.
 	Prefix string
@@ -39,7 +39,7 @@
 	// that gets no renewals of the record holds one of these.
 	lastStructural  previousRecord
 	priorStructural previousRecord
-	// zoneChanged says that the last structural change gave the record another zone.
+	// zoneChanged reports whether the last structural change gave the record another zone.
 	zoneChanged bool
 }
 
