--- a/internal/control/zone/client.go
+++ b/internal/control/zone/client.go
@@ -45,12 +45,12 @@
 	Address string
 }
 
-// HeartbeatAnswer is the receiver's answer to a heartbeat.
+// HeartbeatAnswer is the receiver's reply to a heartbeat.
 type HeartbeatAnswer struct {
 	membership.Answer
 
 	// Digest covers all records of the receiver. LogID identifies its change log, and NextPosition is the last change
-	// covered by this answer.
+	// covered by this reply.
 	Digest       uint64
 	LogID        uint64
 	NextPosition uint64
@@ -59,7 +59,7 @@
 	More bool
 }
 
-// SendHeartbeat sends a heartbeat to the address and returns the answer.
+// SendHeartbeat sends a heartbeat to the address and returns the reply.
 func (c *Client) SendHeartbeat(ctx context.Context, address string, h Heartbeat) (HeartbeatAnswer, error) {
 	request := &zonepb.BeatRequest{
 		Node:    c.config.Node,
@@ -76,10 +76,10 @@
 		reply, err = z.Beat(ctx, request)
 		return err
 	})
-	return heartbeatAnswerFrom(reply), err
+	return heartbeatReplyFrom(reply), err
 }
 
-func heartbeatAnswerFrom(m *zonepb.BeatReply) HeartbeatAnswer {
+func heartbeatReplyFrom(m *zonepb.BeatReply) HeartbeatAnswer {
 	return HeartbeatAnswer{
 		Answer: membership.Answer{
 			Leads:  m.GetLeads(),
--- a/internal/control/zone/controller.go
+++ b/internal/control/zone/controller.go
@@ -1,5 +1,5 @@
 // Package zone replicates control state between nodes. Members and documents spread through heartbeats to the leader of
-// the availability zone; comparing digests repairs what heartbeats missed.
+// the availability zone. Nodes also compare digests, to find and exchange records that the heartbeats missed.
 //
 // Each availability zone has one leader. Only the leader reads and writes the platform on behalf of its zone, and the
 // other nodes get everything from it, so the platform's load grows with the number of zones and not with the number of
@@ -58,7 +58,7 @@
 	Publish func(b *board.Board, changed []membership.Record)
 	// Structure returns the part of a value that a renewal leaves unchanged. It is set for records that are renewed
 	// continuously, and nil for others. A zone's renewals go to its own members and to the leaders of the other zones;
-	// changes of structure go to all nodes.
+	// structural changes go to all nodes.
 	Structure func(value []byte) membership.Structure
 }
 
@@ -77,11 +77,11 @@
 type Timing struct {
 	// HeartbeatPeriod is the time between heartbeats in a small zone.
 	HeartbeatPeriod time.Duration
-	// FollowTimeout is the time without an answer after which a node stops following a leader.
+	// FollowTimeout is the time without a reply after which a node stops following a leader.
 	FollowTimeout time.Duration
-	// DownTimeout is the time without a heartbeat or a record of its own after which a member is down.
+	// DownTimeout is the time after which a member that has sent neither a heartbeat nor a record of its own is down.
 	DownTimeout time.Duration
-	// LeaseTTL is the term of the leader's lease.
+	// LeaseTTL is how long the leader's lease is valid without a renewal.
 	LeaseTTL time.Duration
 	// WatchTimeout limits how long the platform holds one watch of the documents open. Between two watches the leader
 	// checks whether the platform was rolled back to older content.
@@ -102,7 +102,7 @@
 }
 
 const (
-	// retryInterval is the time before a node that did not answer is contacted again.
+	// retryInterval is the time before a node that did not reply is contacted again.
 	retryInterval = 2 * time.Second
 	// candidateCount is the number of nodes that read the platform in a zone without a leader.
 	candidateCount = 3
@@ -189,7 +189,7 @@
 	}
 }
 
-// waitForTick waits until the next heartbeat is due or a change is to be sent at once.
+// waitForTick waits until the next heartbeat is due or wake is called.
 func (c *Controller) waitForTick(ctx context.Context) {
 	b := c.config.Board.Snapshot()
 	timer := time.NewTimer(membership.HeartbeatPeriod(c.config.Timing.HeartbeatPeriod, b.Members.CountInZone(b.Self.Zone)))
@@ -278,7 +278,7 @@
 	}
 }
 
-// refreshOwnRecord updates the node's own record after a change on the board, and refutes a record that marks the node
+// refreshOwnRecord updates the node's own record after a change on the board, and overrides a record that marks the node
 // down. A node that reaches its leader only through another node also renews its record periodically, which shows the
 // leader that it is alive.
 func (c *Controller) refreshOwnRecord(b *board.Board) {
@@ -381,7 +381,7 @@
 	c.wake()
 }
 
-// wake makes the next heartbeat due at once.
+// wake makes the next heartbeat due immediately.
 func (c *Controller) wake() {
 	select {
 	case c.wakeup <- struct{}{}:
--- a/internal/control/zone/document.go
+++ b/internal/control/zone/document.go
@@ -35,10 +35,10 @@
 	// Revision grows by one with each accepted edit.
 	Revision uint64 `json:"revision"`
 	Source   string `json:"source"`
-	// Operation identifies the edit, so that an editor whose answer was lost can find out whether the edit was
+	// Operation identifies the edit, so that an editor whose response was lost can find out whether the edit was
 	// accepted.
 	Operation string `json:"operation"`
-	// Editor is who made the edit: a team, or "team/editor" if the token named a person.
+	// Editor is the author of the edit: a team, or "team/editor" if the token named a person.
 	Editor string    `json:"editor"`
 	Time   time.Time `json:"time"`
 	// History holds the earlier edits, newest first. It is stored only in the platform, under a key of its own, and is
--- a/internal/control/zone/document_test.go
+++ b/internal/control/zone/document_test.go
@@ -24,12 +24,12 @@
 	}
 	for name, c := range map[string]struct {
 		first, second zone.StoredDocument
-		stands        string
+		newest        string
 	}{
-		"higher revision":                  {first: edit(1, "a", early), second: edit(2, "b", early.Add(-time.Hour)), stands: "b"},
-		"lower revision":                   {first: edit(2, "a", early), second: edit(1, "b", early.Add(time.Hour)), stands: "a"},
-		"same revision, later edit second": {first: edit(2, "a", early), second: edit(2, "b", early.Add(time.Second)), stands: "b"},
-		"same revision, later edit first":  {first: edit(2, "a", early.Add(time.Second)), second: edit(2, "b", early), stands: "a"},
+		"higher revision":                  {first: edit(1, "a", early), second: edit(2, "b", early.Add(-time.Hour)), newest: "b"},
+		"lower revision":                   {first: edit(2, "a", early), second: edit(1, "b", early.Add(time.Hour)), newest: "a"},
+		"same revision, later edit second": {first: edit(2, "a", early), second: edit(2, "b", early.Add(time.Second)), newest: "b"},
+		"same revision, later edit first":  {first: edit(2, "a", early.Add(time.Second)), second: edit(2, "b", early), newest: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -49,7 +49,7 @@
 				r.Version = membership.Version{Epoch: 99}
 				controller.Offer(t.Context(), r) // A version other than the document's own changes nothing.
 			}
-			is.Equal(loop.Snapshot().Documents.ByService["access"].Operation, c.stands)
+			is.Equal(loop.Snapshot().Documents.ByService["access"].Operation, c.newest)
 		})
 	}
 }
--- a/internal/control/zone/election.go
+++ b/internal/control/zone/election.go
@@ -72,7 +72,7 @@
 	swap := platform.Swap{Key: leaderKey(self), Value: encoded, Expected: entry.Revision, Lease: lease.ID}
 	written, err := c.config.Platform.CompareAndSwap(ctx, swap)
 	if err != nil {
-		return // Another node wrote first, or the answer was lost: the lease expires, or the next read finds this node.
+		return // Another node wrote first, or the response was lost: the lease expires, or the next read finds this node.
 	}
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		c.election.RecordLeaseGranted(membership.Lease{Term: value.Term, Until: requestedAt.Add(c.config.Timing.LeaseTTL)})
@@ -88,7 +88,7 @@
 	return LeaderPrefix + self.Zone
 }
 
-// nextTerm returns a term above every term that this node knows of in the zone.
+// nextTerm returns a term above every term of the zone that this node or the zone's entry in the platform holds.
 func (c *Controller) nextTerm(ctx context.Context, stored platform.Entry) uint64 {
 	var v zoneValue
 	_ = json.Unmarshal(stored.Value, &v) // Without a value the stored term is 0.
@@ -110,8 +110,8 @@
 	}
 }
 
-// renewLease renews the lease. The lease's term counts from when the renewal was requested, so a pause of the process
-// before the answer does not extend it.
+// renewLease renews the lease. The LeaseTTL counts from when the renewal was requested, so a pause of the process before
+// the response does not extend the lease.
 func (c *Controller) renewLease(ctx context.Context) {
 	requestedAt := time.Now()
 	var lease platform.Lease
@@ -130,8 +130,7 @@
 	})
 }
 
-// recordPlatformResult records whether the platform answered a call. A call that the platform refused counts as
-// answered.
+// recordPlatformResult records whether the platform responded to a call. A refusal by the platform is a response.
 func (c *Controller) recordPlatformResult(ctx context.Context, err error) {
 	reachable := err == nil || errors.Is(err, platform.ErrNotFound) || errors.Is(err, platform.ErrCompareFailed)
 	if ctx.Err() != nil {
--- a/internal/control/zone/follow.go
+++ b/internal/control/zone/follow.go
@@ -25,7 +25,7 @@
 	logPosition uint64
 	// pending holds the keys of records that were made here and that the other node may lack.
 	pending map[string]bool
-	// sendsHeartbeats reports whether the other node also sends heartbeats to this one and gets changes in the answers,
+	// sendsHeartbeats reports whether the other node also sends heartbeats to this one and gets changes in the replies,
 	// so that no records need to be queued for it.
 	sendsHeartbeats bool
 	mismatches      int
@@ -61,7 +61,7 @@
 
 // sendHeartbeat sends a heartbeat to a node of the same zone and reports the result to the election.
 func (c *Controller) sendHeartbeat(ctx context.Context, t membership.Target) {
-	answer, err := c.synchronize(ctx, t.Address)
+	reply, err := c.synchronize(ctx, t.Address)
 	if ctx.Err() != nil {
 		return
 	}
@@ -71,7 +71,7 @@
 			c.election.RecordFailure(now, t)
 			return
 		}
-		c.election.RecordAnswer(now, t, answer.Answer)
+		c.election.RecordAnswer(now, t, reply.Answer)
 		c.publishLeader(b, now)
 	})
 }
@@ -80,15 +80,15 @@
 func (c *Controller) synchronize(ctx context.Context, address string) (HeartbeatAnswer, error) {
 	for {
 		request := c.newHeartbeat(ctx, address)
-		answer, err := c.config.Peers.SendHeartbeat(ctx, address, request)
+		reply, err := c.config.Peers.SendHeartbeat(ctx, address, request)
 		if err != nil {
-			return answer, err
+			return reply, err
 		}
-		if c.applyAnswer(ctx, address, request, answer) {
+		if c.applyReply(ctx, address, request, reply) {
 			c.repair(ctx, address)
 		}
-		if !answer.More {
-			return answer, nil
+		if !reply.More {
+			return reply, nil
 		}
 	}
 }
@@ -113,27 +113,27 @@
 	return request
 }
 
-// applyAnswer applies the changes in the answer and reports whether buckets should be compared.
-func (c *Controller) applyAnswer(ctx context.Context, address string, request Heartbeat, answer HeartbeatAnswer) bool {
+// applyReply applies the changes in the reply and reports whether buckets should be compared.
+func (c *Controller) applyReply(ctx context.Context, address string, request Heartbeat, reply HeartbeatAnswer) bool {
 	repair := false
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		now := time.Now()
 		l := c.link(address, now)
 		c.acknowledge(l, request.Changed)
-		allApplied := c.mergeChanges(b, answer.Newer)
-		if answer.More {
-			l.logPosition = answer.NextPosition
+		allApplied := c.mergeChanges(b, reply.Newer)
+		if reply.More {
+			l.logPosition = reply.NextPosition
 			return
 		}
-		if c.records.Digest() == answer.Digest {
+		if c.records.Digest() == reply.Digest {
 			l.mismatches = 0
 		} else {
 			l.mismatches++
 		}
-		unknownLog := l.logID != answer.LogID && l.mismatches > 0
-		l.logID, l.logPosition = answer.LogID, answer.NextPosition
+		unknownLog := l.logID != reply.LogID && l.mismatches > 0
+		l.logID, l.logPosition = reply.LogID, reply.NextPosition
 		if !allApplied {
-			l.logID = 0 // The next heartbeat is answered as one that does not know the log.
+			l.logID = 0 // The next heartbeat is handled as one from a node that does not know the log.
 		}
 		if unknownLog || (l.mismatches >= mismatchesToRepair && now.Sub(l.repairedAt) > minRepairInterval) {
 			repair = true
--- a/internal/control/zone/heartbeat_test.go
+++ b/internal/control/zone/heartbeat_test.go
@@ -55,7 +55,7 @@
 	return n, err
 }
 
-// BenchmarkHeartbeat measures the bytes of one heartbeat and its answer between nodes with the same records. From these
+// BenchmarkHeartbeat measures the bytes of one heartbeat and its reply between nodes with the same records. From these
 // it computes the traffic of a zone in which all members send heartbeats to the leader, and of a zone in which all
 // members send them to each other.
 func BenchmarkHeartbeat(b *testing.B) {
@@ -84,14 +84,14 @@
 	pool := peer.NewPool(peer.PoolConfig{MaxPerPeer: 1, MaxIdle: time.Minute, DialTimeout: time.Second})
 	defer pool.Close()
 	client := zone.NewClient(zone.ClientConfig{Pool: pool, Node: "crew-scheduling_2", Zone: "lisbon_1", HeartbeatTimeout: time.Second, Timeout: time.Second})
-	answer, err := client.SendHeartbeat(ctx, inner.Addr().String(), zone.Heartbeat{})
+	reply, err := client.SendHeartbeat(ctx, inner.Addr().String(), zone.Heartbeat{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	listener.bytes.Store(0)
 	heartbeats := 0
 	for b.Loop() {
-		if _, err := client.SendHeartbeat(ctx, inner.Addr().String(), zone.Heartbeat{LogID: answer.LogID, LogPosition: answer.NextPosition}); err != nil {
+		if _, err := client.SendHeartbeat(ctx, inner.Addr().String(), zone.Heartbeat{LogID: reply.LogID, LogPosition: reply.NextPosition}); err != nil {
 			b.Fatal(err)
 		}
 		heartbeats++
--- a/internal/control/zone/leader.go
+++ b/internal/control/zone/leader.go
@@ -28,13 +28,13 @@
 	stopWatch context.CancelFunc
 	// leaderlessSince maps each other zone without a leader at the platform to the time since when it has had none.
 	leaderlessSince map[string]time.Time
-	// targets maps each other zone to its leader according to the zone's last answer, and failures counts the
-	// consecutive heartbeats since then without an answer that names a leader.
+	// targets maps each other zone to its leader according to the zone's last reply, and failures counts the
+	// consecutive heartbeats since then without a reply that names a leader.
 	targets  map[string]membership.Target
 	failures map[string]int
 	// contactedZonesAt is the time of the last heartbeats to other zones.
 	contactedZonesAt time.Time
-	// unanswered counts the consecutive unanswered heartbeats to each other zone.
+	// unanswered counts the consecutive heartbeats to each other zone that got no reply.
 	unanswered map[string]int
 	// probedDownAt is the time of the last heartbeats to members that are down.
 	probedDownAt time.Time
@@ -78,7 +78,7 @@
 	}
 }
 
-// actAsFollower ends the watches of an earlier term. A node that follows nobody in its own zone gets changes from other
+// actAsFollower ends the watches of an earlier term. A node that follows no node of its own zone gets changes from other
 // zones.
 func (c *Controller) actAsFollower(ctx context.Context) {
 	alone := false
@@ -153,7 +153,7 @@
 }
 
 // probe sends a heartbeat to a suspected member, which may be alive and follow another node. A member that does not
-// answer is presumed down.
+// reply is presumed down.
 func (c *Controller) probe(ctx context.Context, t membership.Target) {
 	_, err := c.synchronize(ctx, t.Address)
 	if ctx.Err() != nil {
@@ -222,7 +222,7 @@
 	return membership.InterZoneHeartbeatPeriod(c.config.Timing.InterZoneHeartbeatPeriod, len(zones)-1)
 }
 
-// zoneTarget returns the node to contact in the zone: its leader according to the last answer or, after failures,
+// zoneTarget returns the node to contact in the zone: its leader according to the last reply or, after failures,
 // alternately the leader named in the zone's record and one member after the other.
 func (c *Controller) zoneTarget(b *board.Board, zone string) membership.Target {
 	failures := c.leadership.failures[zone]
@@ -239,22 +239,22 @@
 }
 
 func (c *Controller) contactZone(ctx context.Context, zone string, t membership.Target) {
-	answer, err := c.synchronize(ctx, t.Address)
+	reply, err := c.synchronize(ctx, t.Address)
 	if ctx.Err() != nil {
 		return
 	}
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		c.recordZoneContact(b, zone, err == nil)
-		knowsLeader := answer.Leads || answer.Leader.Node != ""
+		knowsLeader := reply.Leads || reply.Leader.Node != ""
 		if err != nil || !knowsLeader {
 			c.leadership.failures[zone]++
 			return
 		}
 		c.leadership.failures[zone] = 0
 		c.leadership.targets[zone] = t
-		c.link(t.Address, time.Now()).sendsHeartbeats = answer.Leads && c.role != membership.Following
-		if !answer.Leads {
-			c.leadership.targets[zone] = answer.Leader
+		c.link(t.Address, time.Now()).sendsHeartbeats = reply.Leads && c.role != membership.Following
+		if !reply.Leads {
+			c.leadership.targets[zone] = reply.Leader
 		}
 	})
 }
--- a/internal/control/zone/publish.go
+++ b/internal/control/zone/publish.go
@@ -59,7 +59,7 @@
 	b.Members = members
 }
 
-// logMemberUp logs that a member of the node's zone joined or came back.
+// logMemberUp logs that a member of the node's zone joined, or is up again after it was down.
 func (c *Controller) logMemberUp(before board.Members, m membership.Member) {
 	if _, known := before.ByNode[m.Node]; !known && m.State == membership.Up {
 		c.config.Log.Emit(events.MemberUp, events.Fields{"member": m.Node, "zone": m.Zone})
--- a/internal/control/zone/server_test.go
+++ b/internal/control/zone/server_test.go
@@ -17,18 +17,18 @@
 		return membership.Structure{Term: uint64(value[0]), Zone: string(value[1:])}
 	}
 	for name, c := range map[string]struct {
-		keeper string
-		term   byte
-		sender *zonepb.BeatRequest
-		got    int
+		renewer string
+		term    byte
+		sender  *zonepb.BeatRequest
+		got     int
 	}{
-		"own zone's, to its member":                              {keeper: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}, got: 1},
-		"own zone's, to another leader":                          {keeper: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2", Leads: true}, got: 1},
-		"own zone's, to another zone's member":                   {keeper: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2"}},
-		"another zone's, to a member":                            {keeper: "lisbon_3", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}},
-		"another zone's, to another leader":                      {keeper: "lisbon_3", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2", Leads: true}},
-		"another zone's new structure, to a member":              {keeper: "lisbon_3", term: 2, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}, got: 1},
-		"another zone's new structure, to another zone's member": {keeper: "lisbon_3", term: 2, sender: &zonepb.BeatRequest{Zone: "lisbon_2"}, got: 1},
+		"own zone's renewal, to its member":                      {renewer: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}, got: 1},
+		"own zone's renewal, to another leader":                  {renewer: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2", Leads: true}, got: 1},
+		"own zone's renewal, to another zone's member":           {renewer: "lisbon_1", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2"}},
+		"another zone's renewal, to a member":                    {renewer: "lisbon_3", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}},
+		"another zone's renewal, to another leader":              {renewer: "lisbon_3", term: 1, sender: &zonepb.BeatRequest{Zone: "lisbon_2", Leads: true}},
+		"another zone's new structure, to a member":              {renewer: "lisbon_3", term: 2, sender: &zonepb.BeatRequest{Zone: "lisbon_1"}, got: 1},
+		"another zone's new structure, to another zone's member": {renewer: "lisbon_3", term: 2, sender: &zonepb.BeatRequest{Zone: "lisbon_2"}, got: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -43,7 +43,7 @@
 				Incarnation: 1,
 			})
 			record := func(epoch uint64, term byte) membership.Record {
-				value := append([]byte{term}, c.keeper...)
+				value := append([]byte{term}, c.renewer...)
 				return membership.Record{Key: "homes/x", Version: membership.Version{Epoch: epoch}, Value: value}
 			}
 			server := zone.NewServer(controller)
--- a/internal/control/zone/stats.go
+++ b/internal/control/zone/stats.go
@@ -37,7 +37,7 @@
 	Address string `json:"address"`
 	// Pending counts the records made here that the other node may lack.
 	Pending int `json:"pending"`
-	// Mismatches counts the consecutive heartbeats whose answer had a different digest.
+	// Mismatches counts the consecutive heartbeats whose reply had a different digest.
 	Mismatches int `json:"mismatches"`
 	// Idle is the time since the link was last used.
 	Idle int64 `json:"idle_ms"`
--- a/internal/control/zone/unreached.go
+++ b/internal/control/zone/unreached.go
@@ -12,7 +12,7 @@
 const (
 	// reachPrefix is the key prefix of the records in which the leader of a zone lists the zones that it can't reach.
 	reachPrefix = "reach/"
-	// unreachedThreshold is the number of consecutive unanswered heartbeats after which another zone counts as
+	// unreachedThreshold is the number of consecutive heartbeats without a reply after which another zone counts as
 	// unreached.
 	unreachedThreshold = 2
 )
@@ -22,7 +22,7 @@
 	Unreached []string `json:"unreached"`
 }
 
-// recordZoneContact records whether a heartbeat to the zone was answered, and publishes the unreached zones if they
+// recordZoneContact records whether a heartbeat to the zone got a reply, and publishes the unreached zones if they
 // changed.
 func (c *Controller) recordZoneContact(b *board.Board, zone string, answered bool) {
 	c.leadership.unanswered[zone]++
@@ -46,7 +46,7 @@
 	c.offer(b, membership.Record{Key: key, Version: version, Value: value})
 }
 
-// unreached returns the other zones whose members don't answer, sorted by name.
+// unreached returns the other zones whose members don't reply, sorted by name.
 func (c *Controller) unreached(b *board.Board) []string {
 	var zones []string
 	for zone, count := range c.leadership.unanswered {
--- a/internal/control/zone/watch.go
+++ b/internal/control/zone/watch.go
@@ -14,8 +14,8 @@
 const (
 	// watchRetryDelay is the delay after a failed watch.
 	watchRetryDelay = 500 * time.Millisecond
-	// minWatchInterval is the pause between two watches. Every change at the platform ends the watches of all zones;
-	// without the pause, each zone would call again for each change of any zone.
+	// minWatchInterval is the delay between two watches. Every change at the platform ends the watches of all zones;
+	// without the delay, each zone would call again for each change of any zone.
 	minWatchInterval = 400 * time.Millisecond
 	// relistInterval is the maximum time between two full lists of one kind of entry. The leaders' entries, which are
 	// small, are listed every leaderRelistInterval.
@@ -77,7 +77,7 @@
 }
 
 // watchOnce waits once for changes, or lists everything if a full list is due. It reports whether the platform
-// answered.
+// responded.
 func (c *Controller) watchOnce(ctx context.Context, w *watch) bool {
 	if time.Since(w.listedAt) > w.maxListAge() {
 		w.revision = 0
@@ -137,7 +137,7 @@
 }
 
 // listTimeAfterCheck returns the time of the last full list, or the zero time if the platform has lost the newest
-// document since. The platform may then have lost leaders' entries too, so these are listed at once.
+// document since. The platform may then have lost leaders' entries too, so these are listed too.
 func (c *Controller) listTimeAfterCheck(ctx context.Context, listedAt time.Time) time.Time {
 	if !c.hasRolledBack(ctx) {
 		return listedAt
@@ -244,7 +244,7 @@
 		c.config.Board.Do(ctx, func(*board.Board) { c.election.RecordLeaseLost() })
 	default:
 		_, err := c.config.Platform.CompareAndSwap(ctx, swap)
-		c.recordPlatformResult(ctx, err) // A refusal means that the platform's answer lagged or that the lease has ended.
+		c.recordPlatformResult(ctx, err) // A refusal means that the platform's response lagged or that the lease has ended.
 	}
 }
 
