--- a/internal/control/homes/controller.go
+++ b/internal/control/homes/controller.go
@@ -4,8 +4,9 @@
 // zone change. Every write is a compare-and-swap on the record last read, so concurrent or late writers cannot make the
 // epochs diverge.
 //
-// The end is moved by a promise of the shard's two keepers, without a call to the platform. The record is written when
-// anything else changes, when a keeper gives no promise, and at intervals to move the limit of the promises.
+// The end is moved by a promise of the shard's two keepers, the writer and a node of another zone, without a call to the
+// platform. The record is written when anything else changes, when a keeper gives no promise, and at intervals to move
+// the limit of the promises.
 //
 // If the end of a shard has passed for some time and its zone has no leader at the platform, the leader of another
 // zone maintains the shard until the zone has a leader again.
@@ -71,7 +72,7 @@
 	// ElectionAllowance is added to Horizon while the leader stops, for the time in which the zone has no leader.
 	ElectionAllowance time.Duration
 	// Reserve is how far the end may be moved by promises of the keepers, without a write to the platform. If a shard
-	// loses both keepers at once, it can't be renewed for up to that time.
+	// loses both keepers at the same time, it can't be renewed for up to that time.
 	Reserve time.Duration
 	// InitialKeeperDelay is the time from the start of a leader's process until it may begin another zone's shard that
 	// has no epoch yet.
@@ -151,7 +152,7 @@
 		}
 		for _, shard := range c.config.Zones {
 			if c.maintainsShard(time.Now(), b, shard) && !c.maintainShard(ctx, offerer, b, shard) {
-				break // the platform does not answer; trying the other shards too would delay the promises below
+				break // the platform does not respond; trying the other shards too would delay the promises below
 			}
 		}
 	} else {
@@ -173,14 +174,14 @@
 	if last.Until == 0 {
 		return now.Sub(c.started) > c.config.Timing.InitialKeeperDelay
 	}
-	silent := now.Sub(time.UnixMilli(last.Until)) > c.config.Timing.TakeoverDelay
+	overdue := now.Sub(time.UnixMilli(last.Until)) > c.config.Timing.TakeoverDelay
 	// While it followed, this node did not receive the new ends of other zones' shards.
-	silent = silent && now.Sub(c.leaderSince) > c.config.Timing.TakeoverDelay
-	return silent || last.Zone == b.Self.Zone
+	overdue = overdue && now.Sub(c.leaderSince) > c.config.Timing.TakeoverDelay
+	return overdue || last.Zone == b.Self.Zone
 }
 
 // maintainShard moves the end of the shard, by the keepers' promise or by a write to the platform. It reports false if
-// the platform was needed and did not answer.
+// the platform was needed and did not respond.
 func (c *Controller) maintainShard(ctx context.Context, offerer Offerer, b *board.Board, shard string) bool {
 	entry, ok := c.cachedEntry(ctx, shard)
 	if !ok {
@@ -215,18 +216,18 @@
 // isLedByOtherZone reports whether another zone maintains the shard, still has eligible key owners, and has a leader at
 // the platform. In that case the end only looks expired to this node, because the two zones can't reach each other.
 func (c *Controller) isLedByOtherZone(ctx context.Context, b *board.Board, shard string) (bool, error) {
-	keeper := b.KeyOwners.Shards[shard].Last().Zone
-	if shard == b.Self.Zone || keeper == b.Self.Zone || len(eligibleOwners(b, keeper)) == 0 {
+	renewer := b.KeyOwners.Shards[shard].Last().Zone
+	if shard == b.Self.Zone || renewer == b.Self.Zone || len(eligibleOwners(b, renewer)) == 0 {
 		return false, nil
 	}
-	_, err := c.config.Platform.Get(ctx, zone.LeaderPrefix+keeper)
+	_, err := c.config.Platform.Get(ctx, zone.LeaderPrefix+renewer)
 	if errors.Is(err, platform.ErrNotFound) {
 		return false, nil
 	}
 	return err == nil, err
 }
 
-// writeShard writes the shard to the platform. It reports false if the platform did not answer.
+// writeShard writes the shard to the platform. It reports false if the platform did not respond.
 func (c *Controller) writeShard(ctx context.Context, offerer Offerer, shard string, entry platform.Entry) bool {
 	b := c.config.Board.Snapshot()
 	written := parseShard(entry.Value)
--- a/internal/control/homes/controller_test.go
+++ b/internal/control/homes/controller_test.go
@@ -23,14 +23,14 @@
 		now   time.Time
 		want  bool
 	}{
-		"its own":                        {shard: "lisbon_1", held: epoch("lisbon_1", time.Second), now: now, want: true},
-		"its own, kept elsewhere":        {shard: "lisbon_1", held: epoch("lisbon_2", time.Second), now: now, want: true},
-		"another zone's":                 {shard: "lisbon_2", held: epoch("lisbon_2", time.Second), now: now},
-		"another zone's, just ended":     {shard: "lisbon_2", held: epoch("lisbon_2", -time.Second), now: now},
-		"another zone's, silent":         {shard: "lisbon_2", held: epoch("lisbon_2", -time.Minute), now: now, want: true},
-		"another zone's, kept here":      {shard: "lisbon_2", held: epoch("lisbon_1", time.Second), now: now, want: true},
-		"begun by no zone":               {shard: "lisbon_2", now: now, want: true},
-		"begun by no zone, just started": {shard: "lisbon_2", now: c.started.Add(time.Second)},
+		"its own":                               {shard: "lisbon_1", held: epoch("lisbon_1", time.Second), now: now, want: true},
+		"its own, maintained elsewhere":         {shard: "lisbon_1", held: epoch("lisbon_2", time.Second), now: now, want: true},
+		"another zone's":                        {shard: "lisbon_2", held: epoch("lisbon_2", time.Second), now: now},
+		"another zone's, just ended":            {shard: "lisbon_2", held: epoch("lisbon_2", -time.Second), now: now},
+		"another zone's, ended long ago":        {shard: "lisbon_2", held: epoch("lisbon_2", -time.Minute), now: now, want: true},
+		"another zone's, maintained here":       {shard: "lisbon_2", held: epoch("lisbon_1", time.Second), now: now, want: true},
+		"without an epoch":                      {shard: "lisbon_2", now: now, want: true},
+		"without an epoch, leader just started": {shard: "lisbon_2", now: c.started.Add(time.Second)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := &board.Board{
--- a/internal/control/homes/keeper.go
+++ b/internal/control/homes/keeper.go
@@ -52,7 +52,7 @@
 }
 
 // writeBase returns the shard that a write must start from: the shard at the platform, with the end to which the
-// keepers have moved it. It reports false if no keeper answers and the end may still be moved.
+// keepers have moved it. It reports false if no keeper replies and the end may still be moved.
 func (c *Controller) writeBase(ctx context.Context, b *board.Board, shard string, written outcome.Shard) (outcome.Shard, bool) {
 	base := mergeShards(b.KeyOwners.Shards[shard], written)
 	if len(base.Keepers) == 0 || base.IsFirstKeeper(c.config.Self) {
