--- a/internal/control/members/members.go
+++ b/internal/control/members/members.go
@@ -39,8 +39,9 @@
 	checkInterval = 300 * time.Millisecond
 	// writeTimeout is the timeout for one call to the store about the own entry.
 	writeTimeout = 700 * time.Millisecond
-	// minWriteBackoff is the backoff after a failed call. Each further failure in a row doubles it, up to maxWriteBackoff.
-	// With these values, an entry that expired during an outage of the store is restored within two seconds of its end.
+	// minWriteBackoff is the backoff after a failed call. Each further failure in a row doubles it, up to
+	// maxWriteBackoff. With these values, an entry that expired during an outage of the store is restored within two
+	// seconds of the outage's end.
 	minWriteBackoff = 150 * time.Millisecond
 	maxWriteBackoff = 600 * time.Millisecond
 	// watchTimeout is how long one watch request waits for a change.
