--- a/internal/control/board/board.go
+++ b/internal/control/board/board.go
@@ -6,7 +6,7 @@
 //	loop := board.NewLoop(initial)
 //	go loop.Run(ctx)
 //	loop.Post(ctx, func(b *board.Board) { b.Backend.Service = "access" })
-//	now := loop.Snapshot()
+//	snapshot := loop.Snapshot()
 //
 // All other goroutines read snapshots. A snapshot never changes: an update replaces the maps and slices of a section
 // instead of modifying them.
@@ -51,8 +51,8 @@
 	Incarnation uint64 `json:"incarnation"`
 	// Draining reports whether callers must use other nodes.
 	Draining bool `json:"draining"`
-	// Leaving reports whether other nodes must not send requests here either: this node accepts none for its backend
-	// server any more.
+	// Leaving reports whether other nodes must not send requests to this node either, because it accepts no more
+	// requests for its backend server.
 	Leaving bool `json:"leaving"`
 	// Successor is the node that takes over the keys remembered here when this node leaves.
 	Successor string `json:"successor"`
@@ -143,7 +143,7 @@
 // DocumentInForce is a document that the node applies, and its revision.
 type DocumentInForce struct {
 	Revision uint64 `json:"revision"`
-	// Operation is the id of the edit, Editor is who made it, and AcceptedAt is when it was written to the platform.
+	// Operation is the ID of the edit, Editor is its author, and AcceptedAt is when it was written to the platform.
 	Operation  string             `json:"operation"`
 	Editor     string             `json:"editor"`
 	AcceptedAt time.Time          `json:"accepted"`
@@ -168,7 +168,7 @@
 	Term uint64 `json:"term"`
 }
 
-// Platform holds whether the platform answers, and since when. Written by the zone controller or the members
+// Platform holds whether the platform responds, and since when. Written by the zone controller or the members
 // controller.
 type Platform struct {
 	Reachable bool      `json:"reachable"`
@@ -178,7 +178,7 @@
 // ZoneReachability holds the availability zones that the leader of this node's zone can't reach. Written by the zone
 // controller.
 type ZoneReachability struct {
-	// UnreachableSince maps each unreachable zone to the time since which it has not answered.
+	// UnreachableSince maps each unreachable zone to the time since which it has not replied.
 	UnreachableSince map[string]time.Time `json:"unreached"`
 }
 
