--- a/internal/proof/harness/harness.go
+++ b/internal/proof/harness/harness.go
@@ -1,4 +1,4 @@
-// Package harness starts fleets for the proofs, which are the tests in the packages beside it.
+// Package harness starts fleets of node processes for the end-to-end tests under internal/proof.
 //
 // # Usage
 //
@@ -17,17 +17,17 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/fleet"
 )
 
-// binary is the product's program, built once for all tests of a package.
+// binary is the path of the comfreyhoist executable, built once for all tests of a package.
 var binary string
 
 const (
-	// startTimeout bounds the start of a fleet.
+	// startTimeout limits how long a started fleet may take to become ready.
 	startTimeout = 60 * time.Second
-	// pollInterval is the time between looks at a condition.
+	// pollInterval is the time between two evaluations of a condition.
 	pollInterval = 20 * time.Millisecond
 )
 
-// Main builds the program, runs the tests of the package and returns the exit code.
+// Main builds the comfreyhoist executable, runs the tests of the package and returns the exit code.
 func Main(m *testing.M) int {
 	directory, err := os.MkdirTemp("", "comfreyhoist")
 	if err != nil {
@@ -40,7 +40,7 @@
 	return m.Run()
 }
 
-// Start starts a fleet, waits until every node knows every other, and stops it with the test.
+// Start starts a fleet, waits until every node knows all other nodes, and stops the fleet at the end of the test.
 func Start(t *testing.T, config fleet.Config) *fleet.Fleet {
 	t.Helper()
 	config.Binary = binary
@@ -60,8 +60,8 @@
 	return f
 }
 
-// StartWithoutDrain starts a fleet as Start does, and kills its nodes when the test is over, which spares their drains. It is
-// for tests that look at nothing after their last step.
+// StartWithoutDrain starts a fleet as Start does but kills its nodes at the end of the test instead of draining them. It is for
+// tests that check nothing after their last step.
 func StartWithoutDrain(t *testing.T, config fleet.Config) *fleet.Fleet {
 	t.Helper()
 	f := Start(t, config)
@@ -73,7 +73,7 @@
 	return f
 }
 
-// Eventually waits until the condition holds and fails the test where it does not within the time.
+// Eventually waits until the condition holds and fails the test if it does not hold within the timeout.
 func Eventually(t *testing.T, timeout time.Duration, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(timeout)
