--- a/internal/proof/admission/admission_test.go
+++ b/internal/proof/admission/admission_test.go
@@ -64,10 +64,10 @@
 deadline = 2s
 `
 
-// serviceTime is long enough for the slots, not the processor, to bound what the fleet can do.
+// serviceTime is long enough that the slots, not the processor, limit the capacity of the fleet.
 const serviceTime = 80 * time.Millisecond
 
-// venueDeployment returns a deployment whose two backend servers have 10 slots each and run 250 requests a second together.
+// venueDeployment returns a deployment with two backend servers of 10 slots each, which together run 250 requests a second.
 func venueDeployment() fleet.Deployment {
 	return fleet.Deployment{
 		Zones: []string{"lisbon_1"},
@@ -88,13 +88,14 @@
 	}
 }
 
-// withCaller gives the stream a caller of its own.
+// withCaller returns the stream with another caller name.
 func withCaller(caller string, s load.Stream) load.Stream {
 	s.Caller = caller
 	return s
 }
 
-// withShortTimeout gives the stream a timeout below the wait in a backend server that was believed to have ten times its slots.
+// withShortTimeout returns the stream with a timeout that is shorter than the queueing delay in a backend server whose in-flight
+// limit follows an announcement of ten times its slots.
 func withShortTimeout(s load.Stream) load.Stream {
 	s.Timeout = 600 * time.Millisecond
 	return s
@@ -104,11 +105,11 @@
 	runTime    = 3800 * time.Millisecond
 	floodStart = 500 * time.Millisecond
 	floodStop  = 3 * time.Second
-	// floodRate is three times what the fleet can do.
+	// floodRate is three times the capacity of the fleet, in requests a second.
 	floodRate = 750
-	// sheddingDelay is how long after a flood began the fleet may still run less urgent work.
+	// sheddingDelay is how long after the start of a flood the fleet may still run less urgent work.
 	sheddingDelay = time.Second
-	// queueClearTime is how long after a flood ended its last requests may stand in a queue.
+	// queueClearTime is how long after the end of a flood its last requests may still be queued.
 	queueClearTime = 500 * time.Millisecond
 )
 
@@ -118,7 +119,7 @@
 	return s
 }
 
-// logFailures tells what became of the stream's requests that got no good answer.
+// logFailures logs the requests of the stream that were not served successfully.
 func logFailures(t *testing.T, results []load.Result, stream string) {
 	t.Helper()
 	for _, r := range results {
@@ -135,7 +136,7 @@
 	return results
 }
 
-// goodRatio returns the part of the stream's requests, sent within the time, that got a good answer.
+// goodRatio returns the fraction of the stream's requests sent in [from, to) that succeeded.
 func goodRatio(results []load.Result, stream string, from, to time.Duration) float64 {
 	sent, good := 0, 0
 	for _, r := range results {
@@ -150,16 +151,17 @@
 	return float64(good) / float64(max(sent, 1))
 }
 
-// Urgent work, and what is within its share, is served whatever floods.
+// A flood must not displace more urgent work or callers and kinds that stay within their share. Without fair queueing and
+// shedding by rank, the flood fills the queues and the other requests miss their deadlines.
 func TestFloods(t *testing.T) {
 	tests := map[string]struct {
 		floods []load.Stream
 		served []load.Stream
-		// unserved is a less urgent stream of which nothing is run while the flood goes on.
+		// unserved are less urgent streams, of which nothing may run during the flood.
 		unserved []load.Stream
 		change   func(*fleet.Deployment)
 	}{
-		"of the least urgent, and of one kind within a rank": {
+		"floods of the least urgent rank and of one kind within a rank": {
 			floods: []load.Stream{flood("archive", "/archive/x", 8, floodRate/2), flood("lookups", "/lookups/x", 5, floodRate/2)},
 			served: []load.Stream{stream("sheets", "/sheets/x", 0, 100), stream("orders", "/orders/x", 5, 40)},
 		},
@@ -168,7 +170,7 @@
 			served:   []load.Stream{withCaller("crew", stream("crew", "/sheets/x", 0, 50))},
 			unserved: []load.Stream{stream("archive", "/archive/x", 8, 60)},
 		},
-		"of the least urgent where ten times the slots are announced": {
+		"flood of the least urgent rank, ten times the slots announced": {
 			floods: []load.Stream{flood("flood", "/archive/x", 8, floodRate)},
 			served: []load.Stream{withShortTimeout(stream("sheets", "/sheets/x", 0, 50))},
 			change: func(d *fleet.Deployment) { d.Services[0].AnnouncedSlots = 100 },
@@ -185,7 +187,7 @@
 			results := run(t, f, slices.Concat(test.served, test.unserved, test.floods)...)
 			for _, s := range test.served {
 				logFailures(t, results, s.Name)
-				is.True(goodRatio(results, s.Name, 0, runTime) >= 0.99) // good answers in the deadline
+				is.True(goodRatio(results, s.Name, 0, runTime) >= 0.99) // succeeded within the deadline
 			}
 			for _, s := range test.unserved {
 				is.True(goodRatio(results, s.Name, 0, floodStart-100*time.Millisecond) >= 0.99)
@@ -200,7 +202,7 @@
 	}
 }
 
-// checkRefusals checks that what was given up was answered early and with when to come back.
+// checkRefusals checks that refused requests were answered early and with a valid Retry-After header.
 func checkRefusals(is *is.I, results []load.Result) {
 	refused := 0
 	for _, r := range results {
@@ -212,13 +214,13 @@
 		if err != nil || seconds < 1 {
 			is.Equal(r.RetryAfter+" for "+r.Reason, "a number of seconds")
 		}
-		is.True(r.Latency < time.Second) // half of what the callers wait for
+		is.True(r.Latency < time.Second) // half of the callers' timeout
 	}
 	is.True(refused > 0)
 }
 
-// A deep service slows while demand surges and callers send again at once. Five seconds after the trigger ended, all
-// ordinary work gets through, and no queue is left.
+// Overload must not outlast its cause. A downstream service slows down during a surge whose callers resend at once, which
+// multiplies the load. Five seconds after the trigger ends, ordinary requests must succeed and all queues be empty.
 func TestRecovery(t *testing.T) {
 	is := is.New(t)
 	const (
@@ -229,7 +231,7 @@
 		end          = recovered + time.Second
 	)
 	d := venueDeployment()
-	d.Services[0].Slots = 30 // a call of the deep service takes as long again
+	d.Services[0].Slots = 30 // the call of the deep service doubles the time that a slot is held
 	d.Services[0].Behaviour.Calls = []server.DownstreamCall{{Service: "deep", Method: http.MethodGet, Path: "/lookups/x"}}
 	deep := d.Services[0]
 	deep.Slots = 10
@@ -273,7 +275,7 @@
 	}
 }
 
-// A caller that goes away, or a deadline that passes, ends the work on the backend server.
+// Requests whose callers have disconnected must be canceled on the backend server; otherwise they hold its slots for nothing.
 func TestCancellationReachesBackendServer(t *testing.T) {
 	is := is.New(t)
 	d := venueDeployment()
--- a/internal/proof/admission/cold_test.go
+++ b/internal/proof/admission/cold_test.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// crashText in a body crashes the backend server that runs it.
+	// crashText in a request body crashes the backend server that runs the request.
 	crashText = "crash"
-	// crashAt is when one of the two backend servers is made to crash; it is back, cold, after coldRestart.
+	// crashAt is when one of the two backend servers crashes; it restarts, cold, after coldRestart.
 	crashAt     = time.Second
 	coldRestart = 200 * time.Millisecond
 	coldTime    = 2 * time.Second
 )
 
-// A backend server that comes back cold, at a sixth of its speed, gets what it can do and no more.
+// A backend server that restarts cold runs at a sixth of its speed. If it gets its full share of requests at once, they queue
+// and miss their deadlines; the load must ramp up with its capacity.
 func TestColdInstanceIsRamped(t *testing.T) {
 	is := is.New(t)
 	d := venueDeployment()
@@ -44,11 +45,12 @@
 		}
 	}
 	is.Equal(crashes, 1)
-	is.True(ran > 0)                                                            // the cold one is used
-	is.True(goodRatio(results, "sheets", crashAt+coldRestart, runTime) >= 0.99) // good answers in the deadline
+	is.True(ran > 0)                                                            // the cold instance gets requests
+	is.True(goodRatio(results, "sheets", crashAt+coldRestart, runTime) >= 0.99) // succeeded within the deadline
 }
 
-// crashOne sends a request that crashes the backend server that runs it. It is not idempotent, so no other one gets it.
+// crashOne sends a request that crashes the backend server that runs it. The request is not idempotent, so it is not retried on
+// another backend server.
 func crashOne(t *testing.T, f *fleet.Fleet) {
 	address := "http://" + f.Nodes[0].Caller + "/call/venue/bookings/x"
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, address, strings.NewReader(crashText))
--- a/internal/proof/admission/doc.go
+++ b/internal/proof/admission/doc.go
@@ -1,6 +1,6 @@
-// Package admission proves with real processes what admission promises: the most urgent work is shed last, floods of
-// one kind or one caller leave the others their share, overload passes within seconds, and what is given up is
-// answered at once.
+// Package admission tests admission control end to end with real processes. The tests check that the most urgent work is
+// shed last, that a flood of one kind or one caller does not take the capacity of the others, that goodput recovers
+// within seconds after an overload, and that refused requests are answered early.
 //
 // # Usage
 //
