--- a/internal/proof/control/doc.go
+++ b/internal/proof/control/doc.go
@@ -1,5 +1,6 @@
-// Package control proves the control plane with real node processes: documents that race, get lost answers or meet a
-// restored platform; leaders that die, freeze or are cut off; and availability zones that go on alone.
+// Package control tests the control plane end to end with real node processes: documents under concurrent writes, lost
+// responses and a restored platform; availability zone leaders that crash, freeze or are partitioned; and availability
+// zones that are isolated from the others.
 //
 // # Usage
 //
--- a/internal/proof/control/document_test.go
+++ b/internal/proof/control/document_test.go
@@ -17,7 +17,7 @@
 func TestDocumentsAndMembers(t *testing.T) {
 	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: fleet.Chain()})
 
-	t.Run("in force everywhere within seconds", func(t *testing.T) {
+	t.Run("in force on all nodes within seconds", func(t *testing.T) {
 		for i, n := range f.Nodes {
 			stored := put(t, n, 100+i)
 			accepted := time.Now()
@@ -26,13 +26,13 @@
 		}
 	})
 
-	t.Run("operators race through two nodes", func(t *testing.T) {
+	t.Run("concurrent writes through two nodes", func(t *testing.T) {
 		is := is.New(t)
 		current, err := client(f.Nodes[0]).Get(t.Context(), service)
 		is.NoErr(err)
 		var stored [2]zone.StoredDocument
 		var failed [2]error
-		f.Store.SetFaults(store.Faults{Delay: 50 * time.Millisecond}) // both have read before one writes
+		f.Store.SetFaults(store.Faults{Delay: 50 * time.Millisecond}) // both writers read before either one writes
 		var group conc.WaitGroup
 		for i := range failed {
 			group.Go(func() {
@@ -50,7 +50,7 @@
 		harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, f.Nodes, stored[winner].Operation) })
 	})
 
-	t.Run("answer lost after the write", func(t *testing.T) {
+	t.Run("response lost after the write", func(t *testing.T) {
 		is := is.New(t)
 		current, err := client(f.Nodes[1]).Get(t.Context(), service)
 		is.NoErr(err)
@@ -64,26 +64,27 @@
 
 	t.Run("restored and lagging platform", func(t *testing.T) { testRestored(t, f, f.Store.Snapshot, 400) })
 
-	t.Run("restored platform whose revisions went on", func(t *testing.T) {
+	t.Run("restored platform whose revision has advanced", func(t *testing.T) {
 		advanced := func() store.Snapshot { return f.Store.Snapshot().WithAdvancedRevision(advancedRevisions) }
 		testRestored(t, f, advanced, 500)
 	})
 
-	t.Run("dead member gets no new work", func(t *testing.T) {
+	t.Run("crashed member gets no new requests", func(t *testing.T) {
 		zoneNodes, _ := splitByZone(f, "lisbon_2")
 		follower := without(zoneNodes, awaitLeader(t, zoneNodes))[0]
 		follower.Kill()
 		killed := time.Now()
 		harness.Eventually(t, routingTimeout, func() bool { return !anyRoutesTo(t, without(f.Nodes, follower), follower) })
-		t.Logf("passed over in all zones after %s", time.Since(killed))
+		t.Logf("no node in any zone routes to the member after %s", time.Since(killed))
 	})
 }
 
-// advancedRevisions is more writes than the fleet makes from a copy of the platform's content until it is put back.
+// advancedRevisions is more than the number of writes that the fleet makes between a snapshot of the platform and its restoration.
 const advancedRevisions = 1000
 
-// testRestored puts the platform back to older content, and lets its reads lag, while a watch on all nodes looks for
-// one that takes the older document back. Save returns the content that is put back; edit tells the documents apart.
+// testRestored restores the platform to an older snapshot and then delays its reads. A node that trusts the platform would
+// return to the older document; the test polls all nodes for that. The snapshot function returns the content to restore; edit
+// is the deadline, in milliseconds, that distinguishes the documents.
 func testRestored(t *testing.T, f *fleet.Fleet, snapshot func() store.Snapshot, edit int) {
 	is := is.New(t)
 	older := snapshot()
@@ -91,7 +92,7 @@
 	harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, f.Nodes, stored.Operation) })
 	f.Store.Restore(older)
 	harness.Eventually(t, healTimeout, func() bool {
-		is.True(allUseEdit(t, f.Nodes, stored.Operation)) // no node went back
+		is.True(allUseEdit(t, f.Nodes, stored.Operation)) // no node returned to the older document
 		return platformHasEdit(t, f, stored.Operation)
 	})
 	f.Store.SetFaults(store.Faults{Lag: 500 * time.Millisecond})
--- a/internal/proof/control/editor_test.go
+++ b/internal/proof/control/editor_test.go
@@ -12,8 +12,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// TestEditorIsNamedAndTokensAreNot edits as a person of a team, and looks for the person and for tokens in all that
-// the node shows.
+// TestEditorIsNamedAndTokensAreNot writes a document as a named editor. The editor must appear in the history, dump and log of
+// the node; no token may appear in the dump or the log.
 func TestEditorIsNamedAndTokensAreNot(t *testing.T) {
 	is := is.New(t)
 	const anaToken = "token-of-ana-of-the-access-team"
@@ -39,7 +39,7 @@
 	is.NoErr(err)
 	is.True(strings.Contains(string(encoded), editor))
 
-	n.Kill() // nothing more is logged
+	n.Kill() // the log is complete
 	is.True(strings.Contains(log.String(), `"editor":"`+editor+`"`))
 	for _, token := range []string{fleet.OperatorToken, teamToken, anaToken} {
 		is.True(!strings.Contains(log.String(), token))
--- a/internal/proof/control/main_test.go
+++ b/internal/proof/control/main_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// inForceTimeout is the time in which an accepted document must be in force.
+	// inForceTimeout is how long an accepted document may take to be in force on all nodes.
 	inForceTimeout = 4 * time.Second
-	// routingTimeout is the time in which a drained or dead member must be passed over.
+	// routingTimeout is how long nodes may still route to a drained or crashed member.
 	routingTimeout = 2 * time.Second
-	// healTimeout is the time in which a healed fleet must agree.
+	// healTimeout is how long the nodes may take to agree after a fault has ended.
 	healTimeout = 10 * time.Second
-	// electionTimeout is the time in which a zone must have another leader.
+	// electionTimeout is how long an availability zone may take to have a new leader.
 	electionTimeout = 10 * time.Second
 	service         = "access"
 )
@@ -36,12 +36,12 @@
 	return operator.NewClient(operator.ClientConfig{Address: n.Operator, Token: fleet.OperatorToken, Timeout: 10 * time.Second})
 }
 
-// document returns a valid document that differs by its deadline.
+// document returns a valid document with the given deadline, which distinguishes it from the others.
 func document(milliseconds int) []byte {
 	return fmt.Appendf(nil, "[service]\nname = access\nteam = access-team\n\n[kind all]\npath = /*\nrank = 2\nidempotent = true\ndeadline = %dms\n", milliseconds)
 }
 
-// put writes a document over the one that stands, and fails the test where it is refused.
+// put replaces the current document and fails the test if the write is refused.
 func put(t *testing.T, n *fleet.Node, milliseconds int) zone.StoredDocument {
 	t.Helper()
 	current, err := client(n).Get(t.Context(), service)
@@ -63,7 +63,7 @@
 	return ""
 }
 
-// dump returns the state of a node, or an empty one where it does not answer.
+// dump returns the state of a node and reports whether the node returned a complete one.
 func dump(t *testing.T, n *fleet.Node) (node.Dump, bool) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
@@ -79,7 +79,7 @@
 	return d.Board.Documents.ByService[service].Operation
 }
 
-// allUseEdit reports whether all of the nodes go by the edit.
+// allUseEdit reports whether the document of the edit is in force on all nodes.
 func allUseEdit(t *testing.T, nodes []*fleet.Node, edit string) bool {
 	return !slices.ContainsFunc(nodes, func(n *fleet.Node) bool { return operationInForce(t, n) != edit })
 }
@@ -107,7 +107,7 @@
 	return slices.DeleteFunc(slices.Clone(nodes), func(other *fleet.Node) bool { return other == n })
 }
 
-// findLeader returns the node that leads the zone by its own word, or nil where none or more than one does.
+// findLeader returns the node that considers itself the leader of the zone, or nil if there is not exactly one.
 func findLeader(t *testing.T, nodes []*fleet.Node) *fleet.Node {
 	var found []*fleet.Node
 	for _, n := range nodes {
@@ -121,7 +121,7 @@
 	return found[0]
 }
 
-// awaitLeader waits until one node of the zone leads it, and returns that node.
+// awaitLeader waits until exactly one of the nodes leads the zone, and returns it.
 func awaitLeader(t *testing.T, nodes []*fleet.Node) *fleet.Node {
 	t.Helper()
 	var found *fleet.Node
@@ -132,7 +132,7 @@
 	return found
 }
 
-// anyRoutesTo reports whether any of the nodes would send new work to the member.
+// anyRoutesTo reports whether any of the nodes would send new requests to the member. A node without a dump counts as one that does.
 func anyRoutesTo(t *testing.T, nodes []*fleet.Node, member *fleet.Node) bool {
 	return slices.ContainsFunc(nodes, func(n *fleet.Node) bool {
 		d, ok := dump(t, n)
@@ -140,7 +140,7 @@
 	})
 }
 
-// allRouteToAll reports whether each of the nodes would send new work to each of the others.
+// allRouteToAll reports whether each of the nodes would send new requests to all of them.
 func allRouteToAll(t *testing.T, nodes []*fleet.Node) bool {
 	for _, n := range nodes {
 		d, ok := dump(t, n)
--- a/internal/proof/control/outage_test.go
+++ b/internal/proof/control/outage_test.go
@@ -24,7 +24,7 @@
 	return platform.NewClient(platform.Config{URL: f.StoreURL, Timeout: time.Second})
 }
 
-// servesAll sends requests through the nodes and reports whether each was run.
+// servesAll sends requests through the nodes and reports whether all of them ran.
 func servesAll(t *testing.T, nodes []*fleet.Node) bool {
 	var targets []string
 	for _, n := range nodes {
@@ -44,6 +44,8 @@
 	return len(results) > 0
 }
 
+// Without the platform, nodes must keep serving requests and spreading drains and crashes of members, and refuse documents at
+// once. Leases expire during the outage, so state that depends on them would be lost.
 func TestPlatformOutage(t *testing.T) {
 	is := is.New(t)
 	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: fleet.Chain()})
@@ -54,16 +56,16 @@
 	start := time.Now()
 	_, err := client(f.Nodes[0]).Put(t.Context(), service, document(500), "", "")
 	is.Equal(codeOf(err), operator.CodePlatformUnreachable)
-	is.True(time.Since(start) < 2*time.Second) // at once, not after a long wait
+	is.True(time.Since(start) < 2*time.Second) // refused at once, not after a timeout
 
-	// The leases are over by now; a leaving member must still be known in every zone.
+	// The leases have expired; the drain of a member must still reach every zone.
 	time.Sleep(zone.DefaultTiming.LeaseTTL + 500*time.Millisecond)
 	is.True(servesAll(t, f.Nodes))
 	leaving := second[0]
 	is.NoErr(client(leaving).Drain(t.Context()))
 	drained := time.Now()
 	harness.Eventually(t, routingTimeout, func() bool { return !anyRoutesTo(t, without(f.Nodes, leaving), leaving) })
-	t.Logf("a drained member was passed over in all zones after %s, without the platform", time.Since(drained))
+	t.Logf("no node routed to the drained member after %s, without the platform", time.Since(drained))
 
 	dead := first[0]
 	dead.Kill()
@@ -77,6 +79,7 @@
 	harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, alive, stored.Operation) })
 }
 
+// A leader that is frozen past its lease must not overwrite its successor's record when it resumes.
 func TestFrozenLeader(t *testing.T) {
 	is := is.New(t)
 	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: fleet.Chain()})
@@ -86,7 +89,7 @@
 	frozen.Freeze()
 	froze := time.Now()
 	successor := awaitLeader(t, without(zoneNodes, frozen))
-	t.Logf("another node led after %s", time.Since(froze))
+	t.Logf("another node became leader after %s", time.Since(froze))
 	stored := put(t, others[0], 600)
 	harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, others, stored.Operation) })
 	before, err := platformClient(f).Get(t.Context(), "leader/lisbon_1")
@@ -98,10 +101,12 @@
 	})
 	after, err := platformClient(f).Get(t.Context(), "leader/lisbon_1")
 	is.NoErr(err)
-	is.Equal(after.Revision, before.Revision) // the one that was frozen took nothing back
+	is.Equal(after.Revision, before.Revision) // the resumed node did not write its old record again
 	is.Equal(awaitLeader(t, zoneNodes), successor)
 }
 
+// An availability zone that is cut off from the platform and all other zones must go on with the document that it has, also on a
+// node that restarts during the partition, and take over the newer document afterwards.
 func TestZonePartition(t *testing.T) {
 	is := is.New(t)
 	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: fleet.Chain()})
@@ -117,7 +122,7 @@
 	earlier := operationInForce(t, inside[0])
 	is.True(earlier != stored.Operation)
 
-	// A node that starts again inside knows nobody and cannot ask the platform.
+	// A node that restarts inside the zone knows no other node and cannot reach the platform.
 	restarted.Kill()
 	harness.Eventually(t, electionTimeout, func() bool { return !anyRoutesTo(t, []*fleet.Node{oldLeader}, restarted) })
 	is.NoErr(restarted.Start())
@@ -131,28 +136,30 @@
 	harness.Eventually(t, healTimeout, func() bool { return findLeader(t, inside) != nil })
 }
 
+// Links that fail in one direction only must not leave a zone without a leader or without changes: a leader whose lease
+// renewals are not acknowledged must step down, and documents must reach nodes on other paths.
 func TestOneWayPartition(t *testing.T) {
 	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: fleet.Chain()})
 	inside, outside := splitByZone(f, "lisbon_3")
 	oldLeader := awaitLeader(t, inside)
-	// What the leader sends to the platform arrives; the answers do not.
+	// Requests of the leader reach the platform; the responses are lost.
 	f.Network.Set(fleet.PlatformEndpoint, oldLeader.Name, proxy.Fault{Cut: true})
 	harness.Eventually(t, electionTimeout, func() bool {
 		newLeader := findLeader(t, inside)
 		return newLeader != nil && newLeader != oldLeader
 	})
-	// What the other zones send to this one does not arrive; what it sends them does.
+	// Messages from the other zones to this one are lost; messages in the other direction arrive.
 	for _, o := range outside {
 		for _, i := range inside {
 			f.Network.Set(o.Name, i.Name, proxy.Fault{Cut: true})
 		}
 	}
 	stored := put(t, outside[0], 800)
-	harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, f.Nodes, stored.Operation) }) // by the platform
+	harness.Eventually(t, inForceTimeout, func() bool { return allUseEdit(t, f.Nodes, stored.Operation) }) // through the platform
 	f.Network.Clear()
 	harness.Eventually(t, healTimeout, func() bool { return allRouteToAll(t, f.Nodes) && findLeader(t, inside) != nil })
 
-	// The two nodes of the zone can't reach each other; the one that follows gets changes from other zones.
+	// The two nodes of the zone cannot reach each other; the follower gets changes from other zones.
 	f.Network.SetBoth(nodeNames(inside[:1]), nodeNames(inside[1:]), proxy.Fault{Cut: true})
 	harness.Eventually(t, electionTimeout, func() bool { return anyWithoutLeader(t, inside) })
 	stored = put(t, outside[0], 801)
@@ -161,7 +168,7 @@
 	harness.Eventually(t, healTimeout, func() bool { return allRouteToAll(t, f.Nodes) })
 }
 
-// anyWithoutLeader reports whether one of the nodes neither leads nor follows.
+// anyWithoutLeader reports whether any of the nodes is a follower that knows no leader.
 func anyWithoutLeader(t *testing.T, nodes []*fleet.Node) bool {
 	return slices.ContainsFunc(nodes, func(n *fleet.Node) bool {
 		d, ok := dump(t, n)
@@ -169,6 +176,7 @@
 	})
 }
 
+// A node that starts while the platform is down must get the documents and the members from a seed node.
 func TestNewNodeJoinsThroughASeed(t *testing.T) {
 	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: fleet.Chain()})
 	f.Store.SetFaults(store.Faults{Down: true})
@@ -193,21 +201,22 @@
 	})
 }
 
-// countTime is how long calls are counted.
+// countTime is how long platform calls are counted.
 const countTime = 10 * time.Second
 
-// TestPlatformCallsGrowWithZones compares the calls of two settled fleets in three zones.
+// TestPlatformCallsGrowWithZones compares the platform calls of an idle fleet of three nodes and one of five, both in three zones.
+// If every node called the platform, the rate would grow with the nodes instead of the zones.
 func TestPlatformCallsGrowWithZones(t *testing.T) {
 	is := is.New(t)
 	small, large := startAccess(t, 3), startAccess(t, 5)
-	time.Sleep(time.Second) // the first heartbeats to the other zones
+	time.Sleep(time.Second) // until the first heartbeats have reached the other zones
 	before := [2]store.Counts{small.Store.Counts(), large.Store.Counts()}
 	time.Sleep(countTime)
 	smallCalls := callCount(small.Store.Counts()) - callCount(before[0])
 	largeCalls := callCount(large.Store.Counts()) - callCount(before[1])
-	t.Logf("calls in %s: %d with 3 nodes, %d with 5 nodes", countTime, smallCalls, largeCalls)
+	t.Logf("platform calls in %s: %d with 3 nodes, %d with 5 nodes", countTime, smallCalls, largeCalls)
 	is.True(smallCalls > 0)
-	is.True(largeCalls < smallCalls*3/2) // calls of each node would make it five thirds
+	is.True(largeCalls < smallCalls*3/2) // calls by each node would give a ratio of 5/3
 }
 
 func startAccess(t *testing.T, instances int) *fleet.Fleet {
--- a/internal/proof/control/reasons_test.go
+++ b/internal/proof/control/reasons_test.go
@@ -20,8 +20,8 @@
 
 const crashBody = "crash"
 
-// TestDumpNamesReasons floods a small service, sends requests that crash it, and reads from the dump and from its table
-// why each decision stands.
+// TestDumpNamesReasons floods a small service and sends requests that crash it. The dump and its table must name the reason of
+// each decision: sheds, refusals at the entry node, the in-flight limit and quarantine.
 func TestDumpNamesReasons(t *testing.T) {
 	is := is.New(t)
 	deployment := fleet.Chain()
@@ -42,7 +42,7 @@
 	is.True(slices.ContainsFunc(all, func(d node.Dump) bool { return hasLocalRefusal(d, "archive") }))
 	for _, d := range all {
 		is.True(admission.LimitReasons[d.Gate.Change.Reason] != "")
-		is.Equal(d.Gate.Sheds[0].ByReason, nil) // nothing urgent was sent
+		is.Equal(d.Gate.Sheds[0].ByReason, nil) // no urgent request was sent
 		is.True(strings.Contains(table(t, d), "\nLIMIT"))
 	}
 	is.True(slices.ContainsFunc(all, func(d node.Dump) bool { return strings.Contains(table(t, d), string(throttle.RefusedAboveRate)) }))
@@ -70,7 +70,7 @@
 	return all
 }
 
-// hasLocalRefusal reports whether the node's entry says that it refused requests of the kind.
+// hasLocalRefusal reports whether the dump shows that the node, as entry node, refused requests of the kind because of their rate.
 func hasLocalRefusal(d node.Dump, kind string) bool {
 	for _, s := range d.Sender.Throttles {
 		if s.Kind == kind && s.LastHere.Reason == throttle.RefusedAboveRate && !s.LastBelow.IsZero() {
--- a/internal/proof/control/session_test.go
+++ b/internal/proof/control/session_test.go
@@ -28,7 +28,7 @@
 	otherToken = "token-of-the-bookings-team"
 )
 
-// session records the requests to one node and its answers.
+// session records the requests to one node and their responses.
 type session struct {
 	t    *testing.T
 	node *fleet.Node
@@ -36,7 +36,7 @@
 	tag  string
 }
 
-// send sends one request, with the tag in force where match is set, and records both sides.
+// send sends one request, with the latest ETag in If-Match if match is set, and records the request and the response.
 func (s *session) send(title, token, method, path string, match bool, body []byte) {
 	is := is.New(s.t)
 	request, err := http.NewRequestWithContext(s.t.Context(), method, "http://"+s.node.Operator+path, bytes.NewReader(body))
@@ -82,6 +82,7 @@
 	return []byte(addresses.ReplaceAllString(text, "<address>"))
 }
 
+// TestOperatorSession compares the requests and responses of an operator's session with a golden file.
 func TestOperatorSession(t *testing.T) {
 	deployment := fleet.Chain()
 	deployment.Services = deployment.Services[1:]
@@ -116,7 +117,8 @@
 	goldie.New(t).Assert(t, "operator_session", normalize(s.text.String()))
 }
 
-// TestDumpAndMetrics reads the state of a node in each way in which operators can.
+// TestDumpAndMetrics reads the state of the nodes through the operators API, the table and the metrics. Each must be complete, and
+// none may contain a token.
 func TestDumpAndMetrics(t *testing.T) {
 	is := is.New(t)
 	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: fleet.Chain()})
@@ -124,8 +126,8 @@
 	for _, n := range f.Nodes {
 		encoded, err := client(n).Dump(t.Context())
 		is.NoErr(err)
-		is.True(!bytes.Contains(encoded, []byte(fleet.OperatorToken))) // no token gets into a dump
-		is.Equal(camelCase.FindAllString(string(encoded), -1), nil)    // own formats use snake case
+		is.True(!bytes.Contains(encoded, []byte(fleet.OperatorToken))) // a dump contains no token
+		is.Equal(camelCase.FindAllString(string(encoded), -1), nil)    // keys are in snake case
 		var d node.Dump
 		is.NoErr(json.Unmarshal(encoded, &d))
 		var table strings.Builder
@@ -145,9 +147,9 @@
 	}
 	is.NoErr(json.NewDecoder(response.Body).Decode(&variables))
 	is.NoErr(response.Body.Close())
-	is.Equal(slices.Sorted(maps.Keys(variables.Values)), metrics.Names()) // the catalogue is whole
+	is.Equal(slices.Sorted(maps.Keys(variables.Values)), metrics.Names()) // every metric of the catalogue is exported
 	is.Equal(variables.Values[metrics.Members], int64(len(f.Nodes)))
 }
 
-// camelCase finds keys of JSON objects that begin with a capital.
+// camelCase matches keys of JSON objects that begin with a capital letter.
 var camelCase = regexp.MustCompile(`"[A-Z][A-Za-z]*":`)
--- a/internal/proof/control/stale_test.go
+++ b/internal/proof/control/stale_test.go
@@ -14,8 +14,8 @@
 
 const zoneKey = "zone/lisbon_1"
 
-// TestStaleZoneWrite freezes a leader while its batch of the zone's members is on the way to the platform. The batch
-// arrives when another leader has written.
+// TestStaleZoneWrite guards against a late write that overwrites a newer one. A leader is frozen while its batch of the zone's
+// members is on the way to the platform; the batch arrives after the next leader has written, and must be refused.
 func TestStaleZoneWrite(t *testing.T) {
 	is := is.New(t)
 	deployment := fleet.Chain()
@@ -29,7 +29,7 @@
 
 	hold := f.Store.HoldNext(zoneKey)
 	t.Cleanup(hold.Release)
-	changed.Kill() // gives the leader something to write
+	changed.Kill() // causes a write by the leader
 	harness.Eventually(t, electionTimeout, func() bool { return isClosed(hold.Arrived) })
 	frozen.Freeze()
 	is.Equal(awaitLeader(t, []*fleet.Node{candidate}), candidate)
@@ -39,7 +39,7 @@
 	hold.Release()
 	harness.Eventually(t, electionTimeout, func() bool { return len(heldWrites(f)) == 1 })
 	stale := heldWrites(f)[0]
-	is.Equal(batchTerm(t, stale.Value), term) // it is the frozen leader's
+	is.Equal(batchTerm(t, stale.Value), term) // the write of the frozen leader
 	is.True(stale.Refused())
 	is.Equal(writtenTerm(t, f), termOf(t, candidate))
 
@@ -50,7 +50,7 @@
 	checkTermOrder(t, f.Store.Writes(zoneKey))
 }
 
-// checkTermOrder fails the test where a batch took effect after one of a later leader.
+// checkTermOrder fails the test if a batch took effect after a batch with a higher term.
 func checkTermOrder(t *testing.T, writes []store.Write) {
 	t.Helper()
 	var latest uint64
@@ -84,7 +84,7 @@
 	return held
 }
 
-// batchTerm returns the term of the leader that made the batch of a zone's members.
+// batchTerm returns the term of the leader that wrote the batch of a zone's members.
 func batchTerm(t *testing.T, value []byte) uint64 {
 	t.Helper()
 	var batch struct {
@@ -96,7 +96,7 @@
 	return batch.Term
 }
 
-// writtenTerm returns the term of the batch at the platform.
+// writtenTerm returns the term of the batch that the platform stores.
 func writtenTerm(t *testing.T, f *fleet.Fleet) uint64 {
 	t.Helper()
 	entry, err := platformClient(f).Get(t.Context(), zoneKey)
