--- a/internal/proof/once/doc.go
+++ b/internal/proof/once/doc.go
@@ -1,9 +1,9 @@
-// Package once proves with real processes that a non-idempotent request runs at most once, that what callers are
-// told is true, and that planned stops cut nothing.
+// Package once tests idempotency keys end to end with real processes: a non-idempotent request runs at most once, the outcome
+// that a caller is told is true, and planned stops interrupt no request.
 //
 // # Usage
 //
 //	go test ./internal/proof/once
 //
-// A long run with other seeds is "hoistlab once -seed N -duration D".
+// Longer runs with other seeds: hoistlab once -seed N -duration D
 package once
--- a/internal/proof/once/leave_test.go
+++ b/internal/proof/once/leave_test.go
@@ -15,14 +15,14 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// hasEnded reports whether the node's process listens no more.
+// hasEnded reports whether the node no longer responds.
 func hasEnded(t *testing.T, n *fleet.Node) bool {
 	_, err := fleet.FetchDump(t.Context(), n.Backend)
 	return err != nil
 }
 
-// One backend server says that it leaves, and an operator drains another node. Both processes end by themselves, and
-// what they remembered is known to the node that is left.
+// testPlannedLeave guards against keys that are lost when their owners stop. One backend server announces that it leaves, and an
+// operator drains another node. Both node processes must exit, and the remaining node must know the outcomes that they recorded.
 func testPlannedLeave(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	var sends []once.Send
--- a/internal/proof/once/once_test.go
+++ b/internal/proof/once/once_test.go
@@ -16,7 +16,8 @@
 	os.Exit(harness.Main(m))
 }
 
-// The seeds give schedules of kills, freezes, planned stops, cuts and platform faults, some at the same time.
+// A non-idempotent request must run at most once under faults. Each seed gives a schedule of kills, freezes, planned stops, network
+// partitions and platform faults, some of which overlap.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	f := harness.Start(t, fleet.Config{Deployment: once.Deployment(6)})
 	for name, seed := range map[string]uint64{"seed 1": 1, "seed 2": 2} {
@@ -33,7 +34,7 @@
 			for _, v := range report.Violations {
 				t.Error(v)
 			}
-			is.True(report.Outcomes["ran"] > 0) // some bookings ran in spite of the faults
+			is.True(report.Outcomes["ran"] > 0) // some bookings ran despite the faults
 		})
 	}
 }
--- a/internal/proof/once/outage_test.go
+++ b/internal/proof/once/outage_test.go
@@ -13,7 +13,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/store"
 )
 
-// testPlatformOutage takes the platform away for longer than the epochs reach. Keys of every kind run on.
+// testPlatformOutage makes the platform unavailable for longer than the horizon of the epochs. Requests with keys of every kind must
+// still run, so nodes must extend the epochs without the platform.
 func testPlatformOutage(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	f.Store.SetFaults(store.Faults{Down: true})
--- a/internal/proof/once/outcome_test.go
+++ b/internal/proof/once/outcome_test.go
@@ -21,7 +21,7 @@
 	})
 }
 
-// startCount returns how often the key was started, on all backend servers together.
+// startCount returns the number of runs started under the key, summed over all backend servers.
 func startCount(f *fleet.Fleet, key string) int {
 	count := 0
 	for _, n := range f.Nodes {
@@ -34,7 +34,7 @@
 	return count
 }
 
-// keyOwnedByAnother returns a key of the present whose home is not the node.
+// keyOwnedByAnother returns a key with the current time whose owner is not the node, and the name of the owner.
 func keyOwnedByAnother(t *testing.T, f *fleet.Fleet, n *fleet.Node) (string, string) {
 	dump, err := fleet.FetchDump(t.Context(), n.Backend)
 	is.New(t).NoErr(err)
@@ -48,6 +48,7 @@
 	}
 }
 
+// A request that is sent again under its key must get the first response and must not run again.
 func TestResends(t *testing.T) {
 	t.Parallel()
 	deployment := once.Deployment(3)
@@ -56,23 +57,24 @@
 	f := harness.Start(t, fleet.Config{Deployment: deployment})
 	harness.Eventually(t, 20*time.Second, func() bool { return allOwnersKnown(t, f) })
 	for name, key := range map[string]string{
-		"key with a time":    uuid.Must(uuid.NewV7()).String(),
-		"key without a time": "booking-17",
-		"key of the entry":   "",
+		"key with a time":              uuid.Must(uuid.NewV7()).String(),
+		"key without a time":           "booking-17",
+		"key minted by the entry node": "",
 	} {
 		t.Run(name, func(t *testing.T) { testResend(t, f, key) })
 	}
-	t.Run("answer lost on a silent connection", func(t *testing.T) { testSilentConnection(t, f) })
+	t.Run("response lost on a silent connection", func(t *testing.T) { testSilentConnection(t, f) })
 	for _, n := range f.Nodes {
 		quick := n.Server.Behaviour()
 		quick.ServiceTime = 20 * time.Millisecond
 		n.Server.SetBehaviour(quick)
 	}
-	t.Run("platform away", func(t *testing.T) { testPlatformOutage(t, f) })
+	t.Run("platform unavailable", func(t *testing.T) { testPlatformOutage(t, f) })
 	t.Run("planned stops", func(t *testing.T) { testPlannedLeave(t, f) })
 }
 
-// testResend sends one key through all nodes: at the same moment, afterwards, and with another body.
+// testResend sends one key through one node, then through all nodes concurrently, and at last with a different body, which must be
+// refused.
 func testResend(t *testing.T, f *fleet.Fleet, key string) {
 	is := is.New(t)
 	first := book(f.Nodes[0], key, "a wash")
@@ -93,8 +95,8 @@
 	is.Equal(other.Reason, "key_reused")
 }
 
-// testSilentConnection makes the connections between the entry and the home silent while the home runs the key. The entry asks on
-// a new connection, so its caller gets the answer.
+// testSilentConnection silences the connections between the entry node and the key owner while the owner runs the request. The
+// entry node must ask again on a new connection and return the response to the caller.
 func testSilentConnection(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	entry := f.Nodes[0]
--- a/internal/proof/once/renewal_test.go
+++ b/internal/proof/once/renewal_test.go
@@ -16,7 +16,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// storedShards returns the shards at the platform and the revisions of their entries.
+// storedShards returns the shards that the platform stores and the revisions of their records.
 func storedShards(t *testing.T, f *fleet.Fleet) (map[string]outcome.Shard, map[string]uint64) {
 	is := is.New(t)
 	client := platform.NewClient(platform.Config{URL: f.StoreURL, Timeout: time.Second})
@@ -32,11 +32,13 @@
 	return shards, revisions
 }
 
+// Nodes extend the epochs of their shards among themselves. A renewal that needs the platform, or a partition that makes another
+// zone take over a live shard, would fail here.
 func TestRenewal(t *testing.T) {
 	t.Parallel()
 	f := harness.Start(t, fleet.Config{Deployment: once.Deployment(3)})
 	harness.Eventually(t, 20*time.Second, func() bool { return allOwnersKnown(t, f) })
-	// A zone's first leader may have taken other zones' shards before these had a leader.
+	// The first zone leader may have taken over the shards of zones that had no leader yet.
 	harness.Eventually(t, 20*time.Second, func() bool {
 		shards, _ := storedShards(t, f)
 		for name, s := range shards {
@@ -46,12 +48,12 @@
 		}
 		return len(shards) == len(f.Nodes)
 	})
-	t.Run("the ends move without the platform", func(t *testing.T) { testRenewalWithoutWrites(t, f) })
-	t.Run("a zone that reaches the platform only keeps its shard", func(t *testing.T) { testIsolatedZoneKeepsShard(t, f) })
+	t.Run("epochs are extended without platform writes", func(t *testing.T) { testRenewalWithoutWrites(t, f) })
+	t.Run("zone that reaches only the platform keeps its shard", func(t *testing.T) { testIsolatedZoneKeepsShard(t, f) })
 }
 
-// testRenewalWithoutWrites waits for longer than one renewal reaches. The keys of all shards have homes, and no record at the
-// platform was written.
+// testRenewalWithoutWrites waits for longer than the horizon of one renewal. All shards must have current owners, and no record
+// at the platform may have been written.
 func testRenewalWithoutWrites(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	_, before := storedShards(t, f)
@@ -61,8 +63,8 @@
 	is.Equal(after, before)
 }
 
-// testIsolatedZoneKeepsShard cuts a zone off from the others, but not from the platform, for longer than after which a silent shard is
-// taken over.
+// testIsolatedZoneKeepsShard cuts a zone off from the others, but not from the platform, for longer than the time after which an
+// unrenewed shard is taken over.
 func testIsolatedZoneKeepsShard(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	isolated := []string{f.Nodes[2].Name}
--- a/internal/proof/once/roll_test.go
+++ b/internal/proof/once/roll_test.go
@@ -16,7 +16,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// allOwnersKnown reports whether every node knows all members and the homes of all availability zones.
+// allOwnersKnown reports whether every node knows all members and the current key owners of all availability zones.
 func allOwnersKnown(t *testing.T, f *fleet.Fleet) bool {
 	zones := map[string]bool{}
 	for _, n := range f.Nodes {
@@ -39,14 +39,14 @@
 	return true
 }
 
-// rollingReplacement is a fleet whose nodes are replaced in rounds, those of one round at the same time.
+// rollingReplacement is a deployment whose nodes are replaced in rounds; the nodes of a round are replaced concurrently.
 type rollingReplacement struct {
 	deployment fleet.Deployment
 	rounds     [][]int
 }
 
-// chainDeployment returns three services with an instance in each of three zones. A booking calls the others: one request that
-// is idempotent and one that is not.
+// chainDeployment returns three services with one instance in each of three zones. A booking makes an idempotent call to one of
+// the other services and a non-idempotent call to the other.
 func chainDeployment() fleet.Deployment {
 	d := once.Deployment(3)
 	bookings := &d.Services[0]
@@ -73,7 +73,8 @@
 	return d
 }
 
-// Every node is replaced while callers use the nodes that are up. No answer may fail.
+// Every node is replaced under load while callers use the nodes that are up. A request that is lost with a stopping node, or sent to
+// one that has stopped, would fail here.
 func TestRollingReplacement(t *testing.T) {
 	t.Parallel()
 	for name, r := range map[string]rollingReplacement{
@@ -117,7 +118,7 @@
 		t.Error(v)
 	}
 	for _, s := range report.Failed {
-		t.Errorf("at %s by %s a caller got %d %s (%s) %s under %q", s.Begin.Format("05.000"), s.Target, s.Status, s.Outcome, s.Reason, s.Error, s.Key)
+		t.Errorf("request at %s to %s: status %d, outcome %s (%s) %s, key %q", s.Begin.Format("05.000"), s.Target, s.Status, s.Outcome, s.Reason, s.Error, s.Key)
 	}
 	is.True(report.Outcomes["ran"] > 0)
 }
--- a/internal/proof/once/stop_test.go
+++ b/internal/proof/once/stop_test.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// newWorkTimeout is how long after it begins to leave a backend server may still get new work.
+	// newWorkTimeout is how long a backend server may still get new requests after it has begun to leave.
 	newWorkTimeout = 2 * time.Second
-	// ledgerWatchTime is how long the ledgers are watched after that moment.
+	// ledgerWatchTime is how long runs are recorded after a backend server has begun to leave.
 	ledgerWatchTime = 4 * time.Second
-	// longServiceTime is what a request takes, so that some are in flight at every moment of a stop. A handover waits for
-	// runs to end, so a deadline must leave time for two.
+	// longServiceTime is a service time at which some requests are in flight throughout a stop. A handover waits for runs to
+	// end, so a deadline must leave time for two runs.
 	longServiceTime = 400 * time.Millisecond
 	longDeadline    = "deadline = 5s"
-	// callerCount is half of what the three nodes that stay run at once before their limits have grown (8 each), so that
-	// a request is refused for the stop and not for want of room.
+	// callerCount is half of the initial in-flight limits of the three remaining nodes (8 each), so that any refusal is caused
+	// by the stop and not by a lack of capacity.
 	callerCount = 12
 )
 
-// stopMethods are the ways in which a backend server is made to leave.
+// stopMethods are the ways to make a backend server leave.
 var stopMethods = map[string]func(t *testing.T, n *fleet.Node){
 	"SIGTERM": func(_ *testing.T, n *fleet.Node) { n.Terminate() },
 	"operator's drain": func(t *testing.T, n *fleet.Node) {
@@ -45,8 +45,8 @@
 	},
 }
 
-// A backend server that leaves under load gets no new work after a few seconds, and nothing that it or its node has
-// in flight is cut. The node ends by itself.
+// A backend server that leaves under load must get no new requests after newWorkTimeout, its node must exit, and no request in
+// flight may be interrupted. A node that exits before its handover, or peers that learn of the drain late, would fail requests.
 func TestLeavingBackendServerGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	deployment := once.Deployment(6)
@@ -73,7 +73,7 @@
 		t.Error(v)
 	}
 	for _, s := range report.Failed {
-		t.Errorf("a caller got %d %s (%s) %s under %q after %s", s.Status, s.Outcome, s.Reason, s.Error, s.Key, s.End.Sub(s.Begin))
+		t.Errorf("status %d, outcome %s (%s) %s, key %q, after %s", s.Status, s.Outcome, s.Reason, s.Error, s.Key, s.End.Sub(s.Begin))
 	}
 }
 
@@ -87,13 +87,13 @@
 
 	is.True(lastStart(n).Before(leaveStart.Add(newWorkTimeout)))
 	for _, r := range n.Server.Ledger().Runs() {
-		is.Equal(r.Ended, r.Started) // nothing was cut
+		is.Equal(r.Ended, r.Started) // no run was interrupted
 	}
 	latest := slices.MaxFunc(f.Nodes, func(a, b *fleet.Node) int { return lastStart(a).Compare(lastStart(b)) })
-	is.True(lastStart(latest).After(leaveStart.Add(newWorkTimeout))) // there was work to give
+	is.True(lastStart(latest).After(leaveStart.Add(newWorkTimeout))) // requests were still being sent
 }
 
-// lastStart returns when the node's backend server last got work.
+// lastStart returns the time of the last start of a request on the node's backend server.
 func lastStart(n *fleet.Node) time.Time {
 	var last time.Time
 	for _, r := range n.Server.Ledger().Runs() {
--- a/internal/proof/once/zone_test.go
+++ b/internal/proof/once/zone_test.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// cutTime is how long an availability zone is cut off: two thirds of it after the epochs agreed before.
+	// cutTime is how long an availability zone is cut off. The epochs agreed on beforehand end after a third of it.
 	cutTime = 24 * time.Second
-	// maxRefusalLatency is the longest time to a refusal.
+	// maxRefusalLatency limits the latency of a refusal.
 	maxRefusalLatency = 500 * time.Millisecond
-	// maxLostRatio is the part of the requests that may be lost in the zones that still reach each other.
+	// maxLostRatio is the fraction of the requests that may fail in the zones that still reach each other.
 	maxLostRatio = 0.01
 )
 
-// While an availability zone is cut off from all, minted keys run on both sides, and callers' own keys outside. What
-// doesn't run is refused at once.
+// While an availability zone is cut off from the platform and all other zones, requests with minted keys must run on both sides of
+// the partition, and requests with callers' own keys outside of it. If both sides took the same key, it would run twice; a request
+// that cannot run safely must be refused early instead of waiting for the other side.
 func TestKeysDuringZonePartition(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -64,8 +65,8 @@
 	}
 }
 
-// testKeyOfIsolatedOwner sends a key that the caller made for a node of the zone that is cut off: one that it knows from an earlier
-// answer. It runs inside, once, and is refused outside.
+// testKeyOfIsolatedOwner sends a new key that names an owner in the isolated zone; the caller knows the owner from an earlier
+// response. The key must run inside the zone, once, and be refused outside.
 func testKeyOfIsolatedOwner(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	zones := map[string]string{}
@@ -90,13 +91,13 @@
 	is.Equal(startCount(f, key), 1)
 }
 
-// lostRatio is the part of the first sends in the zone that did not run.
+// lostRatio returns the fraction of first sends in the zone that did not run.
 func lostRatio(report once.Report, kind once.KeyKind, zone string) float64 {
 	s := report.FirstSends[string(kind)+" "+zone]
 	return float64(s.Sent-s.Ran) / float64(s.Sent)
 }
 
-// failuresBeforeEjection is how many attempts the nodes inside lose to those outside before each has ejected each.
+// failuresBeforeEjection returns how many attempts to nodes outside may fail before each node inside has ejected all of them.
 func failuresBeforeEjection(f *fleet.Fleet, inside string) int {
 	insideCount := 0
 	for _, n := range f.Nodes {
