--- a/internal/proof/path/doc.go
+++ b/internal/proof/path/doc.go
@@ -1,5 +1,5 @@
-// Package path proves that one request goes the whole way through separate processes on real sockets: from the load
-// generator over two nodes to a stand-in backend server, which calls a second service through its local node.
+// Package path tests the complete path of a request through separate processes on real sockets: from the load generator through
+// two nodes to a test backend server, which calls a second service through its local node.
 //
 // # Usage
 //
--- a/internal/proof/path/path_test.go
+++ b/internal/proof/path/path_test.go
@@ -19,7 +19,7 @@
 
 const token = "a-token-for-the-operator"
 
-// nodeSetup is one node with its backend server, by their addresses.
+// nodeSetup holds the names and addresses of a node and its backend server.
 type nodeSetup struct {
 	name     string
 	service  string
@@ -31,6 +31,8 @@
 	server   string
 }
 
+// The commands must work together as an operator runs them: store, nodes, backend servers, documents and load. Errors in flags or in
+// the wiring between processes don't show in tests within one process.
 func TestRequestThroughSeparateProcesses(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
@@ -57,7 +59,7 @@
 			return put.Run() == nil
 		})
 	}
-	// The request enters at the second node and is run by the first one's backend server.
+	// The request enters at the second node and runs on the backend server of the first.
 	harness.Eventually(t, 30*time.Second, func() bool {
 		response, err := http.Get("http://" + second.caller + "/call/bookings/urgent/today")
 		return err == nil && response.Body.Close() == nil && response.StatusCode == http.StatusOK
@@ -66,7 +68,7 @@
 		"-service", "bookings", "-path", "/urgent/today", "-rate", "20", "-duration", "1s", "-timeout", "10s")
 	table, err := load.Output()
 	is.NoErr(err)
-	is.True(regexp.MustCompile(`(?m)^0 +load +(\d+) +\d+ +100\.0 `).Match(table)) // every request got a good answer
+	is.True(regexp.MustCompile(`(?m)^0 +load +(\d+) +\d+ +100\.0 `).Match(table)) // every request succeeded
 }
 
 func buildBinaries(t *testing.T, directory string) {
@@ -92,7 +94,7 @@
 	}
 }
 
-// freeAddress returns a loopback address whose port was free a moment ago.
+// freeAddress returns a loopback address with a port that was free at the time of the call.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,7 +105,7 @@
 	return l.Addr().String()
 }
 
-// startProcess starts a process and ends it with the test.
+// startProcess starts a process and terminates it at the end of the test.
 func startProcess(t *testing.T, path string, arguments ...string) {
 	t.Helper()
 	command := exec.Command(path, arguments...)
