--- a/internal/proof/recovery/doc.go
+++ b/internal/proof/recovery/doc.go
@@ -1,5 +1,5 @@
-// Package recovery proves with real processes that overload passes when its triggers do: goodput is back within
-// seconds after several triggers together or in a row, and nothing that nodes learned meanwhile outlives its evidence.
+// Package recovery tests with real processes that overload ends with its triggers: goodput recovers within seconds after
+// triggers that overlap or follow each other, and no ejection, quarantine or spent budget outlives its evidence.
 //
 // # Usage
 //
--- a/internal/proof/recovery/recovery_test.go
+++ b/internal/proof/recovery/recovery_test.go
@@ -24,20 +24,21 @@
 const (
 	front = "front"
 	deep  = "deep"
-	// serviceTime is long enough for the slots, not the processor, to bound what the fleet can do.
+	// serviceTime is long enough that the slots, not the processor, limit the capacity of the fleet.
 	serviceTime = 100 * time.Millisecond
-	// slowFactor is how many times longer a call of the slowed service takes.
+	// slowFactor multiplies the service time of the slowed service.
 	slowFactor = 6
-	// recoveryTime is what docs/PROOF.md states, and recoveredShare the part of the earlier goodput that is back by then.
+	// recoveryTime is the limit that docs/PROOF.md states, and recoveredRatio the fraction of the earlier goodput ratio that must be
+	// reached by then.
 	recoveryTime   = 5 * time.Second
 	recoveredRatio = 0.95
-	// warmup is left out at the start, and watched is how long goodput is looked at after the recovery time.
+	// warmup is the time at the start that is not measured, and measureTime how long goodput is measured after recoveryTime.
 	warmup      = time.Second
 	measureTime = 2 * time.Second
-	// triggerStart and triggerTime are when the first trigger comes and how long each lasts.
+	// triggerStart is when the first trigger starts, and triggerTime how long each trigger lasts.
 	triggerStart = 3 * time.Second
 	triggerTime  = 2 * time.Second
-	// preTriggerMargin is how long before a trigger requests are left out, because they still meet it.
+	// preTriggerMargin is the time before a trigger that is not measured, because its requests may still be in flight then.
 	preTriggerMargin = 500 * time.Millisecond
 )
 
@@ -66,7 +67,7 @@
 `, service)
 }
 
-// frontAndDeep is a service that calls another one for all of its work. The second runs 200 requests a second.
+// frontAndDeep returns a service that makes one call to a second service for each request. The second runs 200 requests a second.
 func frontAndDeep() fleet.Deployment {
 	service := fleet.Service{Instances: 2, Connections: 170}
 	service.Behaviour = server.Behaviour{ServiceTime: serviceTime, Spread: 0.3, Queue: 1000}
@@ -87,7 +88,7 @@
 	}
 }
 
-// flood is a stream that the trigger at the time adds, of a caller that sends again at once.
+// flood returns the stream that a trigger adds from start on. Its caller resends failed requests at once.
 func flood(name string, rank int, rate float64, start time.Duration) load.Stream {
 	s := stream(name, rank, rate)
 	s.Name, s.Caller, s.Resends = "flood of "+name, "hasty", 3
@@ -95,13 +96,13 @@
 	return s
 }
 
-// trigger is what overloads the fleet for triggerTime. The deep service always slows down.
+// trigger overloads the fleet for triggerTime. Every trigger slows down the deep service.
 type trigger struct {
 	start time.Duration
-	// flood is the rate of the added archive requests, and surge that of the added lookups.
+	// flood is the rate of added archive requests, and surge that of added lookups, in requests a second.
 	flood float64
 	surge float64
-	// failing says that one backend server of the deep service fails fast meanwhile.
+	// failing reports whether one backend server of the deep service fails fast during the trigger.
 	failing bool
 }
 
@@ -120,8 +121,8 @@
 	return streams
 }
 
-// run changes the backend servers when the trigger comes, and back when it goes. It reports whether a node has passed
-// over an instance meanwhile.
+// run changes the behaviour of the backend servers for the time of the trigger. It reports whether a node has ejected an
+// instance during that time.
 func (tr trigger) run(t *testing.T, f *fleet.Fleet, begin time.Time) bool {
 	t.Helper()
 	pause.Until(t.Context(), begin.Add(tr.start))
@@ -148,7 +149,7 @@
 	return ejected
 }
 
-// pollInterval is the time between looks at the ejections.
+// pollInterval is the time between two checks for ejections.
 const pollInterval = 100 * time.Millisecond
 
 func anyEjected(t *testing.T, f *fleet.Fleet) bool {
@@ -167,20 +168,22 @@
 	return false
 }
 
+// Overload can sustain itself after its triggers end: retries keep queues full, and ejections, spent budgets or low limits keep
+// capacity unused. Combined and repeated triggers make this more likely than a single one.
 func TestRecoveryFromSeveralTriggers(t *testing.T) {
 	tests := map[string]struct {
 		triggers []trigger
-		// ejects says that the triggers are evidence against an instance.
+		// ejects reports whether the triggers must cause an ejection.
 		ejects bool
 	}{
-		"a slow service and a flood together": {
+		"slow service and flood together": {
 			triggers: []trigger{{start: triggerStart, flood: 100, surge: 50}},
 		},
-		"a slow service and a failing instance together": {
+		"slow service and failing instance together": {
 			triggers: []trigger{{start: triggerStart, surge: 50, failing: true}},
 			ejects:   true,
 		},
-		"a slow service twice in a row": {
+		"slow service twice in a row": {
 			triggers: []trigger{
 				{start: triggerStart, surge: 50},
 				{start: triggerStart + 2*triggerTime, surge: 50},
@@ -214,16 +217,16 @@
 				during := goodRatio(results, s.Name, triggerStart, triggerStart+triggerTime)
 				after := goodRatio(results, s.Name, stop+recoveryTime, end)
 				is.True(before >= 0.99)
-				is.True(s.Rank == 0 || during < 0.9) // the trigger overloads, else there is nothing to recover from
+				is.True(s.Rank == 0 || during < 0.9) // without overload there is nothing to recover from
 				is.True(after >= recoveredRatio*before)
 			}
-			is.True(!test.ejects || ejected) // else nothing can be left over
+			is.True(!test.ejects || ejected) // without an ejection the residual state is not tested
 			checkNoResidualState(t, f)
 		})
 	}
 }
 
-// checkNoResidualState checks the dumps of all nodes for what the triggers could have left behind.
+// checkNoResidualState checks in the dumps of all nodes that no queue, ejection, quarantine or spent budget remains.
 func checkNoResidualState(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	is := is.New(t)
@@ -232,16 +235,16 @@
 		is.NoErr(err)
 		is.Equal(dump.Load.Queued, 0)
 		is.Equal(dump.Load.InFlight, 0)
-		is.Equal(len(dump.Quarantine), 0) // slow work and failures are no crashes
+		is.Equal(len(dump.Quarantine), 0) // slow requests and failures must not count as crashes
 		is.Equal(n.Server.Busy(), 0)
 		for name, i := range dump.Sender.Instances {
 			if i.EjectionRemaining > 0 || i.ShedRemaining > 0 || i.InFlight > 0 {
-				t.Errorf("%s still holds against %s: %+v", n.Name, name, i)
+				t.Errorf("%s still restricts %s: %+v", n.Name, name, i)
 			}
 		}
 		for service, tokens := range dump.Sender.Budgets {
 			if tokens < 1 {
-				t.Errorf("%s has no further attempts for %s: %.1f", n.Name, service, tokens)
+				t.Errorf("%s has no retry budget left for %s: %.1f tokens", n.Name, service, tokens)
 			}
 		}
 	}
@@ -256,7 +259,7 @@
 	}
 }
 
-// goodRatio returns the part of the stream's requests, sent within the time, that got a good answer.
+// goodRatio returns the fraction of the stream's requests sent in [from, to) that succeeded.
 func goodRatio(results []load.Result, stream string, from, to time.Duration) float64 {
 	sent, good := 0, 0
 	for _, r := range results {
