--- a/internal/proof/routing/capacity_test.go
+++ b/internal/proof/routing/capacity_test.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// minGoodputRatio is the part of what a backend server can do that counts as good.
+	// minGoodputRatio is the required goodput as a fraction of the capacity of the backend servers.
 	minGoodputRatio = 0.9
-	// overloadRatio is what is sent over what a backend server can do.
+	// overloadRatio is the offered rate divided by the capacity.
 	overloadRatio = 1.5
-	// measureTime is how long goodput is looked at, after the node had time to learn.
+	// measureTime is how long goodput is measured after the node had time to adjust its limit.
 	measureTime = 10 * time.Second
 )
 
-// A node finds what its backend server can do, whatever this announces.
+// The in-flight limit must reach the capacity of a backend server that announces too few slots; a limit that follows the
+// announcement would leave most of the capacity unused.
 func TestLimitConvergesToServerCapacity(t *testing.T) {
 	tests := map[string]struct {
 		slots, announced, queue int
@@ -46,14 +47,14 @@
 			})
 			rate := float64(tallyBetween(results, test.learned, end).good) / measureTime.Seconds()
 			shed := f.Nodes[0].Server.Report().Shed
-			t.Logf("%.0f good answers a second of %.0f possible; the backend server shed %d", rate, capacity, shed)
+			t.Logf("goodput %.0f/s of a capacity of %.0f/s; the backend server shed %d", rate, capacity, shed)
 			is.True(rate >= minGoodputRatio*capacity)
 		})
 	}
 }
 
-// Backend servers that announce more slots than they have shed by themselves, each rank alike. Urgent work still gets
-// through during a flood of lesser work: attempts are shed, requests are not.
+// Backend servers that announce more slots than they have shed requests themselves, regardless of rank. During a flood of less
+// urgent work, urgent requests must still succeed: their attempts may be shed, the requests themselves may not.
 func TestUrgentWorkIsServedWhereBackendServersShed(t *testing.T) {
 	is := is.New(t)
 	const instances, slots = 2, 10
@@ -87,20 +88,21 @@
 	for _, n := range f.Nodes {
 		shed += n.Server.Report().Shed
 	}
-	t.Logf("%d of %d urgent and %d of %d lesser requests good, of %.0f possible; the backend servers shed %d",
+	t.Logf("succeeded: %d of %d urgent and %d of %d less urgent requests, capacity %.0f requests; the backend servers shed %d",
 		urgent.good, urgent.sent, lesser.good, lesser.sent, capacity*measureTime.Seconds(), shed)
 	is.True(shed > 0)
 	is.True(float64(urgent.good) >= 0.99*float64(urgent.sent))
 }
 
-// A backend server that gives few connections never has more, also while callers go away and their connections end.
+// A backend server must never get more connections than it allows. The connections of canceled requests are closed while new ones
+// are opened; both must count towards the limit.
 func TestConnectionsKeepToTheirBound(t *testing.T) {
 	const (
 		connections = 4
 		capacity    = connections * float64(time.Second/ordinaryServiceTime)
 		rush        = 3 * time.Second
 	)
-	tests := map[string]time.Duration{ // the callers' patience
+	tests := map[string]time.Duration{ // the callers' timeouts
 		"callers wait":    3 * time.Second,
 		"callers go away": ordinaryServiceTime / 2,
 	}
@@ -121,10 +123,10 @@
 				Seed:     1,
 			})
 			during, later := tallyBetween(results, time.Second, rush), tallyBetween(results, after.Start, time.Minute)
-			t.Logf("%d good answers of %d during the rush, %d of %d later", during.good, during.sent, later.good, later.sent)
+			t.Logf("%d of %d requests succeeded during the rush, %d of %d later", during.good, during.sent, later.good, later.sent)
 			is.True(timeout < ordinaryServiceTime || float64(during.good) >= minGoodputRatio*capacity*(rush-time.Second).Seconds())
 			is.Equal(later.good, later.sent)
-			is.Equal(f.Nodes[0].Server.Report().PeakConnections, connections) // the bound is reached and kept to
+			is.Equal(f.Nodes[0].Server.Report().PeakConnections, connections) // the limit is reached and not exceeded
 		})
 	}
 }
--- a/internal/proof/routing/chain_test.go
+++ b/internal/proof/routing/chain_test.go
@@ -21,13 +21,13 @@
 }
 
 const (
-	// chainLength is the length of an ordinary chain, and mostLevels of the longest.
+	// chainLength is the number of services in the ordinary call chain, and maxChainLength in the longest one.
 	chainLength      = 6
 	maxChainLength   = 12
 	attemptAllowance = 2
 )
 
-// chainDeployment is a chain of services, each of which calls the next.
+// chainDeployment returns a chain of services, each of which calls the next.
 func chainDeployment(levels, instances int, serviceTime time.Duration) fleet.Deployment {
 	d := fleet.Deployment{Zones: []string{"lisbon_1", "lisbon_2"}}
 	for level := range levels {
@@ -66,7 +66,7 @@
 `, name, attemptAllowance)
 }
 
-// setAllBehaviours changes the behaviour of every backend server.
+// setAllBehaviours applies the change to the behaviour of every backend server.
 func setAllBehaviours(f *fleet.Fleet, change func(*server.Behaviour)) {
 	for _, n := range f.Nodes {
 		b := n.Server.Behaviour()
@@ -75,7 +75,7 @@
 	}
 }
 
-// runsByRequest sums up the ledgers: runs of each request at each service.
+// runsByRequest returns the number of runs of each request at each service.
 func runsByRequest(f *fleet.Fleet) map[string]map[string]int {
 	runs := map[string]map[string]int{}
 	for _, n := range f.Nodes {
@@ -101,6 +101,8 @@
 	}
 }
 
+// Retries at each level of a call chain multiply with those above. Here two fifths of the runs at every level fail, and a node in the
+// middle is killed while callers resend; the runs of a request must stay within the attempt allowance.
 func TestRetriesAreBoundedAlongCallChain(t *testing.T) {
 	f := harness.Start(t, fleet.Config{Deployment: chainDeployment(chainLength, 2, 5*time.Millisecond)})
 	setAllBehaviours(f, func(b *server.Behaviour) { b.FailRate = 0.4 })
@@ -108,7 +110,7 @@
 	defer group.Wait()
 	group.Go(func() {
 		time.Sleep(1500 * time.Millisecond)
-		f.Nodes[7].Kill() // a node of the fourth level, whose replies are lost
+		f.Nodes[7].Kill() // a node of the fourth service, whose replies are lost
 	})
 	results := load.Run(t.Context(), load.Config{
 		Streams:  []load.Stream{lookupStream(60, 3)},
@@ -119,12 +121,12 @@
 	checkRuns(t, f, results, chainLength)
 }
 
-// The longest chain, while every level fails and callers send again hard.
+// The longest call chain, in which retries multiply most: runs fail at every level and callers resend up to five times.
 func TestRetriesAreBoundedAlongLongestCallChain(t *testing.T) {
 	is := is.New(t)
 	f := harness.Start(t, fleet.Config{Deployment: chainDeployment(maxChainLength, 2, 2*time.Millisecond)})
 	setAllBehaviours(f, func(b *server.Behaviour) { b.FailRate = 0.3 })
-	timer := time.AfterFunc(2*time.Second, f.Nodes[15].Kill) // a node of the eighth level, whose replies are lost
+	timer := time.AfterFunc(2*time.Second, f.Nodes[15].Kill) // a node of the eighth service, whose replies are lost
 	defer timer.Stop()
 	results := load.Run(t.Context(), load.Config{
 		Streams:  []load.Stream{lookupStream(20, 5)},
@@ -134,11 +136,11 @@
 	})
 	checkRuns(t, f, results, maxChainLength)
 	for level := range maxChainLength {
-		is.True(requestsRunAt(f, level) > 0) // the chain was gone down to its end
+		is.True(requestsRunAt(f, level) > 0) // the chain was followed to its end
 	}
 }
 
-// checkRuns holds the ledgers against the bounds of docs/RETRIES.md, where each send is a root request of its own.
+// checkRuns checks the ledgers against the limits in docs/RETRIES.md, which count each send as a separate root request.
 func checkRuns(t *testing.T, f *fleet.Fleet, results []load.Result, levels int) {
 	t.Helper()
 	is := is.New(t)
@@ -149,9 +151,9 @@
 	sent, ran, retried, totalRetries := 0, 0, 0, 0
 	for request, byService := range runsByRequest(f) {
 		is.True(sends[request] > 0)
-		roots := min(sends[request], byService[levelName(0)]) // a send that did not run at level 0 was refused
+		roots := min(sends[request], byService[levelName(0)]) // sends that did not run at level 0 were refused
 		runs, retries := 0, 0
-		expected := roots // each run makes one call, so what runs beyond those above was a further attempt
+		expected := roots // each run makes one call, so additional runs are retries
 		for level := range levels {
 			levelRuns := byService[levelName(level)]
 			if levelRuns > roots*(1+attemptAllowance) {
@@ -163,7 +165,7 @@
 			expected = levelRuns
 		}
 		if retries > roots*attemptAllowance {
-			t.Errorf("%s had %d further attempts for %d root requests", request, retries, roots)
+			t.Errorf("%s had %d retries for %d root requests", request, retries, roots)
 		}
 		if runs > levels*roots*(1+attemptAllowance) {
 			t.Errorf("%s ran %d times in all for %d root requests", request, runs, roots)
@@ -172,11 +174,11 @@
 		ran += runs
 		totalRetries += retries
 	}
-	t.Logf("%d sends, %d runs, at least %d further attempts", sent, ran, totalRetries)
-	is.True(retried > 0) // nodes did try again, else the bound says nothing
+	t.Logf("%d sends, %d runs, at least %d retries", sent, ran, totalRetries)
+	is.True(retried > 0) // without retries the limit is not tested
 }
 
-// requestsRunAt returns how many requests ran at the level.
+// requestsRunAt returns the number of requests that ran at the level.
 func requestsRunAt(f *fleet.Fleet, level int) int {
 	ran := 0
 	for _, byService := range runsByRequest(f) {
--- a/internal/proof/routing/crash_test.go
+++ b/internal/proof/routing/crash_test.go
@@ -22,13 +22,13 @@
 
 const (
 	crashBody = "crystal-from-hell"
-	// maxCrashes is what docs/QUARANTINE.md states for a request that is sent again after pauses.
+	// maxCrashes is the limit that docs/QUARANTINE.md states for a request that is resent with delays.
 	maxCrashes = 3
-	// resendDelay is longer than the news of a crash takes from node to node.
+	// resendDelay is longer than the propagation of a crash report between nodes.
 	resendDelay = 100 * time.Millisecond
 )
 
-// bookingsDeployment is one service whose requests have bodies; bookings are not idempotent, searches are.
+// bookingsDeployment returns one service whose requests have bodies; bookings are not idempotent, searches are.
 func bookingsDeployment() fleet.Deployment {
 	return fleet.Deployment{
 		Zones: []string{"lisbon_1", "lisbon_2", "lisbon_3"},
@@ -63,8 +63,8 @@
 	}
 }
 
-// sendCrashing sends a request that crashes backend servers again and again, under a new key through another node
-// each time, and returns the reasons that it was told.
+// sendCrashing sends a request that crashes backend servers the given number of times, each time under a new key and through
+// another node, and returns the reasons in the responses.
 func sendCrashing(t *testing.T, f *fleet.Fleet, path, body string, sends int) []string {
 	t.Helper()
 	var reasons []string
@@ -95,6 +95,8 @@
 	return total
 }
 
+// A request that crashes its backend server must not be resent until all of them are down. Nodes must recognize the request by its
+// fingerprint, as each send has a new key, and keep serving other requests of its kind.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	is := is.New(t)
 	f := harness.Start(t, fleet.Config{Deployment: bookingsDeployment()})
@@ -120,7 +122,7 @@
 	group.Wait()
 	harness.Eventually(t, 10*time.Second, func() bool {
 		after := run(500 * time.Millisecond)
-		return after.good == after.sent // the others of its kind go on
+		return after.good == after.sent // other requests of the kind are still served
 	})
 }
 
--- a/internal/proof/routing/doc.go
+++ b/internal/proof/routing/doc.go
@@ -1,7 +1,7 @@
-// Package routing proves with real processes what the sending side of the nodes promises: bounded retries down a
-// whole chain, refusal at the entry while a service further down sheds, quarantine of requests that crash backend
-// servers, requests that avoid silent connections, and limits and connections that keep to what backend servers can do,
-// whatever these tell of themselves.
+// Package routing tests the sending side of the nodes end to end with real processes: retries limited along a whole call chain,
+// refusal at the entry node while a downstream service sheds, quarantine of requests that crash backend servers, detection of
+// silent connections, and in-flight and connection limits that follow the capacity of backend servers rather than what they
+// report.
 //
 // # Usage
 //
--- a/internal/proof/routing/early_test.go
+++ b/internal/proof/routing/early_test.go
@@ -17,11 +17,11 @@
 	deepSlots       = 5
 	deepServiceTime = 50 * time.Millisecond
 	deepInstances   = 2
-	// deepCapacity is what the deep service can run, in requests a second.
+	// deepCapacity is the capacity of the deep service in requests a second.
 	deepCapacity = deepSlots * deepInstances * int(time.Second/deepServiceTime)
 )
 
-// shallowAndDeep is a roomy service that calls a small one.
+// shallowAndDeep returns a service with much capacity that calls one with little.
 func shallowAndDeep() fleet.Deployment {
 	return fleet.Deployment{
 		Zones: []string{"lisbon_1", "lisbon_2"},
@@ -42,7 +42,7 @@
 	}
 }
 
-// tally sums up results that were sent within a time.
+// tally counts the requests that were sent within a time range, and those of them that succeeded.
 type tally struct {
 	sent int
 	good int
@@ -62,6 +62,8 @@
 	return sum
 }
 
+// Requests that a downstream service will shed must be refused at the entry node. If they run at the first service before they are
+// shed, its work is wasted.
 func TestEntryRefusesWhenDeepServiceSheds(t *testing.T) {
 	is := is.New(t)
 	f := harness.Start(t, fleet.Config{Deployment: shallowAndDeep()})
@@ -80,8 +82,8 @@
 	for _, byService := range runsByRequest(f) {
 		runs += byService["level0"]
 	}
-	t.Logf("flood: %d of %d good in 2 s, capacity %d/s; after: %d of %d good; %d runs at level 0 for %d good",
+	t.Logf("flood: %d of %d requests succeeded in 2 s, capacity %d/s; after: %d of %d; %d runs at level 0 for %d successes",
 		during.good, during.sent, deepCapacity, after.good, after.sent, runs, good)
-	is.True(runs-good < good/2) // without refusal at the entry every flooded request runs at level 0
+	is.True(runs-good < good/2) // without refusal at the entry node every request of the flood runs at level 0
 	is.True(float64(after.good) >= 0.95*float64(after.sent))
 }
--- a/internal/proof/routing/lost_test.go
+++ b/internal/proof/routing/lost_test.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// detectTimeout is the time after which a dead backend server gets no new work.
+	// detectTimeout is the time after which a crashed backend server gets no new requests.
 	detectTimeout = 2 * time.Second
-	// hangDetectTimeout is that time for one that hangs, which is known only by what it leaves out.
+	// hangDetectTimeout is the same for a backend server that hangs, which shows only in missing announcements and responses.
 	hangDetectTimeout = 3 * time.Second
-	// returnTimeout is the time after which one that is there again gets work.
+	// returnTimeout is the time after which a backend server that is up again gets requests.
 	returnTimeout = 2 * time.Second
 )
 
-// TestLostBackendServerGetsNoRequests loses a backend server while its node lives on.
+// TestLostBackendServerGetsNoRequests crashes or hangs a backend server while its node stays up. The node still sends heartbeats, so
+// peers must learn from it that the backend server is down.
 func TestLostBackendServerGetsNoRequests(t *testing.T) {
 	const crash = "crash-now"
 	cases := map[string]struct {
@@ -51,7 +52,7 @@
 			c.lose(&changed)
 			lost.Server.SetBehaviour(changed)
 			var group conc.WaitGroup
-			for range probeRequests { // some of them reach the lost one
+			for range probeRequests { // some of them reach the lost backend server
 				group.Go(func() { get(t, f.Nodes[1].Caller, crash) })
 			}
 			harness.Eventually(t, c.within, func() bool { return allRouteTo(t, f, lost, false) })
@@ -65,27 +66,27 @@
 	}
 }
 
-// probeRequests are so many that each of three instances gets some.
+// probeRequests is enough for each of three instances to get some.
 const probeRequests = 20
 
-// announcementLearnTime is longer than a backend server takes until its announcements are known to be regular.
+// announcementLearnTime is longer than the time in which a node learns that the announcements of its backend server are regular.
 const announcementLearnTime = 3 * time.Second
 
-// allRouteTo reports whether every node sends requests to the lost one's backend server, or none does.
-func allRouteTo(t *testing.T, f *fleet.Fleet, lost *fleet.Node, takesWork bool) bool {
+// allRouteTo reports whether all nodes route to the backend server of the lost node or, if accepts is false, whether none does.
+func allRouteTo(t *testing.T, f *fleet.Fleet, lost *fleet.Node, accepts bool) bool {
 	for _, n := range f.Nodes {
 		dump, err := fleet.FetchDump(t.Context(), n.Backend)
 		if err != nil {
 			t.Fatalf("dump of %s: %v", n.Name, err)
 		}
-		if dump.Board.Members.AcceptsRequests(lost.Service, lost.Name) != takesWork {
+		if dump.Board.Members.AcceptsRequests(lost.Service, lost.Name) != accepts {
 			return false
 		}
 	}
 	return true
 }
 
-// get sends a lookup with the body and returns the answer's status, or 0 without an answer.
+// get sends a lookup with the body and returns the status of the response, or 0 if there is none.
 func get(t *testing.T, node, body string) int {
 	address := "http://" + node + "/call/level0/look"
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, address, strings.NewReader(body))
--- a/internal/proof/routing/silent_test.go
+++ b/internal/proof/routing/silent_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// maxSilentDelay is how long docs/RETRIES.md says that a request may be held up by a silent connection, and
-	// aftermath the time after which none is.
+	// maxSilentDelay is how long a silent connection may delay a request according to docs/RETRIES.md, and silenceRecovery the
+	// time after which no request may be delayed by that much.
 	maxSilentDelay  = time.Second
 	silenceRecovery = 2 * time.Second
 )
 
-// twoServices are one service, and a node of another one through which its requests enter.
+// twoServices returns a service with two instances and a second service whose node is the entry node.
 func twoServices() fleet.Deployment {
 	d := fleet.Deployment{Zones: []string{"lisbon_1", "lisbon_2"}}
 	for level, instances := range []int{2, 1} {
@@ -34,6 +34,8 @@
 	return d
 }
 
+// Connections that stay open but pass no bytes must be abandoned. Without that, each idle connection in the pool delays another
+// request until its timeout.
 func TestSilentConnectionsAreAbandoned(t *testing.T) {
 	is := is.New(t)
 	f := harness.Start(t, fleet.Config{Deployment: twoServices()})
@@ -47,7 +49,7 @@
 			silenced += f.Network.SilenceOpen(entry.Name, n.Name)
 		}
 	})
-	// A rush opens many connections; after the silence few requests come, so that most connections lie idle.
+	// A rush opens many connections; few requests follow after the silence, so most connections are idle.
 	rush, calm := lookupStream(500, 0), lookupStream(10, 0)
 	rush.Name, rush.Stop = "rush", silence-300*time.Millisecond
 	calm.Name, calm.Start = "calm", silence
@@ -77,7 +79,7 @@
 	t.Logf("%d connections silenced, %d requests delayed; %d of %d failed, slowest %s, %d late",
 		silenced, delayed, failed, tallyBetween(results, silence, time.Minute).sent, slowest, late)
 	is.True(silenced > 10)
-	is.True(2*delayed < silenced) // the first that notices closes the idle ones
+	is.True(2*delayed < silenced) // the first request to detect the silence closes the idle connections
 	is.Equal(failed, 0)
 	is.Equal(late, 0)
 	is.True(slowest < maxSilentDelay)
--- a/internal/proof/routing/uneven_test.go
+++ b/internal/proof/routing/uneven_test.go
@@ -15,7 +15,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// plainDeployment is one service whose requests are never tried again, so that each failure is seen.
+// plainDeployment returns one service whose requests are never retried, so that callers see each failure.
 func plainDeployment(instances int) fleet.Deployment {
 	return fleet.Deployment{
 		Zones: []string{"lisbon_1", "lisbon_2", "lisbon_3"},
@@ -28,6 +28,8 @@
 	}
 }
 
+// A backend server that fails fast has the fewest requests in flight and the lowest latency. Routing by these alone would send it
+// most requests.
 func TestFastFailingServerDoesNotAttractRequests(t *testing.T) {
 	is := is.New(t)
 	f := harness.Start(t, fleet.Config{Deployment: plainDeployment(3)})
@@ -48,10 +50,10 @@
 	}
 	t.Logf("%d of %d requests went to the failing server", failed, len(results))
 	is.True(failed > 0)
-	is.True(10*failed < len(results)) // an equal part would be a third
+	is.True(10*failed < len(results)) // an equal share would be a third
 }
 
-// queryEndpoint reads what a backend server tells at one of its endpoints.
+// queryEndpoint decodes the response of an endpoint of a backend server into the result.
 func queryEndpoint(t *testing.T, n *fleet.Node, path string, result any) {
 	t.Helper()
 	response, err := http.Get("http://" + n.Server.Address() + path)
@@ -65,16 +67,17 @@
 }
 
 const (
-	// ordinaryServiceTime is the service time of a good backend server; the slow one takes slowFactor times as long.
+	// ordinaryServiceTime is the service time of a good backend server; that of a slow one is slowFactor times as long.
 	ordinaryServiceTime = 100 * time.Millisecond
 	slowFactor          = 4
-	// unevenSlots is what each of the backend servers has, and unevenCapacity what a good and a slow one of them run
+	// unevenSlots is the number of slots of each backend server, and unevenCapacity the capacity of a good and a slow one
 	// together, in requests a second.
 	unevenSlots    = 10
 	unevenCapacity = unevenSlots * float64(time.Second/ordinaryServiceTime) * (1 + 1.0/slowFactor)
 )
 
-// One backend server fails and one is slow, and both say that all is well; the good one says that it fails and is full.
+// Backend servers may report a wrong health and load: here a failing and a slow one report to be healthy and idle, and the good one to
+// be failing and full. Routing must go by observed results, not by these endpoints.
 func TestFalseEndpointReportsDoNotAffectRouting(t *testing.T) {
 	is := is.New(t)
 	f := harness.Start(t, fleet.Config{Deployment: plainDeployment(3)})
@@ -107,10 +110,10 @@
 		}
 	}
 	rate := float64(tallyBetween(results, learnTime, end).good) / (end - learnTime).Seconds()
-	t.Logf("%.0f good answers a second of %.0f possible; %d of %d requests went to the failing server; runs: %d good, %d slow",
+	t.Logf("goodput %.0f/s of a capacity of %.0f/s; %d of %d requests went to the failing server; runs: %d good, %d slow",
 		rate, unevenCapacity, failed, len(results), len(good.Server.Ledger().Runs()), len(slow.Server.Ledger().Runs()))
 	is.True(rate >= 0.9*unevenCapacity)
-	is.True(10*failed < len(results)) // an equal part would be a third
+	is.True(10*failed < len(results)) // an equal share would be a third
 	for _, n := range f.Nodes {
 		is.Equal(n.Server.Report().Shed, 0)
 		is.Equal(n.Server.Report().EndpointQueries, 0)
