--- a/internal/proof/shell/answers_test.go
+++ b/internal/proof/shell/answers_test.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// roundsPerSeed is how often the faults change.
+	// roundsPerSeed is the number of rounds; the faults change before each.
 	roundsPerSeed = 3
-	// requestsPerRound are sent by callersAtOnce callers.
+	// requestsPerRound requests are sent by concurrentCallers callers.
 	requestsPerRound  = 40
 	concurrentCallers = 12
-	// Bodies are long, so that a flipped bit falls into them; TestDamagedFieldsAreFound is about the other fields.
+	// Bodies are long so that flipped bits fall into them; TestDamagedFieldsAreDetected covers the other fields.
 	minBodyBytes = 2 << 10
 	maxBodyBytes = 24 << 10
 )
@@ -34,7 +34,7 @@
 // bookingsNodes are the instances behind the entry node.
 var bookingsNodes = []string{"bookings_0", "bookings_1", "bookings_2"}
 
-// linkFaults are what can happen to the bytes between two nodes.
+// linkFaults are the faults of a link between two nodes.
 var linkFaults = map[string]proxy.Fault{
 	"none":      {},
 	"late":      {Delay: 5 * time.Millisecond, Jitter: 60 * time.Millisecond},
@@ -44,11 +44,12 @@
 	"corrupted": {Corrupt: true},
 }
 
-// faultNames fixes the order and the weights, so that a seed gives one course of faults.
+// faultNames gives the faults a fixed order and weights, so that a seed determines the sequence of faults.
 var faultNames = []string{"none", "none", "late", "late", "crossed", "crossed", "doubled", "truncated", "corrupted"}
 
-// TestEveryCallerGetsItsOwnResponse sends many different bodies at once while the bytes between the nodes are late,
-// crossed, doubled, truncated and corrupted, and holds each answer against its request and the backend servers' ledgers.
+// TestEveryCallerGetsItsOwnResponse guards against responses that are mixed up, cut short or altered. It sends many different bodies
+// concurrently while chunks between the nodes are delayed, swapped, duplicated, truncated and corrupted, and checks each response
+// against its request and the backend servers' ledgers.
 func TestEveryCallerGetsItsOwnResponse(t *testing.T) {
 	t.Parallel()
 	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: deployment(len(bookingsNodes)), Seed: 1})
@@ -66,7 +67,7 @@
 	}
 }
 
-// setFaults gives each direction of each link from the entry a fault of its own.
+// setFaults sets a random fault for each direction of each link of the entry node.
 func setFaults(f *fleet.Fleet, random *rand.Rand) {
 	entry := f.Nodes[0].Name
 	for _, name := range bookingsNodes {
@@ -75,21 +76,21 @@
 	}
 }
 
-// The paths of the kind that isn't idempotent, and of the one that is.
+// The paths of the non-idempotent and of the idempotent kind.
 const (
 	bookingPath = "/bookings"
 	statusPath  = "/bookings/status"
 )
 
-// defaultDeadline is in milliseconds.
+// defaultDeadline is the deadline of a request in milliseconds.
 const defaultDeadline = "1000"
 
-// exchange is one request and what came back.
+// exchange is one request and its response.
 type exchange struct {
 	id   string
 	path string
 	key  string
-	// deadline is in milliseconds; empty for usualDeadline.
+	// deadline is in milliseconds; empty for defaultDeadline.
 	deadline     string
 	body         []byte
 	status       int
@@ -112,7 +113,7 @@
 	return exchanges
 }
 
-// sendAll sends the requests by callersAtOnce callers and fills in their answers.
+// sendAll sends the requests with concurrentCallers callers and fills in their responses.
 func sendAll(t *testing.T, f *fleet.Fleet, exchanges []exchange) {
 	t.Helper()
 	callers := pool.New().WithMaxGoroutines(concurrentCallers)
@@ -157,16 +158,16 @@
 	counts := outcomesOf(exchanges)
 	for _, a := range exchanges {
 		is := is.New(t)
-		is.NoErr(a.err)                                      // the caller's own connection is whole
+		is.NoErr(a.err)                                      // the caller's connection has no fault
 		is.True(a.path != bookingPath || started[a.id] <= 1) // a booking runs at most once
 		switch a.outcome {
 		case "ran":
 			is.Equal(a.status, http.StatusOK)
-			is.True(bytes.Equal(a.responseBody, a.body)) // the whole answer to its own request
+			is.True(bytes.Equal(a.responseBody, a.body)) // the complete response to the request
 			is.True(started[a.id] > 0)
 		case "not_run":
 			is.True(a.status >= http.StatusBadRequest)
-			is.Equal(started[a.id], 0) // told that it was not run
+			is.Equal(started[a.id], 0) // reported as not run
 		case "not_admitted", "unknown":
 			is.True(a.status >= http.StatusBadRequest)
 		default:
--- a/internal/proof/shell/damage_test.go
+++ b/internal/proof/shell/damage_test.go
@@ -14,17 +14,17 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// damagedRequests are sent with one bit of each chunk flipped. Several callers send them at once, so that most are sent
-// before the damaged heartbeats get one of the nodes marked down.
+// damagedRequests is the number of requests sent while one bit of each chunk is flipped. Several callers send them concurrently,
+// so that most are sent before damaged heartbeats cause one of the nodes to be marked down.
 const damagedRequests = 40
 
-// damagedDeadline is in milliseconds. A flipped bit in a length makes the other side wait for what never comes.
+// damagedDeadline is in milliseconds. It is short because a flipped bit in a length makes the receiver wait for bytes that never come.
 const damagedDeadline = "250"
 
-// maxSmallBody keeps the bodies shorter than the fields around them.
+// maxSmallBody limits the bodies, in bytes, so that they are shorter than the other fields of a message.
 const maxSmallBody = 40
 
-// TestDamagedRequestIsServerError damages requests between nodes. The caller sent a good one.
+// TestDamagedRequestIsServerError damages requests between nodes. The caller's request was valid, so it must not get a client error.
 func TestDamagedRequestIsServerError(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestDamagedFieldsAreDetected damages small messages between nodes, in which the flipped bit is as often in a header, a
-// name or a number as in the body, in each direction.
+// TestDamagedFieldsAreDetected guards against damage outside of bodies that goes unnoticed. It flips bits of small messages between
+// nodes, in each direction, in which headers, names and numbers are hit as often as the body.
 func TestDamagedFieldsAreDetected(t *testing.T) {
 	t.Parallel()
 	f := harness.StartWithoutDrain(t, fleet.Config{Deployment: deployment(1)})
@@ -59,8 +59,8 @@
 			for _, a := range exchanges {
 				is := is.New(t)
 				is.NoErr(a.err)
-				is.True(a.outcome != "ran" || started[a.id] == 1 && bytes.Equal(a.responseBody, a.body)) // ran as it was sent
-				is.True(a.outcome != "not_run" || started[a.id] == 0)                                    // what was not run was not run
+				is.True(a.outcome != "ran" || started[a.id] == 1 && bytes.Equal(a.responseBody, a.body)) // ran once and unchanged
+				is.True(a.outcome != "not_run" || started[a.id] == 0)                                    // reported as not run, and has not run
 			}
 		})
 	}
--- a/internal/proof/shell/fixture_test.go
+++ b/internal/proof/shell/fixture_test.go
@@ -45,8 +45,8 @@
 idempotent = true
 `
 
-// deployment returns one node of access, where callers enter, and instances of bookings that echo the body. The
-// instances are in availability zones of their own, the first in that of the entry.
+// deployment returns one node of access, the entry node, and instances of bookings that echo the body. Each instance is in a
+// different availability zone, the first in that of the entry node.
 func deployment(instances int) fleet.Deployment {
 	behaviour := server.Behaviour{ServiceTime: time.Millisecond, Queue: 100, Echo: true}
 	service := fleet.Service{Slots: 35, Connections: 300, Behaviour: behaviour}
@@ -59,7 +59,7 @@
 	}
 }
 
-// logs collects what the nodes write.
+// logs collects the log output of the nodes.
 type logs struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -71,6 +71,7 @@
 	return l.text.Write(text)
 }
 
+// waitFor waits for a log line that contains all of the parts.
 func (l *logs) waitFor(t *testing.T, parts ...string) {
 	t.Helper()
 	harness.Eventually(t, 20*time.Second, func() bool {
--- a/internal/proof/shell/input_test.go
+++ b/internal/proof/shell/input_test.go
@@ -14,9 +14,11 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// logLimitInterval is longer than the time between two events of one number that strangers can cause.
+// logLimitInterval is longer than the interval to which a node limits the events of one number that clients can cause.
 const logLimitInterval = 1100 * time.Millisecond
 
+// Invalid requests of callers must be refused with the right reason, be logged, reach no backend server and leave the node running.
+// Slow or incomplete requests must be ended by timeouts, or they would hold connections for good.
 func TestBadInputOfCallers(t *testing.T) {
 	t.Parallel()
 	l := &logs{}
@@ -34,18 +36,18 @@
 		reason string
 		names  string
 	}{
-		"unknown service":        {"/call/unknown/x", nil, "", http.StatusNotFound, "unknown_service", "unknown"},
-		"unknown kind":           {"/call/bookings/nothing", nil, "", http.StatusNotFound, "unknown_kind", "/nothing"},
-		"dot segments":           {"/call/bookings/bookings/%2e%2e/x", nil, "", http.StatusBadRequest, "bad_request", "path"},
-		"escaped service":        {"/call/book%69ngs/bookings", nil, "", http.StatusBadRequest, "bad_request", "path"},
-		"oversized body":         {"/call/bookings/bookings", nil, strings.Repeat("x", 1025), http.StatusRequestEntityTooLarge, "body_too_large", "1024"},
-		"deadline is no number":  {"/call/bookings/bookings", http.Header{"Comfreyhoist-Deadline-Ms": {"soon"}}, "", http.StatusBadRequest, "bad_request", "Comfreyhoist-Deadline-Ms"},
-		"deadline is negative":   {"/call/bookings/bookings", http.Header{"Comfreyhoist-Deadline-Ms": {"-1"}}, "", http.StatusBadRequest, "bad_request", "Comfreyhoist-Deadline-Ms"},
-		"deadline stands twice":  {"/call/bookings/bookings", http.Header{"Comfreyhoist-Deadline-Ms": {"1", "2"}}, "", http.StatusBadRequest, "bad_request", "Comfreyhoist-Deadline-Ms"},
-		"key stands twice":       {"/call/bookings/bookings", http.Header{"Idempotency-Key": {"a", "b"}}, "", http.StatusBadRequest, "bad_key", "Idempotency-Key"},
-		"key is empty":           {"/call/bookings/bookings", http.Header{"Idempotency-Key": {""}}, "", http.StatusBadRequest, "bad_key", "Idempotency-Key"},
-		"caller's name is long":  {"/call/bookings/bookings", http.Header{"Comfreyhoist-Caller": {strings.Repeat("x", 129)}}, "", http.StatusBadRequest, "bad_request", "Comfreyhoist-Caller"},
-		"caller's name has gaps": {"/call/bookings/bookings", http.Header{"Comfreyhoist-Caller": {"a b"}}, "", http.StatusBadRequest, "bad_request", "Comfreyhoist-Caller"},
+		"unknown service":          {"/call/unknown/x", nil, "", http.StatusNotFound, "unknown_service", "unknown"},
+		"unknown kind":             {"/call/bookings/nothing", nil, "", http.StatusNotFound, "unknown_kind", "/nothing"},
+		"dot segments":             {"/call/bookings/bookings/%2e%2e/x", nil, "", http.StatusBadRequest, "bad_request", "path"},
+		"escaped service":          {"/call/book%69ngs/bookings", nil, "", http.StatusBadRequest, "bad_request", "path"},
+		"oversized body":           {"/call/bookings/bookings", nil, strings.Repeat("x", 1025), http.StatusRequestEntityTooLarge, "body_too_large", "1024"},
+		"deadline is not a number": {"/call/bookings/bookings", http.Header{"Comfreyhoist-Deadline-Ms": {"soon"}}, "", http.StatusBadRequest, "bad_request", "Comfreyhoist-Deadline-Ms"},
+		"deadline is negative":     {"/call/bookings/bookings", http.Header{"Comfreyhoist-Deadline-Ms": {"-1"}}, "", http.StatusBadRequest, "bad_request", "Comfreyhoist-Deadline-Ms"},
+		"deadline is given twice":  {"/call/bookings/bookings", http.Header{"Comfreyhoist-Deadline-Ms": {"1", "2"}}, "", http.StatusBadRequest, "bad_request", "Comfreyhoist-Deadline-Ms"},
+		"key is given twice":       {"/call/bookings/bookings", http.Header{"Idempotency-Key": {"a", "b"}}, "", http.StatusBadRequest, "bad_key", "Idempotency-Key"},
+		"key is empty":             {"/call/bookings/bookings", http.Header{"Idempotency-Key": {""}}, "", http.StatusBadRequest, "bad_key", "Idempotency-Key"},
+		"caller name is too long":  {"/call/bookings/bookings", http.Header{"Comfreyhoist-Caller": {strings.Repeat("x", 129)}}, "", http.StatusBadRequest, "bad_request", "Comfreyhoist-Caller"},
+		"caller name has spaces":   {"/call/bookings/bookings", http.Header{"Comfreyhoist-Caller": {"a b"}}, "", http.StatusBadRequest, "bad_request", "Comfreyhoist-Caller"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -81,18 +83,19 @@
 		is.New(t).True(strings.HasPrefix(answer, "HTTP/1.1 400 "))
 		l.waitFor(t, `"event":1204`, "body could not be read")
 	})
-	t.Run("no HTTP", func(t *testing.T) {
+	t.Run("not HTTP", func(t *testing.T) {
 		answer := readUntilClosed(t, f.Nodes[0].Caller, "\x00\x01\x02 rubbish\r\n\r\n")
 		is.New(t).True(strings.HasPrefix(answer, "HTTP/1.1 400 "))
 	})
 	for _, n := range f.Nodes {
 		for _, r := range n.Server.Ledger().Runs() {
-			t.Errorf("ran: %+v", r)
+			t.Errorf("an invalid request ran: %+v", r)
 		}
 	}
 	checkStillServes(t, f, pid)
 }
 
+// Bytes that don't follow the peer protocol must end their connection and be logged, and must not end the node.
 func TestGarbageOnPeerAddress(t *testing.T) {
 	t.Parallel()
 	l := &logs{}
@@ -118,14 +121,14 @@
 	checkStillServes(t, f, pid)
 }
 
-// readUntilClosed sends the bytes on a new connection, leaves it open, and returns what comes until the other side ends it.
+// readUntilClosed sends the bytes on a new connection, leaves it open and returns what the other side sends until it closes it.
 func readUntilClosed(t *testing.T, address, bytes string) string {
 	t.Helper()
 	is := is.New(t)
 	conn, err := net.Dial("tcp", address)
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
-	// The other side may end the connection before it has read everything.
+	// The other side may close the connection before it has read everything.
 	_, _ = conn.Write([]byte(bytes))
 	is.NoErr(conn.SetReadDeadline(time.Now().Add(30 * time.Second)))
 	answer, err := io.ReadAll(conn)
@@ -135,7 +138,7 @@
 	return string(answer)
 }
 
-// checkStillServes sends a good request through the process that took the bad ones.
+// checkStillServes checks that the process is the same as before and serves a valid request.
 func checkStillServes(t *testing.T, f *fleet.Fleet, pid int) {
 	t.Helper()
 	is := is.New(t)
--- a/internal/proof/shell/session_test.go
+++ b/internal/proof/shell/session_test.go
@@ -22,13 +22,13 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/proof/harness"
 )
 
-// step is one request of a session, sent while a fault is on the link between the entry and the instance.
+// step is one request of a session, sent while the link between the entry node and the instance has the step's faults.
 type step struct {
 	title string
-	// toInstance and toEntry are the faults of the two directions.
+	// toInstance and toEntry are the faults of the two directions of the link.
 	toInstance proxy.Fault
 	toEntry    proxy.Fault
-	// silence makes the open connections between the two silent for good.
+	// silence reports whether the open connections between the two nodes go silent permanently.
 	silence bool
 	method  string
 	path    string
@@ -41,7 +41,7 @@
 	deadlineHeader = "Comfreyhoist-Deadline-Ms"
 )
 
-// book returns a step that sends a booking under a key; "key 1" and so on stand for keys of the run.
+// book returns a step that sends a booking under a key; names such as "key 1" are replaced by keys generated for the run.
 func book(title, key, body string) step {
 	return step{
 		title:  title,
@@ -57,7 +57,7 @@
 	return s
 }
 
-// withDeadline gives the step a deadline of its own, in milliseconds.
+// withDeadline sets the deadline of the step in milliseconds.
 func withDeadline(deadline string, s step) step {
 	s.header[deadlineHeader] = deadline
 	return s
@@ -68,7 +68,7 @@
 	return s
 }
 
-// onLongMessage damages one long message and leaves the control messages on the link alone.
+// onLongMessage restricts the fault to one long message, so that control messages on the link are not damaged.
 func onLongMessage(f proxy.Fault) proxy.Fault {
 	f.MinChunkSize, f.MaxDamagedChunks = len(longBody)/4, 1
 	return f
@@ -76,7 +76,8 @@
 
 var longBody = strings.Repeat("a lowered chandelier, ", 500)
 
-// sessions are the golden files. In each the caller ends with its own whole answer, and the ledger shows one run.
+// sessions are the sessions by the names of their golden files. In each the caller gets its complete response at last, and the
+// ledger shows one run.
 var sessions = map[string][]step{
 	"whole": {
 		book("a booking", "key 1", "ballroom"),
@@ -115,16 +116,16 @@
 	},
 }
 
-// TestSessions compares whole sessions, as the caller sees them, with golden files.
+// TestSessions compares sessions, as the caller sees them, with golden files.
 func TestSessions(t *testing.T) {
 	f := startSessions(t)
 	for name, steps := range sessions {
 		t.Run(name, func(t *testing.T) { runSession(t, f, name, steps) })
 	}
-	t.Run("damage leaves nothing behind", func(t *testing.T) { testRecoveryAfterDamage(t, f) })
+	t.Run("recovery after damage", func(t *testing.T) { testRecoveryAfterDamage(t, f) })
 }
 
-// testRecoveryAfterDamage damages everything between two nodes for a while. Afterwards all works as before.
+// testRecoveryAfterDamage corrupts all messages between two nodes for damageTime. Requests must succeed again afterwards.
 func testRecoveryAfterDamage(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	f.Network.SetBoth([]string{f.Nodes[0].Name}, []string{f.Nodes[1].Name}, proxy.Fault{Corrupt: true})
@@ -133,7 +134,7 @@
 	harness.Eventually(t, 20*time.Second, func() bool { return hasKeyOwner(t, f) })
 }
 
-// damageTime is several heartbeats.
+// damageTime is several heartbeat intervals.
 const damageTime = 2 * time.Second
 
 func startSessions(t *testing.T) *fleet.Fleet {
@@ -154,7 +155,7 @@
 	p.checkRuns(t)
 }
 
-// hasKeyOwner reports whether a key of a caller has a home yet.
+// hasKeyOwner reports whether a request with a caller's own key runs, which requires that the key has an owner.
 func hasKeyOwner(t *testing.T, f *fleet.Fleet) bool {
 	t.Helper()
 	a := exchange{id: "remembers", path: bookingPath, key: uuid.Must(uuid.NewV7()).String()}
@@ -162,14 +163,14 @@
 	return a.outcome == "ran"
 }
 
-// oneInstance returns one availability zone with the entry and one instance behind it.
+// oneInstance returns one availability zone with the entry node and one instance of bookings.
 func oneInstance() fleet.Deployment {
 	d := deployment(1)
 	d.Zones = d.Zones[:1]
 	return d
 }
 
-// sessionRunner plays the steps of one session and writes down what goes over the caller's connection.
+// sessionRunner runs the steps of one session and records the requests and responses of the caller.
 type sessionRunner struct {
 	fleet      *fleet.Fleet
 	keys       map[string]string
@@ -205,11 +206,11 @@
 	is.NoErr(err)
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	is.NoErr(err) // whole, as Content-Length gives it
+	is.NoErr(err) // complete according to Content-Length
 	p.write("< ", response.Status, response.Header, body)
 }
 
-// value returns the key that "key 1" and so on stand for; other values stand for themselves.
+// value returns the generated key for a name such as "key 1", and other values unchanged.
 func (p *sessionRunner) value(text string) string {
 	if !strings.HasPrefix(text, "key ") {
 		return text
@@ -222,7 +223,7 @@
 
 var (
 	mintedKey = regexp.MustCompile(`m\.[0-9a-z]+\.[0-9a-f-]+\.\w+`)
-	// varyingHeaders are the headers whose values differ from run to run.
+	// varyingHeaders are the headers whose values differ between runs.
 	varyingHeaders = []string{"Date", "Retry-After", "Comfreyhoist-Retry-After-Ms"}
 )
 
@@ -249,7 +250,7 @@
 	return mintedKey.ReplaceAllString(text, "(key of the node)")
 }
 
-// maxShownBody is the longest body that a transcript shows whole.
+// maxShownBody is the length, in bytes, up to which a transcript shows a body in full.
 const maxShownBody = 120
 
 func shorten(body string) string {
@@ -259,7 +260,7 @@
 	return strings.TrimSpace(body)
 }
 
-// checkRuns holds the keys of the session against the ledger: each ran once.
+// checkRuns checks in the ledger that each key of the session ran once.
 func (p *sessionRunner) checkRuns(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
