--- a/internal/traffic/call/chain.go
+++ b/internal/traffic/call/chain.go
@@ -8,172 +8,181 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/lineage"
 )
 
-// Chain is a request that runs on the local backend server. Calls that the backend server makes for it inherit its
-// root, its deadline and its attempts, whatever their headers say.
-type Chain struct {
+// RunningRequest is the state of a request that runs on the local backend server. Calls that carry its token inherit its root, its
+// deadline and its attempt allowance, regardless of their headers. Calls that are assigned to it by inference inherit only
+// its root.
+type RunningRequest struct {
 	Root     Root
 	Depth    int
 	Kind     string
 	Started  time.Time
 	Deadline time.Time
-	// Running ends with the request, so that its calls end too.
-	Running context.Context
+	// Context is canceled when the request ends, which also ends its calls.
+	Context context.Context
 
-	// Attempts are what the calls down the chain may spend together.
-	Attempts *Attempts
+	// Attempts is the attempt allowance that all calls below the request share.
+	Attempts *AttemptAllowance
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// failure is the cause of the most recent failure of a call, or ReasonNone.
 	failure Reason
-	// open are the calls down the chain that have not ended.
-	open       map[*Child]bool
-	childStart time.Time
-	childEnd   time.Time
-	childTime  time.Duration
-	// guessed says that it is a guess which calls are those of the request. A failure after some of them is then taken
-	// for one of a call.
-	guessed bool
-	// calls counts the calls down the chain, and waited is how long they stood in queues.
-	calls  int
-	waited time.Duration
-	// farBytes is how many bytes they sent between availability zones.
-	farBytes int64
-}
-
-// Below is what the calls of a request came to.
-type Below struct {
+	// openCalls holds the calls that have not ended.
+	openCalls map[*Child]bool
+	// openSince is the time since which at least one call has been open. It is valid only while openCalls is not empty.
+	openSince    time.Time
+	lastChildEnd time.Time
+	// childTime is the total time during which at least one call was open, without the current period.
+	childTime time.Duration
+	// callsInferred is whether calls were assigned to the request by inference. If the request then fails after any
+	// calls, the failure is attributed to a call.
+	callsInferred bool
+	// endedCalls is the number of calls that have ended, and queueingDelay their total queueing delay.
+	endedCalls    int
+	queueingDelay time.Duration
+	// crossZoneBytes is the number of bytes that the ended calls sent between availability zones.
+	crossZoneBytes int64
+}
+
+// DownstreamSummary sums up the calls that a request has made.
+type DownstreamSummary struct {
+	// Calls is the number of calls that the request made itself, including those that have not ended.
 	Calls int
-	// Waited is how long they, and those below them, stood in queues.
-	Waited time.Duration
-	// FarBytes is how many bytes they sent between availability zones.
-	FarBytes int64
-	// Failure is why one of them failed, or ReasonNone.
+	// QueueingDelay is the total queueing delay of the calls and of all calls below them.
+	QueueingDelay time.Duration
+	// CrossZoneBytes is the number of bytes sent between availability zones for the calls and for all calls below them.
+	CrossZoneBytes int64
+	// Failure is the cause of the most recent failure of a call, or ReasonNone.
 	Failure Reason
 }
 
-// Below returns what the calls have come to. What one that hasn't ended takes longer than is usual counts as waiting.
-func (c *Chain) Below(now time.Time) Below {
+// Downstream returns the summary of the calls made until now. For a call that has not ended, the time by which it exceeds
+// the typical duration of its kind counts as queueing delay.
+func (c *RunningRequest) Downstream(now time.Time) DownstreamSummary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	below := Below{Calls: c.calls + len(c.open), Waited: c.waited, FarBytes: c.farBytes, Failure: c.failure}
-	for child := range c.open {
-		below.Waited += max(now.Sub(child.start)-child.usual, 0)
+	summary := DownstreamSummary{Calls: c.endedCalls + len(c.openCalls), QueueingDelay: c.queueingDelay, CrossZoneBytes: c.crossZoneBytes, Failure: c.failure}
+	for child := range c.openCalls {
+		summary.QueueingDelay += max(now.Sub(child.start)-child.typicalDuration, 0)
 	}
-	return below
+	return summary
 }
 
-// NoteReply takes in the reply to a call down the chain.
-func (c *Chain) NoteReply(reply *Reply) {
+// RecordReply records the reply to a call that the request made.
+func (c *RunningRequest) RecordReply(reply *Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls++
-	c.waited += reply.Waited
-	c.farBytes += reply.FarBytes
+	c.endedCalls++
+	c.queueingDelay += reply.QueueingDelay
+	c.crossZoneBytes += reply.CrossZoneBytes
 	if cause := reply.Cause(); cause != ReasonNone {
 		c.failure = cause
 	}
 }
 
-// Settle completes the reply to the request: the attempts that were spent below, and whether its failure came from
-// further down.
-func (c *Chain) Settle(reply *Reply) {
+// CompleteReply sets the number of attempts used below the request and, if the reply is a failure, its downstream cause.
+func (c *RunningRequest) CompleteReply(reply *Reply) {
 	reply.AttemptsUsed = c.Attempts.Close()
 	if reply.Failure() == ReasonNone {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	reply.Deeper = c.failure
-	if c.failure == ReasonNone && c.calls > 0 && c.guessed {
-		reply.Deeper = ReasonBackendFailed
+	reply.DownstreamFailure = c.failure
+	if c.failure == ReasonNone && c.endedCalls > 0 && c.callsInferred {
+		reply.DownstreamFailure = ReasonBackendFailed
 	}
 }
 
-func (c *Chain) markGuessed() {
+func (c *RunningRequest) markCallsInferred() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.guessed = true
+	c.callsInferred = true
 }
 
-func (c *Chain) asRunning() lineage.RunningRequest {
+func (c *RunningRequest) runningRequest() lineage.RunningRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return lineage.RunningRequest{Kind: c.Kind, Started: c.Started, Deadline: c.Deadline, HasOpenCall: len(c.open) > 0, LastCallEnd: c.childEnd}
+	return lineage.RunningRequest{Kind: c.Kind, Started: c.Started, Deadline: c.Deadline, HasOpenCall: len(c.openCalls) > 0, LastCallEnd: c.lastChildEnd}
 }
 
-// Child is a call down the chain that has not ended.
+// Child is a call that a running request has made and that has not ended.
 type Child struct {
 	start time.Time
-	// usual is how long calls of its kind take without what they wait.
-	usual time.Duration
+	// typicalDuration is the typical duration of calls of this kind, without queueing delay.
+	typicalDuration time.Duration
 }
 
-// BeginChild marks the start of a call down the chain, of a kind that usually takes so long without what it waits.
-func (c *Chain) BeginChild(now time.Time, usual time.Duration) *Child {
-	child := &Child{start: now, usual: usual}
+// BeginChild records the start of a call. typicalDuration is the typical duration of calls of its kind, without queueing
+// delay.
+func (c *RunningRequest) BeginChild(now time.Time, typicalDuration time.Duration) *Child {
+	child := &Child{start: now, typicalDuration: typicalDuration}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open) == 0 {
-		c.open = map[*Child]bool{}
-		c.childStart = now
+	if len(c.openCalls) == 0 {
+		c.openCalls = map[*Child]bool{}
+		c.openSince = now
 	}
-	c.open[child] = true
+	c.openCalls[child] = true
 	return child
 }
 
-// EndChild marks the end of a call down the chain.
-func (c *Chain) EndChild(now time.Time, child *Child) {
+// EndChild records the end of a call.
+func (c *RunningRequest) EndChild(now time.Time, child *Child) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, child)
-	c.childEnd = now
-	if len(c.open) == 0 {
-		c.childTime += now.Sub(c.childStart)
+	delete(c.openCalls, child)
+	c.lastChildEnd = now
+	if len(c.openCalls) == 0 {
+		c.childTime += now.Sub(c.openSince)
 	}
 }
 
-// ChildTime returns how long the request has waited for calls down the chain until now, also for one that hasn't
-// ended. That says nothing about the backend server that made them.
-func (c *Chain) ChildTime(now time.Time) time.Duration {
+// ChildTime returns for how long the request has waited for its calls until now, including those that have not ended.
+// This time is not part of the backend server's service time.
+func (c *RunningRequest) ChildTime(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open) > 0 {
-		return c.childTime + now.Sub(c.childStart)
+	if len(c.openCalls) > 0 {
+		return c.childTime + now.Sub(c.openSince)
 	}
 	return c.childTime
 }
 
-// Chains holds the requests that run on the local backend server, by the token that the backend server got with
-// each. A token that is not in it grants nothing.
-type Chains struct {
+// RunningRequests holds the requests that run on the local backend server, by the token that was sent to the backend server with
+// each. A call with an unknown token inherits nothing.
+type RunningRequests struct {
 	mu      sync.RWMutex
-	byToken map[string]*Chain
-	// canceled holds the tokens of requests that were canceled while they ran, and canceledOrder the oldest first.
+	byToken map[string]*RunningRequest
+	// canceled holds the tokens of requests that were canceled while they ran; canceledOrder holds the same tokens,
+	// oldest first.
 	canceled      map[string]bool
 	canceledOrder []string
-	// matcher finds the requests of calls without a token, among candidates, which are the same as running.
-	matcher    *lineage.Matcher
-	candidates []*Chain
-	running    []lineage.RunningRequest
+	// matcher infers which running request made a call that has no token. candidates and runningRequests are reused
+	// between calls of Parent and describe the same requests in the same order.
+	matcher         *lineage.Matcher
+	candidates      []*RunningRequest
+	runningRequests []lineage.RunningRequest
 }
 
-// maxCanceled is how many tokens of canceled requests are remembered.
-const maxCanceled = 4096
+// maxCanceledTokens is the number of tokens of canceled requests that are remembered.
+const maxCanceledTokens = 4096
 
-// NewChains returns an empty table.
-func NewChains() *Chains {
-	return &Chains{byToken: map[string]*Chain{}, canceled: map[string]bool{}, matcher: lineage.NewMatcher()}
+// NewRunningRequests returns an empty table.
+func NewRunningRequests() *RunningRequests {
+	return &RunningRequests{byToken: map[string]*RunningRequest{}, canceled: map[string]bool{}, matcher: lineage.NewMatcher()}
 }
 
-// Begin enters a request under the token and returns its chain.
-func (t *Chains) Begin(running context.Context, token string, r *Request) *Chain {
-	c := &Chain{
+// Begin adds a request under the token and returns its state. ctx ends with the request; if it has ended before End
+// is called, the request counts as canceled.
+func (t *RunningRequests) Begin(ctx context.Context, token string, r *Request) *RunningRequest {
+	c := &RunningRequest{
 		Root:     r.Root,
 		Depth:    r.Depth,
 		Kind:     r.Kind,
 		Started:  time.Now(),
 		Deadline: r.Deadline,
-		Running:  running,
-		Attempts: NewAttempts(r.AttemptsLeft),
+		Context:  ctx,
+		Attempts: NewAttemptAllowance(r.AttemptsLeft),
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,9 +190,9 @@
 	return c
 }
 
-// End removes the request under the token. The token of a request that was canceled is remembered, so that a backend
-// server that works on regardless can't start calls for it.
-func (t *Chains) End(token string) {
+// End removes the request under the token. The token of a canceled request is remembered, so that a backend server that
+// continues to work on it cannot make calls for it.
+func (t *RunningRequests) End(token string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c, ok := t.byToken[token]
@@ -191,47 +200,48 @@
 		return
 	}
 	delete(t.byToken, token)
-	if c.Running.Err() != nil {
+	if c.Context.Err() != nil {
 		t.rememberCanceled(token)
 	}
 }
 
-func (t *Chains) rememberCanceled(token string) {
+func (t *RunningRequests) rememberCanceled(token string) {
 	t.canceled[token] = true
 	t.canceledOrder = append(t.canceledOrder, token)
-	if len(t.canceledOrder) > maxCanceled {
+	if len(t.canceledOrder) > maxCanceledTokens {
 		delete(t.canceled, t.canceledOrder[0])
 		t.canceledOrder = t.canceledOrder[1:]
 	}
 }
 
-// Find returns the chain under the token, or nil.
-func (t *Chains) Find(token string) *Chain {
+// Find returns the running request under the token, or nil.
+func (t *RunningRequests) Find(token string) *RunningRequest {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.byToken[token]
 }
 
-// Parent returns the running request that a call without a token was most likely made for, or nil, and reports whether it is
-// a call at all. Both are guesses.
-func (t *Chains) Parent(now time.Time, c lineage.Call) (*Chain, bool) {
+// Parent returns the running request that most likely made a call without a token, or nil if none matches. It also
+// reports whether the request is likely to be a call of the local backend server at all. Both results are inferred and may
+// be wrong.
+func (t *RunningRequests) Parent(now time.Time, c lineage.Call) (*RunningRequest, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.candidates, t.running = t.candidates[:0], t.running[:0]
+	t.candidates, t.runningRequests = t.candidates[:0], t.runningRequests[:0]
 	for _, chain := range t.byToken {
 		t.candidates = append(t.candidates, chain)
-		t.running = append(t.running, chain.asRunning())
+		t.runningRequests = append(t.runningRequests, chain.runningRequest())
 	}
-	index, isCall := t.matcher.Match(now, c, t.running)
+	index, isCall := t.matcher.Match(now, c, t.runningRequests)
 	if index == lineage.Unknown {
 		return nil, isCall
 	}
-	t.candidates[index].markGuessed()
+	t.candidates[index].markCallsInferred()
 	return t.candidates[index], isCall
 }
 
 // IsCanceled reports whether the token belongs to a request that was canceled while it ran.
-func (t *Chains) IsCanceled(token string) bool {
+func (t *RunningRequests) IsCanceled(token string) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.canceled[token]
--- a/internal/traffic/caller/handler.go
+++ b/internal/traffic/caller/handler.go
@@ -1,4 +1,4 @@
-// Package caller speaks HTTP to callers, and to the local backend server when it calls other services.
+// Package caller serves HTTP requests of callers, and of the local backend server when it calls other services.
 //
 // # Usage
 //
@@ -26,41 +26,41 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
 	OutcomeHeader  = "Comfreyhoist-Outcome"
 	ReasonHeader   = "Comfreyhoist-Reason"
 	AttemptsHeader = "Comfreyhoist-Attempts-Used"
 	CallerHeader   = "Comfreyhoist-Caller"
 	DeadlineHeader = "Comfreyhoist-Deadline-Ms"
-	// ResendHeader is how often the caller has sent the request before.
+	// ResendHeader carries the number of times that the caller has sent the request before.
 	ResendHeader = "Comfreyhoist-Resend"
 )
 
 const (
 	// Path is the route of all calls.
 	Path = pathPrefix + ":service/*path"
-	// pathPrefix stands before the name of the service.
+	// pathPrefix precedes the name of the service.
 	pathPrefix = "/call/"
 )
 
-// Sender sends a request on and returns its reply.
+// Sender forwards a request to an instance of its service and returns the reply.
 type Sender interface {
 	Send(ctx context.Context, r *call.Request) call.Reply
 }
 
-// Config sets the handler up.
+// Config configures the handler.
 type Config struct {
 	Board  *board.Loop
 	Sender Sender
-	Chains *call.Chains
-	// MaxBody is in bytes.
+	Chains *call.RunningRequests
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64
-	// Rejected is told of each request that was refused as malformed; nil for nobody.
+	// Rejected is called for each request that is rejected before it is sent to an instance. It may be nil.
 	Rejected func(r *http.Request, reason call.Reason, text string)
 }
 
-// Register adds the route for calls to the router.
+// Register adds the routes for calls to the router.
 func Register(router *httprouter.Router, config Config) {
 	h := &handler{config: config}
 	for _, method := range []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete} {
@@ -72,14 +72,14 @@
 	config Config
 }
 
-// rejection is a request that was refused before it was sent anywhere.
+// rejection is the reason and the response text for a request that is refused before it is sent to an instance.
 type rejection struct {
 	reason call.Reason
 	text   string
 }
 
 func (h *handler) serve(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	request, chain, refused := h.request(r, p)
+	request, chain, refused := h.buildRequest(r, p)
 	if refused != nil {
 		h.reject(w, r, refused)
 		return
@@ -87,65 +87,66 @@
 	ctx, cancel := context.WithDeadline(r.Context(), request.Deadline)
 	defer cancel()
 	if chain != nil {
-		stop := context.AfterFunc(chain.Running, cancel)
+		stop := context.AfterFunc(chain.Context, cancel)
 		defer stop()
 	}
-	h.write(w, request, h.send(ctx, request, chain))
+	h.writeReply(w, request, h.send(ctx, request, chain))
 }
 
 func (h *handler) reject(w http.ResponseWriter, r *http.Request, refused *rejection) {
 	if h.config.Rejected != nil {
 		h.config.Rejected(r, refused.reason, refused.text)
 	}
-	reply := call.Refused(refusedOutcome(r), refused.reason, 0)
+	reply := call.Refused(rejectionOutcome(r), refused.reason, 0)
 	reply.Body = []byte(refused.text + "\n")
-	h.write(w, nil, reply)
+	h.writeReply(w, nil, reply)
 }
 
-// refusedOutcome returns the outcome of a request that was sent nowhere. Under a caller's key, an earlier attempt may
-// have run.
-func refusedOutcome(r *http.Request) call.Outcome {
+// rejectionOutcome returns the outcome of a rejected request. It is NotAdmitted if the caller set a key, because an earlier
+// attempt under that key may have run.
+func rejectionOutcome(r *http.Request) call.Outcome {
 	if r.Header.Get(backend.KeyHeader) != "" {
 		return call.NotAdmitted
 	}
 	return call.NotRun
 }
 
-// send sends the request on. A call of a chain spends the chain's attempts and waits on the chain's behalf.
-func (h *handler) send(ctx context.Context, request *call.Request, chain *call.Chain) call.Reply {
+// send forwards the request. A call of a running request uses the attempt allowance of that request and counts as its
+// child.
+func (h *handler) send(ctx context.Context, request *call.Request, chain *call.RunningRequest) call.Reply {
 	if chain == nil {
-		request.Attempts = call.NewAttempts(request.AttemptsLeft)
+		request.Attempts = call.NewAttemptAllowance(request.AttemptsLeft)
 		return h.config.Sender.Send(ctx, request)
 	}
 	request.Attempts = chain.Attempts
 	child := chain.BeginChild(time.Now(), 0)
 	reply := h.config.Sender.Send(ctx, request)
 	chain.EndChild(time.Now(), child)
-	chain.NoteReply(&reply)
+	chain.RecordReply(&reply)
 	return reply
 }
 
-func (h *handler) request(r *http.Request, p httprouter.Params) (*call.Request, *call.Chain, *rejection) {
-	accepted, kind, refused := h.match(r, p)
+func (h *handler) buildRequest(r *http.Request, p httprouter.Params) (*call.Request, *call.RunningRequest, *rejection) {
+	accepted, kind, refused := h.matchKind(r, p)
 	if refused != nil {
 		return nil, nil, refused
 	}
-	request, refused := h.read(r, p, kind)
+	request, refused := h.readRequest(r, p, kind)
 	if refused != nil {
 		return nil, nil, refused
 	}
-	request.AttemptsLeft = accepted.Attempts
+	request.AttemptsLeft = accepted.AttemptAllowance
 	token := r.Header.Get(backend.ChainHeader)
 	if h.config.Chains.IsCanceled(token) {
 		return nil, nil, &rejection{call.ReasonCanceled, backend.ChainHeader + " names a request that was canceled"}
 	}
 	chain := h.config.Chains.Find(token)
-	inherit(request, r, kind, chain)
+	inheritRoot(request, r, kind, chain)
 	return request, chain, nil
 }
 
-// match finds the document and the kind that the request belongs to.
-func (h *handler) match(r *http.Request, p httprouter.Params) (*document.Document, document.Kind, *rejection) {
+// matchKind returns the document of the requested service and the kind that the request matches.
+func (h *handler) matchKind(r *http.Request, p httprouter.Params) (*document.Document, document.Kind, *rejection) {
 	service := p.ByName("service")
 	accepted, ok := h.config.Board.Snapshot().Documents.ByService[service]
 	if !ok {
@@ -162,8 +163,8 @@
 	return accepted.Document, kind, nil
 }
 
-// read takes the request in as its caller sent it.
-func (h *handler) read(r *http.Request, p httprouter.Params, kind document.Kind) (*call.Request, *rejection) {
+// readRequest builds the request from what the caller sent.
+func (h *handler) readRequest(r *http.Request, p httprouter.Params, kind document.Kind) (*call.Request, *rejection) {
 	path, refused := pathOf(r, p)
 	if refused != nil {
 		return nil, refused
@@ -185,7 +186,7 @@
 		Kind:       kind.Name,
 		Method:     r.Method,
 		Path:       path,
-		Header:     forwarded(r.Header),
+		Header:     forwardedHeaders(r.Header),
 		Body:       body,
 		Idempotent: kind.Idempotent,
 		Key:        r.Header.Get(backend.KeyHeader),
@@ -194,8 +195,8 @@
 	}, nil
 }
 
-// inherit takes the root from the chain, or starts one.
-func inherit(request *call.Request, r *http.Request, kind document.Kind, chain *call.Chain) {
+// inheritRoot copies the root from the running request that made the call, or creates a new root if chain is nil.
+func inheritRoot(request *call.Request, r *http.Request, kind document.Kind, chain *call.RunningRequest) {
 	if chain == nil {
 		request.Root = call.Root{ID: uuid.NewString(), Start: time.Now(), Rank: kind.Rank, Caller: callerOf(r)}
 		return
@@ -207,9 +208,9 @@
 	}
 }
 
-// readBody returns the whole body, which must not be longer than most, in bytes.
-func readBody(r *http.Request, most int64) ([]byte, *rejection) {
-	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, most))
+// readBody returns the request body. It refuses a body of more than limit bytes.
+func readBody(r *http.Request, limit int64) ([]byte, *rejection) {
+	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, &rejection{call.ReasonBodyTooLarge, "body is larger than " + strconv.FormatInt(tooLarge.Limit, 10) + " bytes"}
@@ -221,17 +222,17 @@
 }
 
 const (
-	// highestStatus is the highest status that HTTP has.
-	highestStatus = 999
-	// defaultRetryAfter is when to come back where nobody down the way said.
+	// maxStatus is the highest three-digit HTTP status.
+	maxStatus = 999
+	// defaultRetryAfter is the Retry-After of a failure whose reply gives none.
 	defaultRetryAfter = time.Second
 )
 
-// retryAfterMsHeader gives the time of Retry-After exactly, which has whole seconds only.
+// retryAfterMsHeader carries the Retry-After time in milliseconds, since Retry-After has whole seconds only.
 const retryAfterMsHeader = "Comfreyhoist-Retry-After-Ms"
 
-func (h *handler) write(w http.ResponseWriter, request *call.Request, reply call.Reply) {
-	if reply.Status < http.StatusOK || reply.Status > highestStatus || !wellFormed(reply.Header) {
+func (h *handler) writeReply(w http.ResponseWriter, request *call.Request, reply call.Reply) {
+	if reply.Status < http.StatusOK || reply.Status > maxStatus || !areHeadersValid(reply.Header) {
 		reply = call.Refused(call.Unknown, call.ReasonCorrupt, 0)
 	}
 	if reply.Outcome != call.Ran && reply.Status >= http.StatusInternalServerError && reply.RetryAfter <= 0 {
@@ -242,7 +243,7 @@
 	}
 	header := w.Header()
 	for name, values := range reply.Header {
-		if !strings.HasPrefix(name, ownPrefix) {
+		if !strings.HasPrefix(name, ownHeaderPrefix) {
 			header[name] = values
 		}
 	}
--- a/internal/traffic/caller/server.go
+++ b/internal/traffic/caller/server.go
@@ -18,28 +18,31 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/backend"
 )
 
-// ServerConfig sets a Server up.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Handler http.Handler
-	// HeaderTimeout and BodyTimeout bound the time from a request's first byte to the end of its head, and of its body.
+	// HeaderTimeout is the maximum time from the first byte of a request to the end of its header, and BodyTimeout from
+	// there to the end of its body.
 	HeaderTimeout, BodyTimeout time.Duration
-	// IdleTimeout is how long a connection is kept without a request.
+	// IdleTimeout is how long a connection is kept open without a request.
 	IdleTimeout time.Duration
-	// WriteTimeout is how long a caller may not read.
+	// WriteTimeout is the maximum time to write a response.
 	WriteTimeout time.Duration
-	// MaxHeader and MaxBody are in bytes.
+	// MaxHeader and MaxBody are the maximum sizes of a request's header and body in bytes.
 	MaxHeader, MaxBody int64
-	// MaxPending is how many requests of one connection are worked on at once.
+	// MaxPending is the maximum number of requests that wait for their responses to be written, per connection.
 	MaxPending int
-	// Closing says that the next request on each connection is the last.
-	Closing func() bool
-	// Failed is told of each connection that ended in the middle of a request, or sent something else.
+	// IsClosing reports whether the next request on each connection is the last.
+	IsClosing func() bool
+	// Failed is called if a caller closes a connection in the middle of a request or sends data that is not HTTP, if the
+	// handler panics, and if a connection cannot be accepted; remote is empty in the last case. It is not called for
+	// connection resets and timeouts.
 	Failed func(remote string, err error)
 }
 
-// Server serves callers that send further requests before the first is answered. Idempotent methods run side by side, all
-// others alone; answers go out in the order of the requests. The library's own server would begin a request only after
-// the one before it was answered, and wouldn't see a caller leave meanwhile.
+// Server is an HTTP/1.1 server with request pipelining. GET and HEAD requests of a connection run concurrently, requests
+// with other methods alone; responses are written in the order of the requests. net/http.Server starts a pipelined request
+// only after the previous one was answered, and does not notice in the meantime that the caller has disconnected.
 type Server struct {
 	config ServerConfig
 	group  conc.WaitGroup
@@ -48,12 +51,12 @@
 	conns map[*serverConn]bool
 }
 
-// NewServer returns a server without connections.
+// NewServer returns a server that has no connections yet.
 func NewServer(config ServerConfig) *Server {
 	return &Server{config: config, conns: map[*serverConn]bool{}}
 }
 
-// Serve takes connections until the listener closes, and returns when the last of them has ended.
+// Serve accepts connections until the listener is closed, and returns when all connections have ended.
 func (s *Server) Serve(ctx context.Context, l net.Listener) {
 	defer s.group.Wait()
 	for {
@@ -63,7 +66,7 @@
 		}
 		if err != nil {
 			s.config.Failed("", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		c := newServerConn(s, conn)
@@ -75,10 +78,10 @@
 	}
 }
 
-// acceptPause keeps a lack of descriptors from using up the processor.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept. It prevents a busy loop while no file descriptors are free.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// CloseIdle closes the connections on which nothing is being worked on.
+// CloseIdle closes the connections that have no open request.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,75 +109,77 @@
 	delete(s.conns, c)
 }
 
-// serverConn is one connection of a caller.
+// serverConn is a connection from a caller.
 type serverConn struct {
-	server *Server
-	conn   net.Conn
-	head   *io.LimitedReader
-	reader *bufio.Reader
-	writer *bufio.Writer
-	// pending holds the requests that are worked on, in the order of their answers.
-	pending chan *exchanged
+	server        *Server
+	conn          net.Conn
+	limitedReader *io.LimitedReader
+	reader        *bufio.Reader
+	writer        *bufio.Writer
+	// pending holds the requests that are not answered yet, in the order in which they were received.
+	pending chan *exchange
 
 	mu sync.Mutex
-	// open counts the requests of which the first byte was read and that are not answered.
-	open int
-	// closed says that no further request is begun.
+	// openRequests is the number of requests whose first byte was read and that are not answered yet.
+	openRequests int
+	// closed is whether the connection accepts no further requests.
 	closed bool
 }
 
-// exchanged is a request and its answer.
-type exchanged struct {
-	request *http.Request
-	answer  recorder
-	done    chan struct{}
-	// last says that the connection closes after the answer.
+// exchange is a request and its response.
+type exchange struct {
+	request  *http.Request
+	response responseRecorder
+	// done is closed when the response is complete.
+	done chan struct{}
+	// last is whether the connection is closed after the response.
 	last bool
-	// isOnly says that none before it was unanswered when it came.
+	// isOnly is whether all earlier requests of the connection were answered when the request was received.
 	isOnly bool
 }
 
 func newServerConn(s *Server, conn net.Conn) *serverConn {
-	head := &io.LimitedReader{R: conn, N: s.config.MaxHeader}
+	limitedReader := &io.LimitedReader{R: conn, N: s.config.MaxHeader}
 	return &serverConn{
-		server:  s,
-		conn:    conn,
-		head:    head,
-		reader:  bufio.NewReader(head),
-		writer:  bufio.NewWriter(conn),
-		pending: make(chan *exchanged, s.config.MaxPending),
+		server:        s,
+		conn:          conn,
+		limitedReader: limitedReader,
+		reader:        bufio.NewReader(limitedReader),
+		writer:        bufio.NewWriter(conn),
+		pending:       make(chan *exchange, s.config.MaxPending),
 	}
 }
 
-// closeIdle closes the connection unless a request has begun.
+// closeIdle closes the connection unless it has an open request.
 func (c *serverConn) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == 0 {
+	if c.openRequests == 0 {
 		c.closed = true
 		_ = c.conn.Close()
 	}
 }
 
-// begin counts a request of which the first byte was read, and reports false where the connection was closed before.
-func (c *serverConn) begin() bool {
+// beginRequest counts a request whose first byte was read. It reports whether the connection still accepts requests.
+func (c *serverConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return false
 	}
-	c.open++
+	c.openRequests++
 	return true
 }
 
-// end counts a request that was answered, or that broke off.
-func (c *serverConn) end() {
+// endRequest ends a request that was answered or whose reading failed.
+func (c *serverConn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open--
+	c.openRequests--
 }
 
-// serve reads requests until the caller leaves, and then ends what is still worked on for it.
+// serve handles requests until the caller disconnects or the last request is answered. If the caller disconnects, the
+// requests that are still running are canceled.
 func (c *serverConn) serve(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() { _ = c.conn.Close() }()
@@ -184,32 +189,32 @@
 	group.Go(func() { c.write(cancel) })
 	err := c.read(ctx, &group)
 	close(c.pending)
-	if err != nil && !errors.Is(err, io.EOF) && ctx.Err() == nil && !isReset(err) {
+	if err != nil && !errors.Is(err, io.EOF) && ctx.Err() == nil && !isConnectionError(err) {
 		c.server.config.Failed(c.conn.RemoteAddr().String(), err)
 	}
 	if err == nil {
-		group.Wait() // the last request is read, and is answered before the connection closes
+		group.Wait() // the last request was read; answer it before closing the connection
 	}
 }
 
-// isReset reports whether the connection was closed by either end, or was idle for too long.
-func isReset(err error) bool {
-	var failure net.Error
-	return errors.Is(err, net.ErrClosed) || errors.As(err, &failure)
+// isConnectionError reports whether the error is a network error, such as a connection closed by either side or a timeout.
+func isConnectionError(err error) bool {
+	var netErr net.Error
+	return errors.Is(err, net.ErrClosed) || errors.As(err, &netErr)
 }
 
-// read hands requests on until the last one, which it reports as no error.
+// read reads requests and starts their handlers. It returns nil after the last request.
 func (c *serverConn) read(ctx context.Context, group *conc.WaitGroup) error {
 	for {
-		x, err := c.next(ctx)
+		x, err := c.nextExchange(ctx)
 		if err != nil {
 			return err
 		}
-		alone := !isRepeatable(x.request.Method)
-		if alone {
-			c.waitAnswered(ctx)
+		exclusive := !isSafeMethod(x.request.Method)
+		if exclusive {
+			c.waitForEarlierAnswers(ctx)
 		}
-		x.isOnly = c.isOnly()
+		x.isOnly = c.hasAtMostOneOpen()
 		c.pending <- x
 		if !x.isOnly {
 			group.Go(func() { c.handle(x) })
@@ -217,7 +222,7 @@
 		if x.last {
 			return nil
 		}
-		if alone {
+		if exclusive {
 			select {
 			case <-x.done:
 			case <-ctx.Done():
@@ -226,23 +231,24 @@
 	}
 }
 
-// handle makes the answer. A fault of the handler costs one request and not the process.
-func (c *serverConn) handle(x *exchanged) {
+// handle runs the handler and records its response. A panic in the handler fails this request only, with 502, and does not
+// end the process.
+func (c *serverConn) handle(x *exchange) {
 	defer close(x.done)
-	fault := panics.Try(func() { c.server.config.Handler.ServeHTTP(&x.answer, x.request) })
+	fault := panics.Try(func() { c.server.config.Handler.ServeHTTP(&x.response, x.request) })
 	if fault == nil {
 		return
 	}
 	c.server.config.Failed(c.conn.RemoteAddr().String(), fault.AsError())
-	x.answer = recorder{header: http.Header{}, status: http.StatusBadGateway}
+	x.response = responseRecorder{header: http.Header{}, status: http.StatusBadGateway}
 }
 
-// waitAnswered returns when all requests before are answered, so that none of them closes the connection ahead of one
-// that must not be sent again.
-func (c *serverConn) waitAnswered(ctx context.Context) {
-	ticker := time.NewTicker(answeredTick)
+// waitForEarlierAnswers waits until all earlier requests are answered. Otherwise one of them could close the connection
+// before a request is answered that the caller must not send again.
+func (c *serverConn) waitForEarlierAnswers(ctx context.Context) {
+	ticker := time.NewTicker(answeredPollInterval)
 	defer ticker.Stop()
-	for ctx.Err() == nil && !c.isOnly() {
+	for ctx.Err() == nil && !c.hasAtMostOneOpen() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -250,64 +256,64 @@
 	}
 }
 
-const answeredTick = time.Millisecond
+const answeredPollInterval = time.Millisecond
 
-// isOnly reports whether no request but the newest is open.
-func (c *serverConn) isOnly() bool {
+// hasAtMostOneOpen reports whether all requests except the newest are answered.
+func (c *serverConn) hasAtMostOneOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open <= 1
+	return c.openRequests <= 1
 }
 
-func isRepeatable(method string) bool {
+func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead
 }
 
-// next reads one whole request.
-func (c *serverConn) next(ctx context.Context) (*exchanged, error) {
+// nextExchange waits for the next request and reads it completely.
+func (c *serverConn) nextExchange(ctx context.Context) (*exchange, error) {
 	config := &c.server.config
-	c.head.N = config.MaxHeader
+	c.limitedReader.N = config.MaxHeader
 	_ = c.conn.SetReadDeadline(time.Now().Add(config.IdleTimeout))
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, err
 	}
-	if !c.begin() {
+	if !c.beginRequest() {
 		return nil, net.ErrClosed
 	}
 	x, err := c.readRequest(ctx)
 	if err != nil {
-		c.end()
+		c.endRequest()
 	}
 	return x, err
 }
 
-// readRequest reads a request that has begun.
-func (c *serverConn) readRequest(ctx context.Context) (*exchanged, error) {
+// readRequest reads a request whose first byte has arrived.
+func (c *serverConn) readRequest(ctx context.Context) (*exchange, error) {
 	config := &c.server.config
 	_ = c.conn.SetReadDeadline(time.Now().Add(config.HeaderTimeout))
 	request, err := http.ReadRequest(c.reader)
 	if err != nil {
-		c.refuse(err)
+		c.writeErrorResponse(err)
 		return nil, err
 	}
-	c.head.N = config.MaxBody + config.MaxHeader
+	c.limitedReader.N = config.MaxBody + config.MaxHeader
 	_ = c.conn.SetReadDeadline(time.Now().Add(config.BodyTimeout))
-	whole, err := c.readBody(request)
+	complete, err := c.readBody(request)
 	if err != nil {
 		return nil, err
 	}
 	request.RemoteAddr = c.conn.RemoteAddr().String()
-	return &exchanged{
-		request: request.WithContext(ctx),
-		answer:  recorder{header: http.Header{}},
-		done:    make(chan struct{}),
-		last:    request.Close || !whole || config.Closing(),
+	return &exchange{
+		request:  request.WithContext(ctx),
+		response: responseRecorder{header: http.Header{}},
+		done:     make(chan struct{}),
+		last:     request.Close || !complete || config.IsClosing(),
 	}, nil
 }
 
-// readBody takes the body in, so that the next request can be read. It reports false where the body is longer than the
-// bound; the handler then sees one byte more than that.
-func (c *serverConn) readBody(request *http.Request) (whole bool, err error) {
+// readBody reads the body into memory, so that the next request can be read. It reports whether the body is within the
+// limit; if not, the handler gets a body that is one byte longer than the limit.
+func (c *serverConn) readBody(request *http.Request) (complete bool, err error) {
 	if request.Header.Get("Expect") == "100-continue" {
 		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return false, err
@@ -324,21 +330,22 @@
 	return int64(len(body)) <= c.server.config.MaxBody, nil
 }
 
-// refuse answers what is no request, where nothing else is being answered.
-func (c *serverConn) refuse(err error) {
-	if !c.isOnly() || errors.Is(err, io.EOF) || isReset(err) {
+// writeErrorResponse answers data that is not a valid request, unless an earlier request is still unanswered or the
+// connection has failed.
+func (c *serverConn) writeErrorResponse(err error) {
+	if !c.hasAtMostOneOpen() || errors.Is(err, io.EOF) || isConnectionError(err) {
 		return
 	}
 	status := http.StatusBadRequest
-	if c.head.N <= 0 {
+	if c.limitedReader.N <= 0 {
 		status = http.StatusRequestHeaderFieldsTooLarge
 	}
 	_, _ = io.WriteString(c.conn, "HTTP/1.1 "+strconv.Itoa(status)+" "+http.StatusText(status)+
 		"\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
-// write sends answers in the order of the requests. Where that fails, the work for the caller ends. A request that is alone is worked
-// on here too, which spares a goroutine whose stack would have to grow anew.
+// write writes the responses in the order of the requests. If a write fails, all requests of the connection are canceled.
+// A request that is the only open one is also handled here, which avoids a new goroutine whose stack would have to grow.
 func (c *serverConn) write(cancel context.CancelFunc) {
 	failed := false
 	for x := range c.pending {
@@ -353,23 +360,23 @@
 			cancel()
 			_ = c.conn.Close()
 		}
-		c.end()
+		c.endRequest()
 	}
 }
 
-func (c *serverConn) send(x *exchanged) error {
+func (c *serverConn) send(x *exchange) error {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(c.server.config.WriteTimeout))
 	if x.request.Context().Err() != nil {
 		return x.request.Context().Err()
 	}
 	response := http.Response{
-		StatusCode:    x.answer.status,
+		StatusCode:    x.response.status,
 		ProtoMajor:    1,
 		ProtoMinor:    1,
 		Request:       x.request,
-		Header:        x.answer.header,
-		Body:          io.NopCloser(bytes.NewReader(x.answer.body)),
-		ContentLength: int64(len(x.answer.body)),
+		Header:        x.response.header,
+		Body:          io.NopCloser(bytes.NewReader(x.response.body)),
+		ContentLength: int64(len(x.response.body)),
 		Close:         x.last,
 	}
 	if err := response.Write(c.writer); err != nil {
@@ -378,25 +385,25 @@
 	return c.writer.Flush()
 }
 
-// recorder keeps an answer until it is its turn.
-type recorder struct {
+// responseRecorder is an http.ResponseWriter that holds a response until the earlier responses are written.
+type responseRecorder struct {
 	header http.Header
 	status int
 	body   []byte
 }
 
-// Header returns the headers of the answer.
-func (r *recorder) Header() http.Header {
+// Header returns the headers of the response.
+func (r *responseRecorder) Header() http.Header {
 	return r.header
 }
 
 // WriteHeader sets the status.
-func (r *recorder) WriteHeader(status int) {
+func (r *responseRecorder) WriteHeader(status int) {
 	r.status = status
 }
 
-// Write adds to the body.
-func (r *recorder) Write(p []byte) (int, error) {
+// Write appends to the body.
+func (r *responseRecorder) Write(p []byte) (int, error) {
 	if r.status == 0 {
 		r.status = http.StatusOK
 	}
--- a/internal/traffic/caller/server_test.go
+++ b/internal/traffic/caller/server_test.go
@@ -17,15 +17,15 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/caller"
 )
 
-// serving starts a server and returns a connection to it.
-func serving(t *testing.T, closing *atomic.Bool, handler http.HandlerFunc) (net.Conn, *bufio.Reader, *caller.Server) {
+// startServer starts a server and returns a connection to it, a reader of the connection, and the server.
+func startServer(t *testing.T, closing *atomic.Bool, handler http.HandlerFunc) (net.Conn, *bufio.Reader, *caller.Server) {
 	t.Helper()
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	s := caller.NewServer(caller.ServerConfig{
 		Handler: handler, HeaderTimeout: time.Second, BodyTimeout: time.Second, IdleTimeout: 5 * time.Second, WriteTimeout: time.Second,
-		MaxHeader: 4096, MaxBody: 1 << 16, MaxPending: 8, Closing: closing.Load, Failed: func(string, error) {},
+		MaxHeader: 4096, MaxBody: 1 << 16, MaxPending: 8, IsClosing: closing.Load, Failed: func(string, error) {},
 	})
 	var group conc.WaitGroup
 	group.Go(func() { s.Serve(context.Background(), l) })
@@ -46,7 +46,7 @@
 	is.New(t).NoErr(err)
 }
 
-func get(path string) string {
+func getRequest(path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: a.example\r\n\r\n"
 }
 
@@ -59,73 +59,74 @@
 	return string(body), response
 }
 
-// Requests that come before the first is answered run side by side, and are answered in order.
-func TestRequestsOnOneConnectionRunSideBySide(t *testing.T) {
+// Pipelined GET requests run concurrently and are answered in order.
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	is := is.New(t)
-	conn, r, _ := serving(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
+	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			time.Sleep(200 * time.Millisecond)
 		}
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
 	begin := time.Now()
-	send(t, conn, get("/slow"), get("/b"), get("/slow"))
+	send(t, conn, getRequest("/slow"), getRequest("/b"), getRequest("/slow"))
 	for _, want := range []string{"/slow", "/b", "/slow"} {
 		body, _ := receive(t, r)
 		is.Equal(body, want)
 	}
-	is.True(time.Since(begin) < 390*time.Millisecond) // less than the two slow ones one after the other
+	is.True(time.Since(begin) < 390*time.Millisecond) // less than both slow requests in sequence
 }
 
-// A request that must not run twice waits until all before it are answered: one of those could close the connection.
+// A request that must not run twice waits until all earlier ones are answered, because one of them could close the
+// connection.
 func TestOtherMethodsRunAlone(t *testing.T) {
 	is := is.New(t)
-	var running, most atomic.Int32
-	conn, r, _ := serving(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
-		most.Store(max(most.Load(), running.Add(1)))
+	var running, maxRunning atomic.Int32
+	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
+		maxRunning.Store(max(maxRunning.Load(), running.Add(1)))
 		time.Sleep(30 * time.Millisecond)
 		running.Add(-1)
 		body, _ := io.ReadAll(r.Body)
 		_, _ = w.Write(body)
 	})
 	post := "POST /p HTTP/1.1\r\nHost: a.example\r\nContent-Length: 3\r\n\r\nabc"
-	send(t, conn, post, get("/a"), post)
+	send(t, conn, post, getRequest("/a"), post)
 	for _, want := range []string{"abc", "", "abc"} {
 		body, _ := receive(t, r)
 		is.Equal(body, want)
 	}
-	is.Equal(most.Load(), int32(1))
+	is.Equal(maxRunning.Load(), int32(1))
 }
 
-// The work for a caller that leaves ends, also where it has sent further requests.
-func TestCallerThatLeavesIsSeen(t *testing.T) {
+// When a caller disconnects, all of its requests are canceled, including the pipelined ones.
+func TestDisconnectCancelsRequests(t *testing.T) {
 	var ended atomic.Int32
-	conn, _, _ := serving(t, &atomic.Bool{}, func(_ http.ResponseWriter, r *http.Request) {
+	conn, _, _ := startServer(t, &atomic.Bool{}, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		ended.Add(1)
 	})
-	send(t, conn, get("/a"), get("/b"), get("/c"))
+	send(t, conn, getRequest("/a"), getRequest("/b"), getRequest("/c"))
 	time.Sleep(50 * time.Millisecond)
 	is.New(t).NoErr(conn.Close())
 	for deadline := time.Now().Add(5 * time.Second); ended.Load() < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the work goes on")
+			t.Fatal("requests were not canceled within 5s of the disconnect")
 		}
 	}
 }
 
-// While the node leaves, what was read is answered, and the last answer says that the connection closes.
-func TestLastAnswerSaysThatItCloses(t *testing.T) {
+// While the node drains, requests that were read are answered, and the last response has the Connection: close header.
+func TestLastResponseClosesConnection(t *testing.T) {
 	is := is.New(t)
 	var closing atomic.Bool
-	conn, r, _ := serving(t, &closing, func(w http.ResponseWriter, r *http.Request) {
+	conn, r, _ := startServer(t, &closing, func(w http.ResponseWriter, r *http.Request) {
 		closing.Store(true)
 		time.Sleep(50 * time.Millisecond)
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
-	send(t, conn, get("/a"))
+	send(t, conn, getRequest("/a"))
 	time.Sleep(20 * time.Millisecond)
-	send(t, conn, get("/b"), get("/never_read"))
+	send(t, conn, getRequest("/b"), getRequest("/never_read"))
 	body, response := receive(t, r)
 	is.Equal(body, "/a")
 	is.True(!response.Close)
@@ -136,17 +137,17 @@
 	is.True(err != nil)
 }
 
-func TestWhatIsNoRequestIsRefused(t *testing.T) {
+func TestInvalidRequestIsRefused(t *testing.T) {
 	for name, test := range map[string]struct {
 		sent string
 		want int
 	}{
-		"bytes":           {"\x00\x01\x02\r\n\r\n", http.StatusBadRequest},
-		"too long a head": {"GET / HTTP/1.1\r\nHost: a\r\nA: " + strings.Repeat("a", 9000) + "\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge},
+		"bytes":            {"\x00\x01\x02\r\n\r\n", http.StatusBadRequest},
+		"header too large": {"GET / HTTP/1.1\r\nHost: a\r\nA: " + strings.Repeat("a", 9000) + "\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			conn, r, _ := serving(t, &atomic.Bool{}, func(http.ResponseWriter, *http.Request) {})
+			conn, r, _ := startServer(t, &atomic.Bool{}, func(http.ResponseWriter, *http.Request) {})
 			send(t, conn, test.sent)
 			_, response := receive(t, r)
 			is.Equal(response.StatusCode, test.want)
@@ -154,40 +155,40 @@
 	}
 }
 
-// What stands behind a body that is too long must not be taken for a request.
-func TestTooLongBodyEndsTheConnection(t *testing.T) {
+// The rest of a body that is too large must not be parsed as a request.
+func TestTooLargeBodyClosesConnection(t *testing.T) {
 	is := is.New(t)
-	conn, r, _ := serving(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
+	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if len(body) > 1<<16 {
 			w.WriteHeader(http.StatusRequestEntityTooLarge)
 		}
 	})
-	send(t, conn, "POST /p HTTP/1.1\r\nHost: a.example\r\nContent-Length: 70000\r\n\r\n", strings.Repeat("a", 1<<16), get("/smuggled"))
+	send(t, conn, "POST /p HTTP/1.1\r\nHost: a.example\r\nContent-Length: 70000\r\n\r\n", strings.Repeat("a", 1<<16), getRequest("/smuggled"))
 	_, response := receive(t, r)
 	is.Equal(response.StatusCode, http.StatusRequestEntityTooLarge)
 	is.True(response.Close)
 }
 
-func TestFaultOfTheHandlerCostsOneRequest(t *testing.T) {
+func TestHandlerPanicFailsOneRequest(t *testing.T) {
 	is := is.New(t)
-	conn, r, _ := serving(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
+	conn, r, _ := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fault" {
 			panic("fault")
 		}
 		_, _ = io.WriteString(w, "well")
 	})
-	send(t, conn, get("/fault"), get("/a"))
+	send(t, conn, getRequest("/fault"), getRequest("/a"))
 	_, response := receive(t, r)
 	is.Equal(response.StatusCode, http.StatusBadGateway)
 	body, _ := receive(t, r)
 	is.Equal(body, "well")
 }
 
-func TestIdleConnectionsClose(t *testing.T) {
+func TestCloseIdleClosesIdleConnection(t *testing.T) {
 	is := is.New(t)
-	conn, r, s := serving(t, &atomic.Bool{}, func(http.ResponseWriter, *http.Request) {})
-	send(t, conn, get("/a"))
+	conn, r, s := startServer(t, &atomic.Bool{}, func(http.ResponseWriter, *http.Request) {})
+	send(t, conn, getRequest("/a"))
 	_, _ = receive(t, r)
 	time.Sleep(20 * time.Millisecond)
 	s.CloseIdle()
@@ -195,15 +196,15 @@
 	is.True(err != nil)
 }
 
-// A request that has begun to come in is answered, also where idle connections are closed meanwhile.
-func TestRequestThatHasBegunIsAnswered(t *testing.T) {
+// A request of which a part was received is answered, even if idle connections are closed in the meantime.
+func TestPartlyReceivedRequestIsAnswered(t *testing.T) {
 	is := is.New(t)
-	conn, r, s := serving(t, &atomic.Bool{}, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "well") })
-	whole := get("/a")
-	send(t, conn, whole[:10])
+	conn, r, s := startServer(t, &atomic.Bool{}, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "well") })
+	complete := getRequest("/a")
+	send(t, conn, complete[:10])
 	time.Sleep(50 * time.Millisecond)
 	s.CloseIdle()
-	send(t, conn, whole[10:])
+	send(t, conn, complete[10:])
 	body, _ := receive(t, r)
 	is.Equal(body, "well")
 }
--- a/internal/traffic/flow/trees_test.go
+++ b/internal/traffic/flow/calltreelimits_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/comfreyhoist/comfreyhoist/internal/decide/trees"
+	"github.com/comfreyhoist/comfreyhoist/internal/decide/calllimit"
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/backend"
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
@@ -15,14 +15,14 @@
 // much as one further down the call tree.
 func TestLocalQueueingDelayLowersLimit(t *testing.T) {
 	limit := func(queueingDelay time.Duration) float64 {
-		limits := NewCallTreeLimits(trees.DefaultConfig)
+		limits := NewCallTreeLimits(calllimit.DefaultConfig)
 		r := &call.Request{Kind: "sheet"}
-		var running []trees.Start
+		var running []calllimit.Start
 		for range 100 {
 			for start, _, ok := limits.begin(r, 36); ok; start, _, ok = limits.begin(r, 36) {
 				running = append(running, start)
 			}
-			limits.end(r, running[0], queueingDelay, backend.Result{HoldTime: 500 * time.Millisecond, Downstream: call.Below{Calls: 2}})
+			limits.end(r, running[0], queueingDelay, backend.Result{HoldTime: 500 * time.Millisecond, Downstream: call.DownstreamSummary{Calls: 2}})
 			running = running[1:]
 		}
 		value, _ := limits.limit("sheet")
