--- a/internal/traffic/call/attempts.go
+++ b/internal/traffic/call/attempts.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// AttemptAllowance is the attempt allowance that a request shares with all calls below it in the call tree. Each attempt in it
-// is in exactly one state: left, lent to a call, or used. The attempts used below a root request therefore never exceed
-// the allowance of the root request.
+// AttemptAllowance is the attempt allowance that a request shares with all calls below it in the call tree. Each
+// attempt in it is in exactly one state: left, lent to a call, or used. The attempts used below a root request
+// therefore never exceed the allowance of the root request.
 type AttemptAllowance struct {
 	mu     sync.Mutex
 	left   int
--- a/internal/traffic/call/attempts_test.go
+++ b/internal/traffic/call/attempts_test.go
@@ -21,77 +21,77 @@
 	runs    []int
 }
 
-func (w *callTree) draw(label string) bool {
-	return rapid.IntRange(0, 2).Draw(w.t, label) == 0
+func (c *callTree) draw(label string) bool {
+	return rapid.IntRange(0, 2).Draw(c.t, label) == 0
 }
 
 // send sends one request to a backend server at the given level of the tree, and retries it until it succeeds or no retry
 // is allowed.
-func (w *callTree) send(pool *call.AttemptAllowance, level int) (failed bool) {
+func (c *callTree) send(allowance *call.AttemptAllowance, level int) (failed bool) {
 	for {
-		lent := pool.Lend()
-		reply := w.run(level, lent)
-		if w.draw("lost") {
+		lent := allowance.Lend()
+		reply := c.run(level, lent)
+		if c.draw("lost") {
 			reply = call.Reply{Outcome: call.Unknown, Reason: call.ReasonPeerUnreachable, AttemptsUsed: lent}
 		}
-		pool.Return(lent, reply.AttemptsUsed)
+		allowance.Return(lent, reply.AttemptsUsed)
 		if reply.Failure() == call.ReasonNone {
 			return false
 		}
 		attempt := retry.Attempt{
 			Idempotent:       true,
 			FailedDownstream: reply.DownstreamFailure != call.ReasonNone,
-			AttemptsLeft:     pool.Left(),
+			AttemptsLeft:     allowance.Left(),
 			TimeLeft:         retry.MinTimeLeft,
 			Candidates:       1,
 		}
 		budget := retry.NewBudget(retry.BudgetConfig{Max: 1})
-		if retry.Decide(attempt, budget) == retry.GiveUp || !pool.Take() {
+		if retry.Decide(attempt, budget) == retry.GiveUp || !allowance.Take() {
 			return true
 		}
-		w.retries++
+		c.retries++
 	}
 }
 
-// run executes a request on a backend server at the given level. Besides its sequential calls, the backend server may make
-// one parallel call, and may reply before that call has ended.
-func (w *callTree) run(level, lent int) call.Reply {
-	w.runs[level]++
-	chain := call.NewRunningRequests().Begin(w.t.Context(), "token", &call.Request{AttemptsLeft: lent})
+// run executes a request on a backend server at the given level. Besides its sequential calls, the backend server may
+// make one parallel call, and may reply before that call has ended.
+func (c *callTree) run(level, lent int) call.Reply {
+	c.runs[level]++
+	running := call.NewRunningRequests().Begin(c.t.Context(), "token", &call.Request{AttemptsLeft: lent})
 	reply := call.Reply{Outcome: call.Ran, Status: 200}
-	if w.draw("failed") {
+	if c.draw("failed") {
 		reply.Status = 500
 	}
-	if level+1 == w.depth {
+	if level+1 == c.depth {
 		return reply
 	}
-	parallelLent, parallel := 0, w.draw("parallel")
+	parallelLent, parallel := 0, c.draw("parallel")
 	if parallel {
-		parallelLent = chain.Attempts.Lend()
+		parallelLent = running.Attempts.Lend()
 	}
-	for range w.calls {
-		if w.send(chain.Attempts, level+1) {
+	for range c.calls {
+		if c.send(running.Attempts, level+1) {
 			refused := call.Refused(call.NotRun, call.ReasonOverload, 0)
-			chain.RecordReply(&refused)
+			running.RecordReply(&refused)
 			reply.Status = 503
 		}
 	}
-	if parallel && !w.draw("answered early") {
-		w.finishLentCall(chain.Attempts, parallelLent, level+1)
+	if parallel && !c.draw("answered early") {
+		c.finishLentCall(running.Attempts, parallelLent, level+1)
 		parallel = false
 	}
-	chain.CompleteReply(&reply)
+	running.CompleteReply(&reply)
 	if parallel {
-		w.finishLentCall(chain.Attempts, parallelLent, level+1)
+		c.finishLentCall(running.Attempts, parallelLent, level+1)
 	}
 	return reply
 }
 
-// finishLentCall executes a call to which attempts were lent earlier and returns the unused ones to the pool, which may be
-// closed by then.
-func (w *callTree) finishLentCall(pool *call.AttemptAllowance, lent, level int) {
-	reply := w.run(level, lent)
-	pool.Return(lent, reply.AttemptsUsed)
+// finishLentCall executes a call to which attempts were lent earlier and returns the unused ones to the allowance, which
+// may be closed by then.
+func (c *callTree) finishLentCall(allowance *call.AttemptAllowance, lent, level int) {
+	reply := c.run(level, lent)
+	allowance.Return(lent, reply.AttemptsUsed)
 }
 
 func TestAttemptsNeverExceedTheAllowance(t *testing.T) {
@@ -99,38 +99,38 @@
 	is.NoErr(flag.Set("rapid.checks", "3000"))
 	is.NoErr(flag.Set("rapid.seed", "1"))
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &callTree{
+		tree := &callTree{
 			t:     rt,
 			depth: rapid.IntRange(1, 6).Draw(rt, "depth"),
 			calls: rapid.IntRange(1, 2).Draw(rt, "calls"),
 		}
-		w.runs = make([]int, w.depth)
+		tree.runs = make([]int, tree.depth)
 		allowance := rapid.IntRange(0, 5).Draw(rt, "allowance")
-		w.send(call.NewAttemptAllowance(allowance), 0)
-		if w.retries > allowance {
-			rt.Fatalf("%d retries with an allowance of %d", w.retries, allowance)
+		tree.send(call.NewAttemptAllowance(allowance), 0)
+		if tree.retries > allowance {
+			rt.Fatalf("%d retries with an allowance of %d", tree.retries, allowance)
 		}
 		width := 1
-		for level, runs := range w.runs {
+		for level, runs := range tree.runs {
 			if runs > width*(1+allowance) {
 				rt.Fatalf("%d runs at level %d of width %d with an allowance of %d", runs, level, width, allowance)
 			}
-			width *= w.calls + 1
+			width *= tree.calls + 1
 		}
 	})
 }
 
 func TestAttemptsReturnedLate(t *testing.T) {
 	is := is.New(t)
-	pool := call.NewAttemptAllowance(3)
-	first, second := pool.Lend(), pool.Lend()
+	allowance := call.NewAttemptAllowance(3)
+	first, second := allowance.Lend(), allowance.Lend()
 	is.Equal(first, 2)
 	is.Equal(second, 1) // the rest stays for a parallel call
-	pool.Return(first, 0)
-	is.Equal(pool.Close(), 1) // attempts that are still lent count as used
-	pool.Return(second, 0)
-	is.Equal(pool.Left(), 0)
-	is.True(!pool.Take())
+	allowance.Return(first, 0)
+	is.Equal(allowance.Close(), 1) // attempts that are still lent count as used
+	allowance.Return(second, 0)
+	is.Equal(allowance.Left(), 0)
+	is.True(!allowance.Take())
 }
 
 func TestReplyFailure(t *testing.T) {
--- a/internal/traffic/call/call.go
+++ b/internal/traffic/call/call.go
@@ -72,7 +72,8 @@
 	// KeyMinted is whether the entry node generated the key for this request.
 	KeyMinted bool
 	Deadline  time.Time
-	// CallerDeadline is the time until which the caller waits; it may be later than Deadline. It is not sent to other nodes.
+	// CallerDeadline is the time until which the caller waits; it may be later than Deadline. It is not sent to other
+	// nodes.
 	CallerDeadline time.Time
 	// TargetLatency is the latency up to which a response has its full value; 0 for none. It is not sent to other nodes.
 	TargetLatency time.Duration
@@ -128,14 +129,14 @@
 	AttemptsUsed int
 	// Final is whether no node up the call chain may retry the request.
 	Final bool
-	// DownstreamFailure is the reason of the downstream failure that caused this one, or ReasonNone. Only the node next to
-	// a failure may retry, so the nodes above return such a reply to their callers.
+	// DownstreamFailure is the reason of the downstream failure that caused this one, or ReasonNone. Only the node next
+	// to a failure may retry, so the nodes above return such a reply to their callers.
 	DownstreamFailure Reason
 	Load              Load
 	// QueueingDelay is the total queueing delay of the request and of the calls below it.
 	QueueingDelay time.Duration
-	// CrossZoneBytes is the number of bytes sent between availability zones for the request and for the calls below it. The
-	// node that runs the request reports the bytes of the calls; the sender adds those of the request itself.
+	// CrossZoneBytes is the number of bytes sent between availability zones for the request and for the calls below it.
+	// The node that runs the request reports the bytes of the calls; the sender adds those of the request itself.
 	CrossZoneBytes int64
 	// ChallengeToken is the token of a challenge: the request runs only if it is sent again with this token.
 	ChallengeToken string
--- a/internal/traffic/call/chain.go
+++ b/internal/traffic/call/chain.go
@@ -8,9 +8,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/lineage"
 )
 
-// RunningRequest is the state of a request that runs on the local backend server. Calls that carry its token inherit its root, its
-// deadline and its attempt allowance, regardless of their headers. Calls that are assigned to it by inference inherit only
-// its root.
+// RunningRequest is the state of a request that runs on the local backend server. Calls that carry its token inherit
+// its root, its deadline and its attempt allowance, regardless of their headers. Calls that are assigned to it by
+// inference inherit only its root.
 type RunningRequest struct {
 	Root     Root
 	Depth    int
@@ -29,8 +29,9 @@
 	// openCalls holds the calls that have not ended.
 	openCalls map[*Child]bool
 	// openSince is the time since which at least one call has been open. It is valid only while openCalls is not empty.
-	openSince    time.Time
-	lastChildEnd time.Time
+	openSince time.Time
+	// lastCallEnd is the time at which the most recent call ended; zero if none has.
+	lastCallEnd time.Time
 	// childTime is the total time during which at least one call was open, without the current period.
 	childTime time.Duration
 	// callsInferred is whether calls were assigned to the request by inference. If the request then fails after any
@@ -57,52 +58,52 @@
 
 // Downstream returns the summary of the calls made until now. For a call that has not ended, the time by which it exceeds
 // the typical duration of its kind counts as queueing delay.
-func (c *RunningRequest) Downstream(now time.Time) DownstreamSummary {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	summary := DownstreamSummary{Calls: c.endedCalls + len(c.openCalls), QueueingDelay: c.queueingDelay, CrossZoneBytes: c.crossZoneBytes, Failure: c.failure}
-	for child := range c.openCalls {
+func (r *RunningRequest) Downstream(now time.Time) DownstreamSummary {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	summary := DownstreamSummary{Calls: r.endedCalls + len(r.openCalls), QueueingDelay: r.queueingDelay, CrossZoneBytes: r.crossZoneBytes, Failure: r.failure}
+	for child := range r.openCalls {
 		summary.QueueingDelay += max(now.Sub(child.start)-child.typicalDuration, 0)
 	}
 	return summary
 }
 
 // RecordReply records the reply to a call that the request made.
-func (c *RunningRequest) RecordReply(reply *Reply) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.endedCalls++
-	c.queueingDelay += reply.QueueingDelay
-	c.crossZoneBytes += reply.CrossZoneBytes
+func (r *RunningRequest) RecordReply(reply *Reply) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.endedCalls++
+	r.queueingDelay += reply.QueueingDelay
+	r.crossZoneBytes += reply.CrossZoneBytes
 	if cause := reply.Cause(); cause != ReasonNone {
-		c.failure = cause
+		r.failure = cause
 	}
 }
 
 // CompleteReply sets the number of attempts used below the request and, if the reply is a failure, its downstream cause.
-func (c *RunningRequest) CompleteReply(reply *Reply) {
-	reply.AttemptsUsed = c.Attempts.Close()
+func (r *RunningRequest) CompleteReply(reply *Reply) {
+	reply.AttemptsUsed = r.Attempts.Close()
 	if reply.Failure() == ReasonNone {
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	reply.DownstreamFailure = c.failure
-	if c.failure == ReasonNone && c.endedCalls > 0 && c.callsInferred {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	reply.DownstreamFailure = r.failure
+	if r.failure == ReasonNone && r.endedCalls > 0 && r.callsInferred {
 		reply.DownstreamFailure = ReasonBackendFailed
 	}
 }
 
-func (c *RunningRequest) markCallsInferred() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.callsInferred = true
+func (r *RunningRequest) markCallsInferred() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.callsInferred = true
 }
 
-func (c *RunningRequest) runningRequest() lineage.RunningRequest {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return lineage.RunningRequest{Kind: c.Kind, Started: c.Started, Deadline: c.Deadline, HasOpenCall: len(c.openCalls) > 0, LastCallEnd: c.lastChildEnd}
+func (r *RunningRequest) runningRequest() lineage.RunningRequest {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return lineage.RunningRequest{Kind: r.Kind, Started: r.Started, Deadline: r.Deadline, HasOpenCall: len(r.openCalls) > 0, LastCallEnd: r.lastCallEnd}
 }
 
 // Child is a call that a running request has made and that has not ended.
@@ -114,42 +115,42 @@
 
 // BeginChild records the start of a call. typicalDuration is the typical duration of calls of its kind, without queueing
 // delay.
-func (c *RunningRequest) BeginChild(now time.Time, typicalDuration time.Duration) *Child {
+func (r *RunningRequest) BeginChild(now time.Time, typicalDuration time.Duration) *Child {
 	child := &Child{start: now, typicalDuration: typicalDuration}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.openCalls) == 0 {
-		c.openCalls = map[*Child]bool{}
-		c.openSince = now
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.openCalls) == 0 {
+		r.openCalls = map[*Child]bool{}
+		r.openSince = now
 	}
-	c.openCalls[child] = true
+	r.openCalls[child] = true
 	return child
 }
 
 // EndChild records the end of a call.
-func (c *RunningRequest) EndChild(now time.Time, child *Child) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.openCalls, child)
-	c.lastChildEnd = now
-	if len(c.openCalls) == 0 {
-		c.childTime += now.Sub(c.openSince)
+func (r *RunningRequest) EndChild(now time.Time, child *Child) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.openCalls, child)
+	r.lastCallEnd = now
+	if len(r.openCalls) == 0 {
+		r.childTime += now.Sub(r.openSince)
 	}
 }
 
 // ChildTime returns for how long the request has waited for its calls until now, including those that have not ended.
 // This time is not part of the backend server's service time.
-func (c *RunningRequest) ChildTime(now time.Time) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.openCalls) > 0 {
-		return c.childTime + now.Sub(c.openSince)
+func (r *RunningRequest) ChildTime(now time.Time) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.openCalls) > 0 {
+		return r.childTime + now.Sub(r.openSince)
 	}
-	return c.childTime
+	return r.childTime
 }
 
-// RunningRequests holds the requests that run on the local backend server, by the token that was sent to the backend server with
-// each. A call with an unknown token inherits nothing.
+// RunningRequests holds the requests that run on the local backend server, by the token that was sent to the backend
+// server with each. A call with an unknown token inherits nothing.
 type RunningRequests struct {
 	mu      sync.RWMutex
 	byToken map[string]*RunningRequest
@@ -175,7 +176,7 @@
 // Begin adds a request under the token and returns its state. ctx ends with the request; if it has ended before End
 // is called, the request counts as canceled.
 func (t *RunningRequests) Begin(ctx context.Context, token string, r *Request) *RunningRequest {
-	c := &RunningRequest{
+	running := &RunningRequest{
 		Root:     r.Root,
 		Depth:    r.Depth,
 		Kind:     r.Kind,
@@ -186,8 +187,8 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.byToken[token] = c
-	return c
+	t.byToken[token] = running
+	return running
 }
 
 // End removes the request under the token. The token of a canceled request is remembered, so that a backend server that
@@ -195,12 +196,12 @@
 func (t *RunningRequests) End(token string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c, ok := t.byToken[token]
+	running, ok := t.byToken[token]
 	if !ok {
 		return
 	}
 	delete(t.byToken, token)
-	if c.Context.Err() != nil {
+	if running.Context.Err() != nil {
 		t.rememberCanceled(token)
 	}
 }
@@ -222,15 +223,15 @@
 }
 
 // Parent returns the running request that most likely made a call without a token, or nil if none matches. It also
-// reports whether the request is likely to be a call of the local backend server at all. Both results are inferred and may
-// be wrong.
+// reports whether the request is likely to be a call of the local backend server at all. Both results are inferred and
+// may be wrong.
 func (t *RunningRequests) Parent(now time.Time, c lineage.Call) (*RunningRequest, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.candidates, t.runningRequests = t.candidates[:0], t.runningRequests[:0]
-	for _, chain := range t.byToken {
-		t.candidates = append(t.candidates, chain)
-		t.runningRequests = append(t.runningRequests, chain.runningRequest())
+	for _, running := range t.byToken {
+		t.candidates = append(t.candidates, running)
+		t.runningRequests = append(t.runningRequests, running.runningRequest())
 	}
 	index, isCall := t.matcher.Match(now, c, t.runningRequests)
 	if index == lineage.Unknown {
--- a/internal/traffic/call/chain_test.go
+++ b/internal/traffic/call/chain_test.go
@@ -14,15 +14,15 @@
 	is := is.New(t)
 	start := time.Now()
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
-	chain := &call.RunningRequest{}
-	is.Equal(chain.ChildTime(at(0)), time.Duration(0))
-	first := chain.BeginChild(at(10), 0)
-	second := chain.BeginChild(at(20), 0) // overlaps the first
-	chain.EndChild(at(30), first)
-	chain.EndChild(at(40), second)
-	is.Equal(chain.ChildTime(at(50)), 30*time.Millisecond)
-	chain.BeginChild(at(60), 0)
-	is.Equal(chain.ChildTime(at(100)), 70*time.Millisecond)
+	running := &call.RunningRequest{}
+	is.Equal(running.ChildTime(at(0)), time.Duration(0))
+	first := running.BeginChild(at(10), 0)
+	second := running.BeginChild(at(20), 0) // overlaps the first
+	running.EndChild(at(30), first)
+	running.EndChild(at(40), second)
+	is.Equal(running.ChildTime(at(50)), 30*time.Millisecond)
+	running.BeginChild(at(60), 0)
+	is.Equal(running.ChildTime(at(100)), 70*time.Millisecond)
 }
 
 // In a flood, requests reach their deadlines while their calls still wait in queues, and no reply reports the queueing
@@ -30,17 +30,17 @@
 func TestQueueingDelayIncludesOpenCalls(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
-	chain := &call.RunningRequest{}
-	ended := chain.BeginChild(start, 50*time.Millisecond)
-	chain.EndChild(start.Add(80*time.Millisecond), ended)
-	chain.RecordReply(&call.Reply{Outcome: call.Ran, Status: 200, QueueingDelay: 30 * time.Millisecond})
-	chain.BeginChild(start.Add(80*time.Millisecond), 50*time.Millisecond)
-	is.Equal(chain.Downstream(start.Add(100*time.Millisecond)), call.DownstreamSummary{Calls: 2, QueueingDelay: 30 * time.Millisecond})
-	is.Equal(chain.Downstream(start.Add(480*time.Millisecond)), call.DownstreamSummary{Calls: 2, QueueingDelay: 380 * time.Millisecond})
+	running := &call.RunningRequest{}
+	ended := running.BeginChild(start, 50*time.Millisecond)
+	running.EndChild(start.Add(80*time.Millisecond), ended)
+	running.RecordReply(&call.Reply{Outcome: call.Ran, Status: 200, QueueingDelay: 30 * time.Millisecond})
+	running.BeginChild(start.Add(80*time.Millisecond), 50*time.Millisecond)
+	is.Equal(running.Downstream(start.Add(100*time.Millisecond)), call.DownstreamSummary{Calls: 2, QueueingDelay: 30 * time.Millisecond})
+	is.Equal(running.Downstream(start.Add(480*time.Millisecond)), call.DownstreamSummary{Calls: 2, QueueingDelay: 380 * time.Millisecond})
 }
 
-// When calls are assigned to requests by inference, a failed call may have been assigned to another request. A request that
-// fails after any calls must therefore not count as a failure of its backend server.
+// When calls are assigned to requests by inference, a failed call may have been assigned to another request. A request
+// that fails after any calls must therefore not count as a failure of its backend server.
 func TestFailureAfterInferredCallsIsDownstream(t *testing.T) {
 	for name, test := range map[string]struct {
 		calls int
@@ -52,20 +52,20 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
-			chains := call.NewRunningRequests()
-			chain := chains.Begin(t.Context(), "a", &call.Request{Kind: "sheets", Deadline: now.Add(time.Second)})
+			runningRequests := call.NewRunningRequests()
+			running := runningRequests.Begin(t.Context(), "a", &call.Request{Kind: "sheets", Deadline: now.Add(time.Second)})
 			for n := range test.calls * 20 { // the first ones train the matcher that the kind consists of calls
 				later := now.Add(time.Duration(10+n) * time.Millisecond)
-				_, _ = chains.Parent(later, lineage.Call{Kind: "keys", Expires: now.Add(time.Second)})
+				_, _ = runningRequests.Parent(later, lineage.Call{Kind: "keys", Expires: now.Add(time.Second)})
 			}
 			for range test.calls {
-				found, isCall := chains.Parent(now.Add(100*time.Millisecond), lineage.Call{Kind: "keys", Expires: now.Add(time.Second)})
+				found, isCall := runningRequests.Parent(now.Add(100*time.Millisecond), lineage.Call{Kind: "keys", Expires: now.Add(time.Second)})
 				is.True(isCall)
-				is.Equal(found, chain)
-				chain.RecordReply(&call.Reply{Outcome: call.Ran, Status: 200})
+				is.Equal(found, running)
+				running.RecordReply(&call.Reply{Outcome: call.Ran, Status: 200})
 			}
 			reply := call.Reply{Outcome: call.Ran, Status: 500}
-			chain.CompleteReply(&reply)
+			running.CompleteReply(&reply)
 			is.Equal(reply.DownstreamFailure, test.want)
 		})
 	}
