--- a/internal/traffic/backend/client.go
+++ b/internal/traffic/backend/client.go
@@ -3,9 +3,14 @@
 //
 // # Usage
 //
-//	gate := backend.NewGate(admission.GateConfig{...})
-//	client := backend.NewClient(backend.ClientConfig{MaxBody: 1 << 20}, chains)
+//	gate := backend.NewGate(gateConfig)
+//	client := backend.NewClient(backend.ClientConfig{MaxBody: 1 << 20}, runningRequests)
+//	slot, refusal, admitted := gate.Acquire(ctx, request, 1)
+//	if !admitted {
+//		return refusal
+//	}
 //	result := client.Run(ctx, backend.Target{Address: "127.0.0.1:9001"}, request)
+//	gate.Release(admission.Sample{HoldTime: result.HoldTime, SaturatedLimit: slot.SaturatedLimit})
 package backend
 
 import (
@@ -66,21 +71,21 @@
 
 // Client sends requests to the local backend server.
 type Client struct {
-	config    ClientConfig
-	chains    *call.RunningRequests
-	transport transport
-	tokens    atomic.Uint64
+	config          ClientConfig
+	runningRequests *call.RunningRequests
+	transport       transport
+	tokens          atomic.Uint64
 
 	mu             sync.Mutex
 	maxConnections int
 }
 
-// NewClient returns a client that registers each running request in chains.
-func NewClient(config ClientConfig, chains *call.RunningRequests) *Client {
+// NewClient returns a client that registers each request in runningRequests while it runs.
+func NewClient(config ClientConfig, runningRequests *call.RunningRequests) *Client {
 	if config.Headers == (Headers{}) {
 		config.Headers = DefaultHeaders
 	}
-	c := &Client{config: config, chains: chains}
+	c := &Client{config: config, runningRequests: runningRequests}
 	c.SetMaxConnections(defaultMaxConnections)
 	return c
 }
@@ -107,7 +112,7 @@
 	// HoldTime is how long the request held its slot, calls included.
 	HoldTime time.Duration
 	// Overloaded reports whether the backend server itself shed the request. A 503 after it made calls for the request
-	// doesn't count, because a callee may have caused it.
+	// doesn't count, because one of these calls may have caused it.
 	Overloaded bool
 	// ConnectionBroken reports whether the connection broke after the request was sent.
 	ConnectionBroken bool
@@ -125,25 +130,25 @@
 // Run sends the request to the backend server and reads the whole response.
 func (c *Client) Run(ctx context.Context, target Target, r *call.Request) Result {
 	token := c.newToken()
-	chain := c.chains.Begin(ctx, token, r)
-	defer c.chains.End(token)
+	running := c.runningRequests.Begin(ctx, token, r)
+	defer c.runningRequests.End(token)
 	start := time.Now()
 	reply, err := c.exchange(ctx, target, r, token)
 	end := time.Now()
-	childTime := chain.ChildTime(end)
-	result := Result{Reply: reply, ServiceTime: end.Sub(start) - childTime, HoldTime: end.Sub(start), Downstream: chain.Downstream(end)}
+	childTime := running.ChildTime(end)
+	result := Result{Reply: reply, ServiceTime: end.Sub(start) - childTime, HoldTime: end.Sub(start), Downstream: running.Downstream(end)}
 	if err != nil {
 		result.Reply = failedReply(ctx, err)
 		result.ConnectionBroken = ctx.Err() == nil && err.sent && !errors.Is(err.cause, errResponseTooLarge)
 	}
 	result.Overloaded = err == nil && isOverloaded(&result.Reply) && childTime == 0
-	chain.CompleteReply(&result.Reply)
+	running.CompleteReply(&result.Reply)
 	result.Reply.QueueingDelay, result.Reply.CrossZoneBytes = result.Downstream.QueueingDelay, result.Downstream.CrossZoneBytes
 	return result
 }
 
-// newToken returns the token that identifies one request in the call chain. A token that is sent to the backend server is
-// random, so that it is hard to guess; others are counted.
+// newToken returns the token that identifies one running request. A token that is sent to the backend server is random,
+// so that it is hard to guess; otherwise it is a sequence number.
 func (c *Client) newToken() string {
 	if c.config.Headers.Chain != "" {
 		return uuid.NewString()
--- a/internal/traffic/backend/client_test.go
+++ b/internal/traffic/backend/client_test.go
@@ -26,7 +26,8 @@
 	return backend.NewClient(backend.ClientConfig{MaxBody: 1 << 10}, call.NewRunningRequests())
 }
 
-// TestBrokenConnectionSendsOnce guards against sending a request twice when a persistent connection breaks during the request.
+// TestBrokenConnectionSendsOnce guards against sending a request twice when a persistent connection breaks during the
+// request.
 func TestBrokenConnectionSendsOnce(t *testing.T) {
 	tests := map[string]struct{ method, body, key string }{
 		"keyed post with body":    {http.MethodPost, "booking", "key-1"},
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestTooLargeResponseIsNoCrash guards against treating a response that exceeds the size limit as a crash of the backend server,
-// which could quarantine its request.
+// TestTooLargeResponseIsNoCrash guards against treating a response that exceeds the size limit as a crash of the
+// backend server, which could quarantine its request.
 func TestTooLargeResponseIsNoCrash(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -112,8 +113,9 @@
 	harness.Eventually(t, 10*time.Second, func() bool { return open.Load() == 1 })
 }
 
-// TestConnectionCountsUntilServerClosesIt guards against exceeding the connection limit of the backend server. A canceled request
-// closes its connection, but the backend server may hold it for longer; until then, the next request must wait.
+// TestConnectionCountsUntilServerClosesIt guards against exceeding the connection limit of the backend server. A
+// canceled request closes its connection, but the backend server may hold it for longer; until then, the next request
+// must wait.
 func TestConnectionCountsUntilServerClosesIt(t *testing.T) {
 	is := is.New(t)
 	started, release := make(chan struct{}, 2), make(chan struct{})
@@ -138,7 +140,7 @@
 	group.Go(func() { first <- client.Run(ctx, backend.Target{Address: address}, newRequest(http.MethodGet, "", "")) })
 	<-started
 	cancel()
-	is.Equal((<-first).Reply.Reason, call.ReasonCanceled) // returns at once, although the backend server still runs the request
+	is.Equal((<-first).Reply.Reason, call.ReasonCanceled) // immediately, although the backend server still runs the request
 	waitCtx, stop := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer stop()
 	second := client.Run(waitCtx, backend.Target{Address: address}, newRequest(http.MethodGet, "", ""))
--- a/internal/traffic/backend/connections.go
+++ b/internal/traffic/backend/connections.go
@@ -14,8 +14,8 @@
 )
 
 // dialer opens connections to the backend server, up to the number that the backend server allows. A connection counts
-// against this limit until the backend server has closed it too. Otherwise a canceled request would free its connection at
-// once, and the backend server would get the next one while it still holds the old one.
+// against this limit until the backend server has closed it too. Otherwise a canceled request would free its connection
+// immediately, and the backend server would get the next one while it still holds the old one.
 type dialer struct {
 	group conc.WaitGroup
 
@@ -109,8 +109,8 @@
 	c.changed = make(chan struct{})
 }
 
-// connection is a connection to the backend server. Close returns at once, but the connection counts against the limit
-// until the backend server has closed it too, or lingerTimeout has passed.
+// connection is a connection to the backend server. Close returns immediately, but the connection counts against the
+// limit until the backend server has closed it too, or lingerTimeout has passed.
 type connection struct {
 	net.Conn
 	dialer  *dialer
--- a/internal/traffic/backend/gate.go
+++ b/internal/traffic/backend/gate.go
@@ -37,8 +37,8 @@
 	SaturatedLimit int
 }
 
-// Acquire waits for a slot and reports whether the request got one. If not, it returns the reply that refuses the request.
-// The holder of a slot must call Release.
+// Acquire waits for a slot and reports whether the request got one. If not, it returns the reply that refuses the
+// request. The holder of a slot must call Release.
 func (g *Gate) Acquire(ctx context.Context, r *call.Request, share int) (Slot, call.Reply, bool) {
 	if ctx.Err() != nil {
 		return Slot{}, g.abandonedReply(ctx, r.Root.Rank), false
@@ -65,8 +65,8 @@
 	g.notify(g.gate.Finish(time.Now(), s))
 }
 
-// Advance refuses queued requests that reached their maximum queueing delay or can't end before their deadline. It must be called
-// regularly.
+// Advance refuses queued requests that reached their maximum queueing delay or can't end before their deadline. It must
+// be called regularly.
 func (g *Gate) Advance() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -141,9 +141,9 @@
 	return g.gate.Stats(time.Now())
 }
 
-// newTicket returns the ticket of the request. Slots are shared fairly between the callers of root requests. Calls of admitted
-// root requests are ordered by the age of their root request alone, so that the oldest root request finishes first. Their
-// tickets therefore have no caller.
+// newTicket returns the ticket of the request. Slots are shared fairly between the callers of root requests. Calls of
+// admitted root requests are ordered by the age of their root request alone, so that the oldest root request finishes
+// first. Their tickets therefore have no caller.
 func newTicket(r *call.Request, share int) *admission.Ticket {
 	caller := r.Root.Caller
 	if r.Depth > 0 {
--- a/internal/traffic/backend/gate_test.go
+++ b/internal/traffic/backend/gate_test.go
@@ -10,9 +10,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// TestQueueOrder checks the order in which queued requests get slots. Calls of admitted root requests are ordered by the age of
-// their root request, whoever its caller is, so that the oldest root request finishes first. Root requests alternate between
-// their callers.
+// TestQueueOrder checks the order in which queued requests get slots when the calls of many admitted root requests
+// queue at the deepest service. These calls are ordered by the age of their root request regardless of its caller, so
+// that the oldest root request finishes first. Root requests alternate between their callers.
 func TestQueueOrder(t *testing.T) {
 	start := time.Now()
 	for name, test := range map[string]struct {
--- a/internal/traffic/backend/transport.go
+++ b/internal/traffic/backend/transport.go
@@ -54,8 +54,8 @@
 	return newPersistentConn(conn), nil
 }
 
-// pop removes and returns the most recently used idle connection, or nil. Idle connections to another address belong to an
-// earlier backend server and are closed.
+// pop removes and returns the most recently used idle connection, or nil. Idle connections to another address belong to
+// an earlier backend server and are closed.
 func (t *transport) pop(address string) *persistentConn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,11 +113,12 @@
 	writer *bufio.Writer
 	// served reports whether the connection has carried a request before, so that a late response to it may arrive.
 	served bool
-	// idleTimeout is how long the connection may be idle, according to the last response. idleDeadline is when the current
-	// idle period ends.
+	// idleTimeout is how long the connection may be idle, according to the last response. idleDeadline is when the
+	// current idle period ends.
 	idleTimeout  time.Duration
 	idleDeadline time.Time
-	// written is closed when the write of the current request has ended. writeSucceeded then reports whether it succeeded.
+	// written is closed when the write of the current request has ended. writeSucceeded then reports whether it
+	// succeeded.
 	written        chan struct{}
 	writeSucceeded bool
 }
@@ -186,8 +187,8 @@
 	}
 }
 
-// prepareReuse reports whether the connection can carry another request, and sets its idle deadline. The response must have
-// been read completely.
+// prepareReuse reports whether the connection can carry another request, and sets its idle deadline. The response must
+// have been read completely.
 func (c *persistentConn) prepareReuse(now time.Time, response *http.Response) bool {
 	select {
 	case <-c.written:
@@ -199,8 +200,8 @@
 	return c.writeSucceeded && !response.Close && c.reader.Buffered() == 0
 }
 
-// parseIdleTimeout returns how long an idle connection is kept: idleMargin less than the timeout in the Keep-Alive header,
-// and at most maxIdleTime.
+// parseIdleTimeout returns how long an idle connection is kept: idleMargin less than the timeout in the Keep-Alive
+// header, and at most maxIdleTime.
 func parseIdleTimeout(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/internal/traffic/backend/transport_test.go
+++ b/internal/traffic/backend/transport_test.go
@@ -74,9 +74,9 @@
 	return r
 }
 
-// TestReuseAfterUnusualResponses guards against returning the response to another request. Its backend servers respond twice, close
-// connections without notice, or send an informational response first. Each request must get its own response, on a new
-// connection if the persistent one can't be reused.
+// TestReuseAfterUnusualResponses guards against returning the response to another request. Its backend servers respond
+// twice, close connections without notice, or send an informational response first. Each request must get its own
+// response, on a new connection if the persistent one can't be reused.
 func TestReuseAfterUnusualResponses(t *testing.T) {
 	for name, test := range map[string]struct {
 		script      func(conn net.Conn, requests *bufio.Reader)
@@ -97,7 +97,7 @@
 				last = id
 			}
 		}, 1},
-		"second response arrives at once": {func(conn net.Conn, requests *bufio.Reader) {
+		"second response arrives immediately": {func(conn net.Conn, requests *bufio.Reader) {
 			for id := nextID(requests); id != ""; id = nextID(requests) {
 				respond(conn, id, "")
 				respond(conn, id, "")
@@ -145,8 +145,8 @@
 	is.Equal(result.Reply.Reason, call.ReasonBackendFailed)
 }
 
-// TestResponseBeforeBodyIsRead guards against reusing a connection on which a long request body is still being written because the
-// backend server responded before it had read the body.
+// TestResponseBeforeBodyIsRead guards against reusing a connection on which a long request body is still being written
+// because the backend server responded before it had read the body.
 func TestResponseBeforeBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	rest := make(chan string, 2)
