--- a/internal/traffic/caller/handler.go
+++ b/internal/traffic/caller/handler.go
@@ -3,7 +3,7 @@
 // # Usage
 //
 //	router := httprouter.New()
-//	caller.Register(router, caller.Config{Board: loop, Sender: sender, Chains: chains, MaxBody: 1 << 20})
+//	caller.Register(router, caller.Config{Board: loop, Sender: sender, Chains: runningRequests, MaxBody: 1 << 20})
 //
 // The headers and outcomes are described in docs/CALLERS.md.
 package caller
@@ -79,18 +79,18 @@
 }
 
 func (h *handler) serve(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	request, chain, refused := h.buildRequest(r, p)
+	request, parent, refused := h.buildRequest(r, p)
 	if refused != nil {
 		h.reject(w, r, refused)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), request.Deadline)
 	defer cancel()
-	if chain != nil {
-		stop := context.AfterFunc(chain.Context, cancel)
+	if parent != nil {
+		stop := context.AfterFunc(parent.Context, cancel)
 		defer stop()
 	}
-	h.writeReply(w, request, h.send(ctx, request, chain))
+	h.writeReply(w, request, h.send(ctx, request, parent))
 }
 
 func (h *handler) reject(w http.ResponseWriter, r *http.Request, refused *rejection) {
@@ -102,8 +102,8 @@
 	h.writeReply(w, nil, reply)
 }
 
-// rejectionOutcome returns the outcome of a rejected request. It is NotAdmitted if the caller set a key, because an earlier
-// attempt under that key may have run.
+// rejectionOutcome returns the outcome of a rejected request. It is NotAdmitted if the caller set a key, because an
+// earlier attempt under that key may have run.
 func rejectionOutcome(r *http.Request) call.Outcome {
 	if r.Header.Get(backend.KeyHeader) != "" {
 		return call.NotAdmitted
@@ -113,16 +113,16 @@
 
 // send forwards the request. A call of a running request uses the attempt allowance of that request and counts as its
 // child.
-func (h *handler) send(ctx context.Context, request *call.Request, chain *call.RunningRequest) call.Reply {
-	if chain == nil {
+func (h *handler) send(ctx context.Context, request *call.Request, parent *call.RunningRequest) call.Reply {
+	if parent == nil {
 		request.Attempts = call.NewAttemptAllowance(request.AttemptsLeft)
 		return h.config.Sender.Send(ctx, request)
 	}
-	request.Attempts = chain.Attempts
-	child := chain.BeginChild(time.Now(), 0)
+	request.Attempts = parent.Attempts
+	child := parent.BeginChild(time.Now(), 0)
 	reply := h.config.Sender.Send(ctx, request)
-	chain.EndChild(time.Now(), child)
-	chain.RecordReply(&reply)
+	parent.EndChild(time.Now(), child)
+	parent.RecordReply(&reply)
 	return reply
 }
 
@@ -140,9 +140,9 @@
 	if h.config.Chains.IsCanceled(token) {
 		return nil, nil, &rejection{call.ReasonCanceled, backend.ChainHeader + " names a request that was canceled"}
 	}
-	chain := h.config.Chains.Find(token)
-	inheritRoot(request, r, kind, chain)
-	return request, chain, nil
+	parent := h.config.Chains.Find(token)
+	inheritRoot(request, r, kind, parent)
+	return request, parent, nil
 }
 
 // matchKind returns the document of the requested service and the kind that the request matches.
@@ -195,16 +195,16 @@
 	}, nil
 }
 
-// inheritRoot copies the root from the running request that made the call, or creates a new root if chain is nil.
-func inheritRoot(request *call.Request, r *http.Request, kind document.Kind, chain *call.RunningRequest) {
-	if chain == nil {
+// inheritRoot copies the root from the running request that made the call, or creates a new root if parent is nil.
+func inheritRoot(request *call.Request, r *http.Request, kind document.Kind, parent *call.RunningRequest) {
+	if parent == nil {
 		request.Root = call.Root{ID: uuid.NewString(), Start: time.Now(), Rank: kind.Rank, Caller: callerOf(r)}
 		return
 	}
-	request.Root = chain.Root
-	request.Depth = chain.Depth + 1
-	if chain.Deadline.Before(request.Deadline) {
-		request.Deadline = chain.Deadline
+	request.Root = parent.Root
+	request.Depth = parent.Depth + 1
+	if parent.Deadline.Before(request.Deadline) {
+		request.Deadline = parent.Deadline
 	}
 }
 
--- a/internal/traffic/caller/routed.go
+++ b/internal/traffic/caller/routed.go
@@ -63,8 +63,8 @@
 	return &RoutedHandler{config: config, typicalDurations: call.NewTypicalDurations[string](maxTypicalDurations), requestCounts: map[string]*atomic.Uint64{}}
 }
 
-// replyGracePeriod is how long to wait after the deadline for the reply of another node. That node gives up the request at
-// the deadline, and only its reply tells whether the request ran.
+// replyGracePeriod is how long to wait after the deadline for the reply of another node. That node gives up the request
+// at the deadline, and only its reply shows whether the request ran.
 const replyGracePeriod = 30 * time.Millisecond
 
 // noRoutesRetryAfter is the Retry-After of a node that has no routes yet.
@@ -198,7 +198,7 @@
 	return header
 }
 
-// writeReply writes the response to the caller. The status of a request that has no response of the backend server tells
+// writeReply writes the response to the caller. The status of a request that has no response of the backend server shows
 // whether it may have run.
 func (h *RoutedHandler) writeReply(w http.ResponseWriter, reply call.Reply) {
 	if reply.Outcome == call.Ran && (reply.Status < http.StatusOK || reply.Status > maxStatus || !areHeadersValid(reply.Header)) {
@@ -218,7 +218,7 @@
 	_, _ = w.Write(reply.Body)
 }
 
-// minRetryAfter prevents callers from retrying at once.
+// minRetryAfter prevents callers from retrying immediately.
 const minRetryAfter = 50 * time.Millisecond
 
 func setRefusalHeaders(header http.Header, reply *call.Reply) {
@@ -234,8 +234,8 @@
 	}
 }
 
-// refusalStatus returns the status of a request that has no response of the backend server: 502 or 504 if it may have run,
-// otherwise the status of its reason for a client error except ReasonCanceled, and 503 for all other reasons.
+// refusalStatus returns the status of a request that has no response of the backend server: 502 or 504 if it may have
+// run, otherwise the status of its reason for a client error except ReasonCanceled, and 503 for all other reasons.
 func refusalStatus(reply *call.Reply) int {
 	status := reply.Reason.Entry().Status
 	switch {
--- a/internal/traffic/caller/server.go
+++ b/internal/traffic/caller/server.go
@@ -40,9 +40,10 @@
 	Failed func(remote string, err error)
 }
 
-// Server is an HTTP/1.1 server with request pipelining. GET and HEAD requests of a connection run concurrently, requests
-// with other methods alone; responses are written in the order of the requests. net/http.Server starts a pipelined request
-// only after the previous one was answered, and does not notice in the meantime that the caller has disconnected.
+// Server is an HTTP/1.1 server with request pipelining. GET and HEAD requests of a connection run concurrently,
+// requests with other methods alone; responses are written in the order of the requests. net/http.Server starts a
+// pipelined request only after the previous one was answered, and does not notice in the meantime that the caller has
+// disconnected.
 type Server struct {
 	config ServerConfig
 	group  conc.WaitGroup
@@ -197,7 +198,8 @@
 	}
 }
 
-// isConnectionError reports whether the error is a network error, such as a connection closed by either side or a timeout.
+// isConnectionError reports whether the error is a network error, such as a connection closed by either side or a
+// timeout.
 func isConnectionError(err error) bool {
 	var netErr net.Error
 	return errors.Is(err, net.ErrClosed) || errors.As(err, &netErr)
@@ -231,8 +233,8 @@
 	}
 }
 
-// handle runs the handler and records its response. A panic in the handler fails this request only, with 502, and does not
-// end the process.
+// handle runs the handler and records its response. A panic in the handler fails this request only, with 502, and does
+// not end the process.
 func (c *serverConn) handle(x *exchange) {
 	defer close(x.done)
 	fault := panics.Try(func() { c.server.config.Handler.ServeHTTP(&x.response, x.request) })
@@ -244,7 +246,7 @@
 }
 
 // waitForEarlierAnswers waits until all earlier requests are answered. Otherwise one of them could close the connection
-// before a request is answered that the caller must not send again.
+// before the response to the newest one is written, and the caller must not send that one again.
 func (c *serverConn) waitForEarlierAnswers(ctx context.Context) {
 	ticker := time.NewTicker(answeredPollInterval)
 	defer ticker.Stop()
@@ -256,6 +258,7 @@
 	}
 }
 
+// answeredPollInterval is the interval between checks for unanswered requests.
 const answeredPollInterval = time.Millisecond
 
 // hasAtMostOneOpen reports whether all requests except the newest are answered.
