--- a/internal/traffic/peer/client.go
+++ b/internal/traffic/peer/client.go
@@ -124,8 +124,9 @@
 	recentTimeout = 120 * time.Millisecond
 )
 
-// queryRecent is like query, for queries that may be sent twice. Most such queries are sent because a reply takes long while the
-// connections work. It therefore tries a recently used connection first, and opens a new one only if that gives no reply.
+// queryRecent is like query, for queries that may be sent twice. Most such queries are sent because a reply takes long
+// while the connections work. It therefore tries a recently used connection first, and opens a new one only if that
+// gives no reply.
 func queryRecent[A any](ctx context.Context, c *Client, address string, timeout time.Duration, f func(context.Context, peerpb.DRPCPeerClient) (A, error)) (A, error) {
 	var response A
 	err := c.pool.UseRecent(address, recentWindow, func(conn drpc.Conn) (err error) {
--- a/internal/traffic/peer/encoding.go
+++ b/internal/traffic/peer/encoding.go
@@ -67,8 +67,8 @@
 	formCompressed = 1
 )
 
-// errUnknownForm is returned for a message that is empty, whose first byte is not a known form, or that is compressed when the node
-// has no Compressor.
+// errUnknownForm is returned for a message that is empty, whose first byte is not a known form, or that is compressed
+// when the node has no Compressor.
 var errUnknownForm = errors.New("message is in an unknown form")
 
 // compress appends the message in the compressed form to the buffer.
@@ -90,8 +90,8 @@
 	return nil, false, errUnknownForm
 }
 
-// messageEncoding is an encoding that puts a checksum before each message, so that damage to any field is detected. Messages
-// therefore have no checksum fields.
+// messageEncoding is an encoding that puts a checksum before each message, so that damage to any field is detected.
+// Messages therefore have no checksum fields.
 type messageEncoding struct {
 	drpc.Encoding
 	compressor *Compressor
@@ -168,7 +168,8 @@
 	compressor *Compressor
 }
 
-// NewHandler returns a handler for RPCs that are sent through a Pool with an equal Compressor. It passes the decoded RPCs to h.
+// NewHandler returns a handler for RPCs that are sent through a Pool with an equal Compressor. It passes the decoded
+// RPCs to h.
 func NewHandler(h drpc.Handler, compressor *Compressor) drpc.Handler {
 	return encodedHandler{handler: h, compressor: compressor}
 }
--- a/internal/traffic/peer/encoding_test.go
+++ b/internal/traffic/peer/encoding_test.go
@@ -65,8 +65,8 @@
 	is.Equal(enc.Unmarshal(encoded[:3], received), errChecksumMismatch)
 }
 
-// TestCompressedMessagesAreSmaller checks that compression pays off for a typical request. Bytes sent between availability zones are the
-// largest cost of a call.
+// TestCompressedMessagesAreSmaller checks that compression pays off for a typical request. Bytes sent between
+// availability zones are the largest cost of a call.
 func TestCompressedMessagesAreSmaller(t *testing.T) {
 	is := is.New(t)
 	compressor, err := NewCompressor("X-Request-Name", "X-Calling-Service")
--- a/internal/traffic/peer/fuzz_test.go
+++ b/internal/traffic/peer/fuzz_test.go
@@ -11,7 +11,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// FuzzParseRequest checks that no bytes from another node make parseRequest panic, and that accepted requests are within bounds.
+// FuzzParseRequest checks that no bytes from another node make parseRequest panic, and that accepted requests are
+// within bounds.
 func FuzzParseRequest(f *testing.F) {
 	valid, err := proto.Marshal(requestMessage(&call.Request{
 		AttemptID: "a",
--- a/internal/traffic/peer/handover.go
+++ b/internal/traffic/peer/handover.go
@@ -9,7 +9,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// RememberedKey is an idempotency key that a leaving node hands over. Its state is Done, with a reply, or NotRun or Moved.
+// RememberedKey is an idempotency key that a leaving node hands over. Its state is Done, with a reply, or NotRun or
+// Moved.
 type RememberedKey = outcome.Entry[call.Reply]
 
 // HandoverPart is one message of a handover, by which a leaving node transfers its idempotency keys to another node.
@@ -20,12 +21,13 @@
 	Keys  []RememberedKey
 	// Owners are the key owners on whose behalf the receiver answers once it has all parts.
 	Owners []outcome.Node
-	// TargetIncarnation identifies the process that takes over the keys. A later process of the same node must not take them
-	// over, because the earlier one may have run requests with some of these keys.
+	// TargetIncarnation identifies the process that takes over the keys. A later process of the same node must not take
+	// them over, because the earlier one may have run requests with some of these keys.
 	TargetIncarnation uint64
 }
 
-// HandOver sends one part and reports whether the receiver accepted it. False means that the receiver will never accept any part.
+// HandOver sends one part and reports whether the receiver accepted it. False means that the receiver will never accept
+// any part.
 func (c *Client) HandOver(ctx context.Context, address string, p HandoverPart, timeout time.Duration) (bool, error) {
 	request := &peerpb.HandoverRequest{SourceNode: c.node, HandoverId: p.ID, Part: int32(p.Part), Parts: int32(p.Parts), TargetIncarnation: p.TargetIncarnation}
 	for _, k := range p.Keys {
--- a/internal/traffic/peer/headers.go
+++ b/internal/traffic/peer/headers.go
@@ -14,8 +14,8 @@
 	valueTerminator = '\n'
 )
 
-// encodeHeaders returns the headers as one block: for each header its name, a colon, the value and a line feed. A single block is
-// cheaper to encode than a protobuf message for each header.
+// encodeHeaders returns the headers as one block: for each header its name, a colon, the value and a line feed. A
+// single block is cheaper to encode than a protobuf message for each header.
 func encodeHeaders(h http.Header) []byte {
 	size := 0
 	for name, values := range h {
--- a/internal/traffic/peer/headers_test.go
+++ b/internal/traffic/peer/headers_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// FuzzParseHeaders checks that parsed headers survive another round trip. Names and values that were read from the network contain no
-// line feed, but headers may also come from elsewhere.
+// FuzzParseHeaders checks that parsed headers survive another round trip. Names and values that were read from the
+// network contain no line feed, but headers may also come from elsewhere.
 func FuzzParseHeaders(f *testing.F) {
 	f.Add([]byte("Host:x\nAccept:*/*\nAccept:text/plain\n"))
 	f.Add([]byte("Host"))
--- a/internal/traffic/peer/messages_test.go
+++ b/internal/traffic/peer/messages_test.go
@@ -38,15 +38,15 @@
 	if _, err := parseRequest(&received, now); err != nil {
 		b.Fatal(err)
 	}
-	answered, err := enc.Marshal(replyMessage("a", reply))
+	sentReply, err := enc.Marshal(replyMessage("a", reply))
 	if err != nil {
 		b.Fatal(err)
 	}
-	var answer peerpb.CallReply
-	if err := enc.Unmarshal(answered, &answer); err != nil {
+	var receivedReply peerpb.CallReply
+	if err := enc.Unmarshal(sentReply, &receivedReply); err != nil {
 		b.Fatal(err)
 	}
-	if err := checkReply(r, &answer); err != nil {
+	if err := checkReply(r, &receivedReply); err != nil {
 		b.Fatal(err)
 	}
 }
--- a/internal/traffic/peer/pool.go
+++ b/internal/traffic/peer/pool.go
@@ -46,8 +46,8 @@
 	open int
 }
 
-// prune closes the connections that have been idle for at least maxIdle. The most recently used connection is always reused
-// first, so that without pruning the others would stay open forever.
+// prune closes the connections that have been idle for at least maxIdle. The most recently used connection is always
+// reused first, so that without pruning the others would stay open forever.
 func (c *peerConns) prune(now time.Time, maxIdle time.Duration) {
 	expired := 0
 	for expired < len(c.idle) && now.Sub(c.idle[expired].since) >= maxIdle {
@@ -74,8 +74,8 @@
 // rankReserveRatio is the ratio of the connections to one node that each rank leaves to the next more urgent one.
 const rankReserveRatio = 0.05
 
-// maxInUse returns the number of connections in use to one node from which a request of the rank gets no further one. Less
-// urgent ranks have a lower limit, so that a flood of their requests leaves connections for more urgent ones.
+// maxInUse returns the number of connections in use to one node from which a request of the rank gets no further one.
+// Less urgent ranks have a lower limit, so that a flood of their requests leaves connections for more urgent ones.
 func (p *Pool) maxInUse(rank int) int {
 	return max(int(float64(p.config.MaxPerPeer)*(1-rankReserveRatio*float64(rank))), 1)
 }
@@ -106,8 +106,8 @@
 	return p.run(u, conn, f)
 }
 
-// UseNew runs f on a new connection outside the pool, which is closed afterwards. It serves to find out what an older connection
-// left undecided.
+// UseNew runs f on a new connection outside the pool, which is closed afterwards. It serves for queries about attempts
+// whose reply was lost on an older connection.
 func (p *Pool) UseNew(ctx context.Context, address string, f func(drpc.Conn) error) error {
 	conn, err := p.dial(ctx, address)
 	if err != nil {
@@ -193,8 +193,8 @@
 	return conn, nil
 }
 
-// takeIdle returns the most recently used idle connection. If there is none, it returns nil and counts a new connection as open,
-// which the caller of takeIdle then opens.
+// takeIdle returns the most recently used idle connection. If there is none, it returns nil and counts a new connection
+// as open, which the caller of takeIdle then opens.
 func (p *Pool) takeIdle(address string, rank int, now time.Time) (*drpcconn.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/traffic/peer/promise.go
+++ b/internal/traffic/peer/promise.go
@@ -7,13 +7,14 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// PromiseQuery asks a keeper of a shard to promise that the end of the shard may move to Until, or to take its promise back.
+// PromiseQuery asks a keeper of a shard to promise that the shard ends at Until, or fences the keeper: it then gives no
+// further promise for the shard in the term.
 type PromiseQuery struct {
 	Shard string
 	Term  uint64
 	// Until is the new end of the shard, in Unix milliseconds.
 	Until int64
-	// Fence reports whether the keeper must take back its promise.
+	// Fence reports whether the query fences the keeper instead of asking for a promise.
 	Fence bool
 	// Incarnation identifies the process that the query is for.
 	Incarnation uint64
--- a/internal/traffic/peer/resolve.go
+++ b/internal/traffic/peer/resolve.go
@@ -47,13 +47,14 @@
 	State outcome.State
 	// Reply is set if State is Done.
 	Reply call.Reply
-	// Fingerprint distinguishes different requests with the same key. It is set for a key that moves, and 0 if the node has
-	// not seen the key.
+	// Fingerprint distinguishes different requests with the same key. It is set for a key that moves, and 0 if the node
+	// has not seen the key.
 	Fingerprint uint64
 }
 
-// Resolve sends the query to the node at the address. It avoids connections that may have gone silent. A query with a key uses a
-// new connection. A query without a key uses a recently used connection, and a new one if that gives no reply.
+// Resolve sends the query to the node at the address. It avoids connections that may have gone silent. A query with a
+// key uses a new connection. A query without a key uses a recently used connection, and a new one if that gives no
+// reply.
 func (c *Client) Resolve(ctx context.Context, address string, q ResolveQuery, timeout time.Duration) (Resolution, error) {
 	request := &peerpb.ResolveRequest{
 		AttemptId:   q.AttemptID,
--- a/internal/traffic/peer/reuse_test.go
+++ b/internal/traffic/peer/reuse_test.go
@@ -76,8 +76,8 @@
 	return false, nil
 }
 
-// TestQueriesReuseRecentConnections guards against opening a connection for each query about a slow reply. A query uses a recently used
-// connection, and a new one only if there is none.
+// TestQueriesReuseRecentConnections guards against opening a connection for each query about a slow reply, which one
+// reply in ten may be. A query uses a recently used connection, and a new one only if there is none.
 func TestQueriesReuseRecentConnections(t *testing.T) {
 	for name, test := range map[string]struct {
 		calls int
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestQueryAfterSilentConnection checks that a query that gets no reply on a pooled connection, because it went silent, is sent again on
-// a new connection and answered.
+// TestQueryAfterSilentConnection checks that a query that gets no reply on a pooled connection, because it went silent,
+// is sent again on a new connection and answered.
 func TestQueryAfterSilentConnection(t *testing.T) {
 	is := is.New(t)
 	l := &countingListener{}
@@ -121,8 +121,8 @@
 	is.True(time.Since(begin) < 500*time.Millisecond)
 }
 
-// startNode starts a node that passes requests to the receiver, and returns a client of it, the client's pool and the node's address.
-// The counter, if not nil, counts the node's connections.
+// startNode starts a node that passes requests to the receiver, and returns a client of it, the client's pool and the
+// node's address. The counter, if not nil, counts the node's connections.
 func startNode(t *testing.T, receiver peer.Receiver, maxIdle time.Duration, counter *countingListener) (*peer.Client, *peer.Pool, string) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -155,8 +155,8 @@
 	is.New(t).NoErr(err)
 }
 
-// TestAnsweredCallsKeepConnection guards against closing the connection of a call whose context ends as soon as the reply has arrived.
-// A flood of requests that are refused at once would then open a connection for each.
+// TestAnsweredCallsKeepConnection guards against closing the connection of a call whose context ends as soon as the
+// reply has arrived. A flood of requests that are refused immediately would then open a connection for each.
 func TestAnsweredCallsKeepConnection(t *testing.T) {
 	is := is.New(t)
 	l := &countingListener{}
@@ -168,8 +168,8 @@
 	is.Equal(l.accepted.Load(), int64(1))
 }
 
-// TestOneReadPerCall guards against a second wake-up of the node for the close frame of each call, which costs much at thousands of short
-// calls per second. The close frame must arrive together with the next request.
+// TestOneReadPerCall guards against a second wake-up of the node for the close frame of each call, which costs much at
+// thousands of short calls per second to the deepest service. The close frame must arrive together with the next request.
 func TestOneReadPerCall(t *testing.T) {
 	is := is.New(t)
 	l := &countingListener{}
@@ -182,8 +182,8 @@
 	is.True(l.reads.Load() <= calls+1)
 }
 
-// TestBurstConnectionsAreClosed guards against keeping the connections of a burst open while later load uses only a few of the connections
-// to the node.
+// TestBurstConnectionsAreClosed guards against keeping the connections of a burst open while later load uses only a few
+// of the connections to the node.
 func TestBurstConnectionsAreClosed(t *testing.T) {
 	is := is.New(t)
 	const burst, maxIdle = 20, 100 * time.Millisecond
--- a/internal/traffic/peer/server.go
+++ b/internal/traffic/peer/server.go
@@ -17,8 +17,8 @@
 type OutcomeStore interface {
 	// Resolve returns the state of an attempt.
 	Resolve(q ResolveQuery) Resolution
-	// TakeOver accepts a part of a leaving node's keys. False means that no part will ever be accepted. An error means that the
-	// part is for another process, which may have accepted it.
+	// TakeOver accepts a part of a leaving node's keys. False means that no part will ever be accepted. An error means
+	// that the part is for another process, which may have accepted it.
 	TakeOver(ctx context.Context, p HandoverPart) (bool, error)
 }
 
@@ -36,8 +36,8 @@
 	promiser Promiser
 }
 
-// NewServer returns a server that passes requests to the receiver, queries about attempts and handovers to outcomes, and queries
-// about shards to the promiser.
+// NewServer returns a server that passes requests to the receiver, queries about attempts and handovers to outcomes,
+// and queries about shards to the promiser.
 func NewServer(receiver Receiver, outcomes OutcomeStore, promiser Promiser) *Server {
 	return &Server{receiver: receiver, outcomes: outcomes, promiser: promiser}
 }
