--- a/internal/traffic/flow/budgets.go
+++ b/internal/traffic/flow/budgets.go
@@ -33,8 +33,8 @@
 	return retry.Decide(a, b.budgetOf(service))
 }
 
-// limitToShare limits the budget of the service to this node's share of the retries that all nodes together may make at
-// once.
+// limitToShare limits the budget of the service to this node's share of the retries that all nodes together may make in a
+// burst.
 func (b *Budgets) limitToShare(service string, fleetRetries float64, nodes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/traffic/flow/calltreelimits.go
+++ b/internal/traffic/flow/calltreelimits.go
@@ -82,7 +82,7 @@
 }
 
 // isOverload reports whether a call failed because of overload. A call that exceeded its deadline does not count, because
-// it may have worked all that time.
+// it may have run for all that time without queueing.
 func isOverload(reason call.Reason) bool {
 	switch reason {
 	case call.ReasonOverload, call.ReasonCallsWait, call.ReasonQueueTimeout, call.ReasonBackendShed:
--- a/internal/traffic/flow/calltreelimits_test.go
+++ b/internal/traffic/flow/calltreelimits_test.go
@@ -11,8 +11,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/call"
 )
 
-// With one backend server of a service left, its requests queue for its slots. That queueing delay must lower the limit as
-// much as one further down the call tree.
+// With one backend server of a service left, its requests queue for its slots. That queueing delay must lower the limit
+// as much as one further down the call tree.
 func TestLocalQueueingDelayLowersLimit(t *testing.T) {
 	limit := func(queueingDelay time.Duration) float64 {
 		limits := NewCallTreeLimits(calllimit.DefaultConfig)
--- a/internal/traffic/flow/entrythrottles.go
+++ b/internal/traffic/flow/entrythrottles.go
@@ -27,8 +27,8 @@
 	rank    int
 }
 
-// entryThrottles refuses root requests that would be shed further down their call chain, before any work is done for
-// them.
+// entryThrottles holds the throttles of this entry node. They refuse root requests that would be shed further down their
+// call chain, before any work is done for them.
 type entryThrottles struct {
 	config throttle.Config
 
@@ -62,7 +62,7 @@
 }
 
 // isResent reports whether the caller has sent the request before and it failed. A request with a key from its caller
-// counts only if the caller was told that it has not run. Otherwise a remembered reply may exist, and returning it costs
+// counts only if its caller got the outcome not_run. Otherwise a remembered reply may exist, and returning it costs
 // little.
 func (e *entryThrottles) isResent(now time.Time, r *call.Request) bool {
 	if !e.failures.IsEmpty(now) && e.failures.Take(now, resendFingerprint(r)) {
--- a/internal/traffic/flow/entrythrottles_test.go
+++ b/internal/traffic/flow/entrythrottles_test.go
@@ -22,7 +22,7 @@
 		"earlier copy shed":                     {"", false, shedReply, 0, true},
 		"caller reports a resend":               {"", false, ranReply, 1, true},
 		"earlier copy shed, minted key":         {"minted", true, shedReply, 0, true},
-		"caller told not_run, caller's key":     {"own", false, shedReply, 0, true},
+		"reply not_run, caller's key":           {"own", false, shedReply, 0, true},
 		"reply lost, caller's key":              {"own", false, lostReply, 0, false},
 		"caller reports a resend, caller's key": {"own", false, ranReply, 1, false},
 	} {
--- a/internal/traffic/flow/exchange.go
+++ b/internal/traffic/flow/exchange.go
@@ -22,7 +22,7 @@
 }
 
 const (
-	// replyGracePeriod is how much longer to wait for the reply after the other node has said that the attempt is not
+	// replyGracePeriod is how much longer to wait for the reply after the other node has reported that the attempt is not
 	// running.
 	replyGracePeriod = 20 * time.Millisecond
 	// resolveTimeout is the timeout of one query about an attempt.
@@ -86,7 +86,8 @@
 	}
 }
 
-// errOutcomeUnresolvable reports that the other process has no record of the attempt, so that asking again is useless.
+// errOutcomeUnresolvable reports that the process to which the attempt was sent has ended, so that no further query can
+// resolve its outcome.
 var errOutcomeUnresolvable = errors.New("the node was restarted after the attempt was sent")
 
 func failureReason(err error) call.Reason {
@@ -104,9 +105,9 @@
 	return x.send(ctx, target.PeerAddress, attempt, x.resolveIdempotent)
 }
 
-// callAtMostOnce sends one attempt of a non-idempotent request without a key. If the reply is lost, it queries the process
-// that the attempt was sent to. If the attempt has not started there, the query fences it: that process will never start
-// it. Only then is it safe to send the request elsewhere.
+// callAtMostOnce sends one attempt of a non-idempotent request without a key. If the reply is lost, it queries the
+// process that the attempt was sent to. If the attempt has not started there, the query fences it: that process will
+// never start it. Only then is it safe to send the request elsewhere.
 func (x *exchange) callAtMostOnce(ctx context.Context, target membership.Member, attempt *call.Request) (call.Reply, error) {
 	attempt.TargetIncarnation = target.Incarnation
 	reply, err := x.send(ctx, target.PeerAddress, attempt, x.resolveAtMostOnce)
@@ -136,12 +137,12 @@
 
 // queryAttempt asks the process that received an attempt without a key for its outcome.
 func (x *exchange) queryAttempt(ctx context.Context, address string, attempt *call.Request) (peer.Resolution, error) {
-	question := peer.ResolveQuery{
+	query := peer.ResolveQuery{
 		AttemptID:   attempt.AttemptID,
 		Service:     attempt.Service,
 		Incarnation: attempt.TargetIncarnation,
 	}
-	return x.peers.Resolve(ctx, address, question, resolveTimeout)
+	return x.peers.Resolve(ctx, address, query, resolveTimeout)
 }
 
 // resolver queries the node at the address about an attempt whose reply is overdue. It reports false if the sender should
@@ -152,7 +153,7 @@
 func (x *exchange) send(ctx context.Context, address string, attempt *call.Request, resolve resolver) (call.Reply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	sent := *attempt
-	kind := workKind{service: attempt.Service, kind: attempt.Kind}
+	kind := requestKind{service: attempt.Service, kind: attempt.Kind}
 	monitor := &attemptMonitor{results: make(chan attemptResult, 1)}
 	defer monitor.group.Wait()
 	start := time.Now()
--- a/internal/traffic/flow/fencedrunner.go
+++ b/internal/traffic/flow/fencedrunner.go
@@ -26,7 +26,7 @@
 	return &FencedRunner{local: local, incarnation: incarnation, table: fence.NewTable()}
 }
 
-// Receive runs the attempt, unless it has been fenced or has come before.
+// Receive runs the attempt, unless it was fenced or received before.
 func (f *FencedRunner) Receive(ctx context.Context, r *call.Request) call.Reply {
 	if !f.begin(r.AttemptID) {
 		return call.Refused(call.NotRun, call.ReasonPeerSilent, 0)
@@ -48,7 +48,7 @@
 	f.table.End(time.Now(), id, mayHaveRun)
 }
 
-// fenceStates maps the states of the fence table to the states that other nodes are told.
+// fenceStates maps the states of the fence table to the states that are reported to other nodes.
 var fenceStates = map[fence.State]outcome.State{
 	fence.Fenced:  outcome.NotRun,
 	fence.Running: outcome.Running,
@@ -56,8 +56,8 @@
 }
 
 // Resolve returns the state of an attempt. An attempt that has not arrived is fenced only if it was sent to this
-// incarnation, because an earlier process may have run it. If the sender still knows an earlier incarnation but the attempt
-// did arrive here, its state is returned as well.
+// incarnation, because an earlier process may have run it. If the sender still knows an earlier incarnation but the
+// attempt did arrive here, its state is returned as well.
 func (f *FencedRunner) Resolve(q peer.ResolveQuery) peer.Resolution {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/traffic/flow/keyedsender.go
+++ b/internal/traffic/flow/keyedsender.go
@@ -26,9 +26,9 @@
 	Window time.Duration
 }
 
-// KeyedSender sends the requests that enter a node. It marks non-idempotent requests without a key, so that each of their
-// attempts gets a minted key, and sends requests with a key from their caller to the owner of the key. Idempotent requests
-// go to the Sender directly.
+// KeyedSender sends the requests that enter a node. It marks non-idempotent requests without a key, so that each of
+// their attempts gets a minted key, and sends requests with a key from their caller to the owner of the key. Idempotent
+// requests go to the Sender directly.
 type KeyedSender struct {
 	config      KeyedSenderConfig
 	silentNodes *silentNodes
@@ -108,7 +108,8 @@
 const presumedOwnerTimeout = time.Second
 
 // followTimeout returns how long an attempt is resent while the target refuses it. The ends of the epochs in the local
-// availability zone are known here, so a refusal from an up member of that zone that is only the presumed owner is final.
+// availability zone are known here. If a member of that zone is up, refuses and is only the presumed owner, the attempt
+// is therefore not resent.
 func (k *KeyedSender) followTimeout(target keyLocation) time.Duration {
 	switch {
 	case !target.presumed:
@@ -147,8 +148,8 @@
 type keyLocation struct {
 	membership.Member
 
-	// presumed says that the last epoch known here has ended. Only the members of that epoch know whether it was extended, and
-	// until when.
+	// presumed says that the last epoch known here has ended. Only the members of that epoch know whether it was
+	// extended, and until when.
 	presumed bool
 }
 
@@ -170,7 +171,7 @@
 	return keyLocation{Member: m, presumed: true}, refusal, ok
 }
 
-// presumedOwner returns the node to ask about a key whose owner is not agreed here. It returns none if the availability
+// presumedOwner returns the node to query about a key whose owner is not agreed here. It returns none if the availability
 // zone of the last epoch is unreachable, because the outcome of the request would then be reported as unknown.
 func presumedOwner(b *board.Board, zones []string, service string, key outcome.Key) (outcome.Node, bool) {
 	shard := b.KeyOwners.Shards[outcome.ShardOf(zones, key.Text)]
@@ -202,7 +203,7 @@
 }
 
 // noOwnerReply returns the reply for a key without an agreed owner. A key whose time is outside the accepted range is
-// refused for good, any other only for now.
+// refused permanently, any other temporarily.
 func noOwnerReply(key outcome.Key, now time.Time, window time.Duration) call.Reply {
 	ahead := time.UnixMilli(key.UnixMillis).Sub(now)
 	if key.Timed && (ahead < -window || ahead > maxKeyTimeAhead) {
@@ -211,7 +212,8 @@
 	return call.Refused(call.NotAdmitted, call.ReasonOwnerUnknown, ownerRetryAfter)
 }
 
-// maxKeyTimeAhead is how far the time of a key may be ahead of the clock of this node before the key is refused for good.
+// maxKeyTimeAhead is how far the time of a key may be ahead of the clock of this node before the key is refused
+// permanently.
 const maxKeyTimeAhead = 30 * time.Second
 
 // memberAnsweringFor returns the member that answers for the keys of a node: the one that took them over, or the node
@@ -230,8 +232,8 @@
 	return ok
 }
 
-// handoverRecipient returns the member that took over the keys of the node and still has them. Several members may name
-// that node, because records of members that have handed the keys on and left can still be on the board.
+// handoverRecipient returns the member that took over the keys of the node and still has them. The records of several
+// members may name that node, because members that have handed the keys over in turn and left can still be on the board.
 func handoverRecipient(b *board.Board, owner outcome.Node) (membership.Member, bool) {
 	var latest membership.Member
 	found := false
--- a/internal/traffic/flow/keyowner.go
+++ b/internal/traffic/flow/keyowner.go
@@ -32,8 +32,10 @@
 	ResolveAt func(ctx context.Context, address string, q peer.ResolveQuery) (peer.Resolution, error)
 	// Budgets holds the retry budgets that delegated requests are charged to.
 	Budgets *Budgets
-	Load    func() call.Load
-	Table   outcome.TableConfig
+	// Load returns the load of the local backend server.
+	Load func() call.Load
+	// Table configures the tables of keys.
+	Table outcome.TableConfig
 }
 
 // KeyOwner runs the non-idempotent requests whose keys this node owns, each at most once, and remembers their outcomes.
@@ -71,7 +73,7 @@
 }
 
 const (
-	// ownerRetryAfter is the Retry-After time of replies that refuse a key for now.
+	// ownerRetryAfter is the Retry-After time of temporary refusals that are due to the key or to a lost reply.
 	ownerRetryAfter = 250 * time.Millisecond
 	// expiryInterval is the interval between removals of expired keys.
 	expiryInterval = time.Second
@@ -130,9 +132,10 @@
 	return o.handleCopy(ctx, r, o.keys, copyDetails(r, key, keyID(r.Service, r.Key)), o.execute)
 }
 
-// claimKey reports whether this node may run the key now. If not, it returns the reply to the request. Querying earlier
-// owners takes time, and the epoch of this node may end meanwhile. For a key without a time the epoch is therefore checked
-// again afterwards: the next owner no longer asks this node, so running the key here could run it twice.
+// claimKey reports whether this node may run the request with the key now. If not, it returns the reply to the request.
+// Querying earlier owners takes time, and the epoch of this node may end meanwhile. For a key without a time, the epoch
+// is therefore checked again afterwards: the next owner no longer queries this node, so the request could run
+// twice.
 func (o *KeyOwner) claimKey(ctx context.Context, r *call.Request, key outcome.Key) (call.Reply, bool) {
 	earlier, ok := o.ownsKey(r.Service, key)
 	if ok && len(earlier) > 0 {
@@ -144,8 +147,9 @@
 	return call.Refused(call.NotAdmitted, call.ReasonOwnerUnknown, ownerRetryAfter), ok
 }
 
-// ownsKey reports whether this node may run the key. It may if it is the owner according to the key or the agreed epochs,
-// or if that owner has handed its keys over to this node. The key must first be moved here from the nodes returned.
+// ownsKey reports whether this node may run the request with the key. It may if it is the owner according to the key or
+// the agreed epochs, or if that owner has handed its keys over to this node. The key must first be moved here from the
+// nodes returned.
 func (o *KeyOwner) ownsKey(service string, key outcome.Key) ([]outcome.Node, bool) {
 	owner, earlier, ok := ownerOf(o.config.Board.Snapshot(), o.config.Zones, service, key, o.config.Table.Window)
 	if !ok {
@@ -246,7 +250,8 @@
 	return verdict, o.executions[details.ID]
 }
 
-// startExecution runs the request independently of the connection it came on, so that a later copy can get the reply.
+// startExecution runs the request independently of the connection on which it arrived, so that a later copy can get the
+// reply.
 func (o *KeyOwner) startExecution(ctx context.Context, r *call.Request, table *outcome.Table[call.Reply], details outcome.RequestCopy, execute executeFunc) {
 	execution := &keyedExecution{done: make(chan struct{})}
 	o.executions[details.ID] = execution
@@ -328,7 +333,7 @@
 }
 
 // Resolve returns the state of an attempt or a key, or moves a key to another owner. Queries for an earlier incarnation
-// of this node get an empty resolution.
+// of this node get an empty resolution, and so does a query to move a key to a node whose keys this node has taken over.
 func (o *KeyOwner) Resolve(q peer.ResolveQuery) peer.Resolution {
 	if q.Key == "" && q.Incarnation == o.config.Self.Incarnation {
 		return o.resolveIdempotent(q)
--- a/internal/traffic/flow/keyowner_test.go
+++ b/internal/traffic/flow/keyowner_test.go
@@ -67,7 +67,8 @@
 	return id
 }
 
-func booking(entered time.Time) *call.Request {
+// booking returns a request with a key that this node owns. Its sending node received it at the given time.
+func booking(receivedAt time.Time) *call.Request {
 	return &call.Request{
 		AttemptID:    uuid.NewString(),
 		Service:      "access",
@@ -76,7 +77,7 @@
 		Key:          outcome.Mint(selfNode, uuidOf(time.Now())),
 		Deadline:     time.Now().Add(time.Minute),
 		AttemptsLeft: 1,
-		ReceivedAt:   entered,
+		ReceivedAt:   receivedAt,
 	}
 }
 
@@ -99,15 +100,15 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			local, other := &scriptedRunner{replies: []call.Reply{tc.local}}, &scriptedRunner{replies: []call.Reply{tc.other}}
-			h := newTestKeyOwner(local, other)
+			keyOwner := newTestKeyOwner(local, other)
 			r := booking(time.Now())
 			r.AttemptsLeft = tc.attempts
-			reply := h.Receive(t.Context(), r)
+			reply := keyOwner.Receive(t.Context(), r)
 			is.Equal(reply.Outcome, tc.want)
 			is.Equal(reply.AttemptsUsed, tc.used)
 			is.Equal(other.runs, tc.delegated)
 			if tc.want != call.NotRun {
-				is.Equal(h.Receive(t.Context(), r).Outcome, tc.want) // remembered
+				is.Equal(keyOwner.Receive(t.Context(), r).Outcome, tc.want) // remembered
 				is.Equal(local.runs, 1)
 			}
 		})
@@ -119,23 +120,23 @@
 func TestDelegationChargesRetryBudget(t *testing.T) {
 	is := is.New(t)
 	local, other := &scriptedRunner{replies: []call.Reply{shedReply}}, &scriptedRunner{replies: []call.Reply{ranReply, shedReply}}
-	h := newTestKeyOwner(local, other)
+	keyOwner := newTestKeyOwner(local, other)
 	first := booking(time.Now())
-	is.Equal(h.Receive(t.Context(), first).Outcome, call.Ran) // takes one of two tokens and earns half a token
-	is.Equal(h.Receive(t.Context(), booking(time.Now())).Outcome, call.NotRun)
+	is.Equal(keyOwner.Receive(t.Context(), first).Outcome, call.Ran) // takes one of two tokens and earns half a token
+	is.Equal(keyOwner.Receive(t.Context(), booking(time.Now())).Outcome, call.NotRun)
 	for range 10 {
-		is.Equal(h.Receive(t.Context(), booking(time.Now())).Outcome, call.NotRun)
+		is.Equal(keyOwner.Receive(t.Context(), booking(time.Now())).Outcome, call.NotRun)
 	}
 	is.Equal(other.runs, 2)
-	is.Equal(h.Receive(t.Context(), first).Outcome, call.Ran) // remembered
+	is.Equal(keyOwner.Receive(t.Context(), first).Outcome, call.Ran) // remembered
 	local.replies = append(slices.Repeat([]call.Reply{shedReply}, local.runs), ranReply)
-	is.Equal(h.Receive(t.Context(), booking(time.Now())).Outcome, call.Ran) // brings the budget to one token
+	is.Equal(keyOwner.Receive(t.Context(), booking(time.Now())).Outcome, call.Ran) // brings the budget to one token
 	local.replies = []call.Reply{shedReply}
-	is.Equal(h.Receive(t.Context(), booking(time.Now())).Outcome, call.NotRun)
+	is.Equal(keyOwner.Receive(t.Context(), booking(time.Now())).Outcome, call.NotRun)
 	is.Equal(other.runs, 3)
 }
 
-// A copy that entered before the caller was told not_run must not run. A resend that entered later runs.
+// A copy that entered before the caller got the outcome not_run must not run. A resend that entered later runs.
 func TestLateCopyAfterNotRun(t *testing.T) {
 	synctest.Test(t, testLateCopy)
 }
@@ -143,12 +144,12 @@
 func testLateCopy(t *testing.T) {
 	is := is.New(t)
 	local := &scriptedRunner{replies: []call.Reply{shedReply, ranReply}}
-	h := newTestKeyOwner(local, &scriptedRunner{replies: []call.Reply{shedReply}})
-	x := &exchange{local: h}
+	keyOwner := newTestKeyOwner(local, &scriptedRunner{replies: []call.Reply{shedReply}})
+	x := &exchange{local: keyOwner}
 	first := booking(time.Now())
 	first.AttemptsLeft = 0
 	late := *first
-	is.Equal(h.Receive(t.Context(), first).Outcome, call.NotRun)
+	is.Equal(keyOwner.Receive(t.Context(), first).Outcome, call.NotRun)
 	reply, err := x.callKeyed(t.Context(), selfMember, &late)
 	is.NoErr(err)
 	is.Equal(reply.Outcome, call.NotRun)
@@ -161,15 +162,15 @@
 	is.Equal(reply.Outcome, call.Ran)
 }
 
-// The first copy ran and its reply was lost. If the resend is shed, at the key owner or at the entry node, its caller must
-// not be told not_run.
+// The first copy ran and its reply was lost. If the resend is shed, at the key owner or at the entry node, its caller
+// must not get the outcome not_run.
 func TestResendAfterLostReplyIsNotToldNotRun(t *testing.T) {
 	is := is.New(t)
 	local := &scriptedRunner{replies: []call.Reply{ranReply, shedReply}}
-	h := newTestKeyOwner(local, &scriptedRunner{replies: []call.Reply{shedReply}})
+	keyOwner := newTestKeyOwner(local, &scriptedRunner{replies: []call.Reply{shedReply}})
 	r := booking(time.Now())
-	is.Equal(h.Receive(t.Context(), r).Outcome, call.Ran)
-	resent := h.Receive(t.Context(), r)
+	is.Equal(keyOwner.Receive(t.Context(), r).Outcome, call.Ran)
+	resent := keyOwner.Receive(t.Context(), r)
 	is.Equal(resent.Outcome, call.Ran)
 	is.Equal(string(resent.Body), "booked")
 
@@ -200,8 +201,8 @@
 	}
 }
 
-// A key owner whose epoch ends while it queries an earlier owner must not run the key: the next owner may no longer query
-// this node.
+// A key owner whose epoch ends while it queries an earlier owner must not run the request: the next owner may no longer
+// query this node.
 func TestEpochEndsDuringQueryOfEarlierOwner(t *testing.T) {
 	for name, tc := range map[string]struct {
 		responseTime time.Duration
@@ -215,16 +216,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				local := &scriptedRunner{replies: []call.Reply{ranReply}}
-				h := newTestKeyOwner(local, local)
-				h.config.Board = board.NewLoop(boardWithEarlierOwner(4 * time.Second))
-				h.config.Zones = []string{"lisbon"}
-				h.config.ResolveAt = func(context.Context, string, peer.ResolveQuery) (peer.Resolution, error) {
+				keyOwner := newTestKeyOwner(local, local)
+				keyOwner.config.Board = board.NewLoop(boardWithEarlierOwner(4 * time.Second))
+				keyOwner.config.Zones = []string{"lisbon"}
+				keyOwner.config.ResolveAt = func(context.Context, string, peer.ResolveQuery) (peer.Resolution, error) {
 					time.Sleep(tc.responseTime)
 					return peer.Resolution{Known: true, State: outcome.Moved}, nil
 				}
 				r := booking(time.Now())
 				r.Key = "booking-17"
-				is.Equal(h.Receive(t.Context(), r).Outcome, tc.want)
+				is.Equal(keyOwner.Receive(t.Context(), r).Outcome, tc.want)
 				is.Equal(local.runs, tc.runs)
 			})
 		})
@@ -232,7 +233,7 @@
 }
 
 // A leaving key owner may get no useful response about an earlier owner, because its successor may already have the keys.
-// It refuses as draining, so that the caller's node asks the successor.
+// It refuses as draining, so that the caller's node sends the request to the successor.
 func TestLeavingOwnerRefusesMovedKey(t *testing.T) {
 	for name, tc := range map[string]struct {
 		leaving bool
@@ -243,18 +244,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h := newTestKeyOwner(&scriptedRunner{}, &scriptedRunner{})
-			h.config.Board = board.NewLoop(boardWithEarlierOwner(time.Minute))
-			h.config.Zones = []string{"lisbon"}
-			h.config.ResolveAt = func(context.Context, string, peer.ResolveQuery) (peer.Resolution, error) {
+			keyOwner := newTestKeyOwner(&scriptedRunner{}, &scriptedRunner{})
+			keyOwner.config.Board = board.NewLoop(boardWithEarlierOwner(time.Minute))
+			keyOwner.config.Zones = []string{"lisbon"}
+			keyOwner.config.ResolveAt = func(context.Context, string, peer.ResolveQuery) (peer.Resolution, error) {
 				if tc.leaving {
-					h.beginLeaving()
+					keyOwner.beginLeaving()
 				}
 				return peer.Resolution{}, nil
 			}
 			r := booking(time.Now())
 			r.Key = "booking-17"
-			reply := h.Receive(t.Context(), r)
+			reply := keyOwner.Receive(t.Context(), r)
 			is.Equal(reply.Outcome, call.NotAdmitted)
 			is.Equal(reply.Reason, tc.want)
 		})
@@ -298,14 +299,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h := newTestKeyOwner(&scriptedRunner{replies: []call.Reply{ranReply}}, &scriptedRunner{})
-			h.config.Board = board.NewLoop(boardWithEarlierOwner(time.Minute))
-			h.config.Zones = []string{"lisbon"}
-			h.config.ResolveAt = func(context.Context, string, peer.ResolveQuery) (peer.Resolution, error) {
+			keyOwner := newTestKeyOwner(&scriptedRunner{replies: []call.Reply{ranReply}}, &scriptedRunner{})
+			keyOwner.config.Board = board.NewLoop(boardWithEarlierOwner(time.Minute))
+			keyOwner.config.Zones = []string{"lisbon"}
+			keyOwner.config.ResolveAt = func(context.Context, string, peer.ResolveQuery) (peer.Resolution, error) {
 				tc.resolution.Known = true
 				return tc.resolution, nil
 			}
-			reply := h.Receive(t.Context(), r)
+			reply := keyOwner.Receive(t.Context(), r)
 			is.Equal(reply.Outcome, tc.want)
 			is.Equal(reply.Reason, tc.reason)
 		})
--- a/internal/traffic/flow/movekeys.go
+++ b/internal/traffic/flow/movekeys.go
@@ -10,9 +10,10 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// moveKeysHere moves a key without a time from its earlier owners to this node, unless the request has run here. If it was
-// only refused here, the earlier owners are asked again: an owner in between may not have asked this node. If an earlier
-// owner has run the request or does not answer, it returns false and the reply.
+// moveKeysHere moves a key without a time from its earlier owners to this node, unless the request has run here. If the
+// request was only refused here, the earlier owners are queried again: another node may have owned the key in between and
+// not have queried this node. If an earlier owner has run the request or does not answer, moveKeysHere returns false and
+// the reply.
 func (o *KeyOwner) moveKeysHere(ctx context.Context, r *call.Request, earlier []outcome.Node) (call.Reply, bool) {
 	if !o.mayRun(keyID(r.Service, r.Key)) {
 		return call.Reply{}, true
--- a/internal/traffic/flow/openattempts.go
+++ b/internal/traffic/flow/openattempts.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// openAttempts counts the attempts of idempotent requests that this node has received and not answered. Ended attempts are
-// not remembered, because their sender may retry them.
+// openAttempts counts the attempts of idempotent requests that this node has received and not answered. Ended attempts
+// are not remembered, because their sender may retry them.
 type openAttempts struct {
 	mu     sync.Mutex
 	counts map[string]int
--- a/internal/traffic/flow/quarantine.go
+++ b/internal/traffic/flow/quarantine.go
@@ -23,15 +23,16 @@
 }
 
 const (
-	// blameQueueLength is how many blames may wait to be sent to other nodes. Further ones are dropped.
+	// blameQueueLength is how many blames may wait to be sent to other nodes. Further ones are dropped. A blame is
+	// evidence that a request crashes backend servers.
 	blameQueueLength = 256
 	// blameTimeout is the timeout for sending one blame to all nodes.
 	blameTimeout = time.Second
 )
 
-// Quarantine keeps requests that crash backend servers away from the local one, and informs the other nodes of the service
-// immediately. It sends to them directly instead of using the records of the availability zone, which take several
-// heartbeats to spread: a caller may send its request again within milliseconds.
+// Quarantine keeps requests that crash backend servers away from the local one, and informs the other nodes of the
+// service immediately. It sends to them directly instead of using the records of the availability zone, which take
+// several heartbeats to spread: a caller may send its request again within milliseconds.
 type Quarantine struct {
 	config QuarantineConfig
 	blames chan quarantine.Blame
--- a/internal/traffic/flow/reachability.go
+++ b/internal/traffic/flow/reachability.go
@@ -36,7 +36,7 @@
 	// wake receives a value when a node becomes unreachable.
 	wake chan struct{}
 	// onChange is called when a node becomes unreachable or reachable.
-	onChange func(node string, wake bool)
+	onChange func(node string, unreachable bool)
 
 	mu      sync.Mutex
 	tracker *reach.Tracker
@@ -54,9 +54,9 @@
 		return
 	}
 	r.mu.Lock()
-	newlyLost := r.tracker.MarkUnreachable(time.Now(), node)
+	newlyUnreachable := r.tracker.MarkUnreachable(time.Now(), node)
 	r.mu.Unlock()
-	if !newlyLost {
+	if !newlyUnreachable {
 		return
 	}
 	r.onChange(node, true)
@@ -67,8 +67,8 @@
 	}
 }
 
-// isNoAnswer reports whether the node did not answer. A short silence does not count, because the deadline of a caller may
-// be shorter than any reply takes.
+// isNoAnswer reports whether the node did not answer. A short silence does not count, because the deadline of a caller
+// may be shorter than any reply takes.
 func isNoAnswer(reply *call.Reply, elapsed time.Duration) bool {
 	switch reply.Reason {
 	case call.ReasonPeerUnreachable:
@@ -98,7 +98,7 @@
 func (r *ReachabilityMonitor) probeDue(ctx context.Context, group *conc.WaitGroup) bool {
 	r.mu.Lock()
 	due := r.tracker.Due(time.Now())
-	left := r.tracker.Len()
+	unreachableCount := r.tracker.Len()
 	r.mu.Unlock()
 	members := r.config.Board.Snapshot().Members.ByNode
 	for _, node := range due {
@@ -109,7 +109,7 @@
 		}
 		group.Go(func() { r.probe(ctx, node, m.PeerAddress) })
 	}
-	return left > 0
+	return unreachableCount > 0
 }
 
 // probe sends the node a query without side effects. Any response marks it as reachable.
@@ -122,9 +122,9 @@
 
 func (r *ReachabilityMonitor) markReachable(node string) {
 	r.mu.Lock()
-	since, wasLost := r.tracker.Clear(node)
+	since, wasUnreachable := r.tracker.Clear(node)
 	r.mu.Unlock()
-	if !wasLost {
+	if !wasUnreachable {
 		return
 	}
 	r.onChange(node, false)
--- a/internal/traffic/flow/receiver.go
+++ b/internal/traffic/flow/receiver.go
@@ -24,10 +24,11 @@
 	Quarantine *Quarantine
 	// CallTreeLimits limits the root requests whose calls queue further down the call tree; nil means no limit.
 	CallTreeLimits *CallTreeLimits
-	// RequeueShed offers a request that the backend server shed to the gate again, as long as the request has attempts left.
-	// The gate has adjusted to the shed request by then.
+	// RequeueShed offers a request that the backend server shed to the gate again, as long as the request has attempts
+	// left. The gate has adjusted to the shed request by then.
 	RequeueShed bool
-	// RequeueBudget limits the requeues of all requests together. Nil means that only the attempts of each request limit them.
+	// RequeueBudget limits the requeues of all requests together. Nil means that only the attempts of each request
+	// limit them.
 	RequeueBudget *retry.BudgetConfig
 	// Events receives the events for operators, and Requests the decisions on single requests.
 	Events   *events.Limiter
@@ -150,8 +151,8 @@
 	return result
 }
 
-// requeue reports whether a request that the backend server shed is offered to the gate again. It waits for the requeue
-// delay first.
+// requeue reports whether a request that the backend server shed is offered to the gate again. If so, it takes
+// the requeue from the request's attempts and from the requeue budget, and waits for the requeue delay.
 func (v *Receiver) requeue(ctx context.Context, r *call.Request, result *backend.Result) bool {
 	if !v.config.RequeueShed {
 		return false
--- a/internal/traffic/flow/requeuebudget.go
+++ b/internal/traffic/flow/requeuebudget.go
@@ -30,7 +30,8 @@
 	b.budget.Earn()
 }
 
-// spend takes one requeue from the budget and reports whether there was one.
+// spend takes one requeue from the budget and reports whether one was left. isMostUrgent is whether no more urgent
+// request has arrived recently.
 func (b *requeueBudget) spend(isMostUrgent bool) bool {
 	if b == nil {
 		return true
--- a/internal/traffic/flow/sender.go
+++ b/internal/traffic/flow/sender.go
@@ -1,11 +1,11 @@
-// Package flow sends requests between nodes and runs them. The Sender chooses an instance for a request and retries within
-// limits. The KeyedSender sends requests with an idempotency key to the key owner, which runs each at most once. The
-// Receiver admits a request and runs it on the local backend server.
+// Package flow sends requests between nodes and runs them. The Sender chooses an instance for a request and retries
+// within limits. The KeyedSender sends requests with an idempotency key to the key owner, which runs each at most once.
+// The Receiver admits a request and runs it on the local backend server.
 //
 // # Usage
 //
-//	receiver := flow.NewReceiver(flow.ReceiverConfig{...})
-//	sender := flow.NewSender(flow.SenderConfig{...})
+//	senderConfig.Receiver = flow.NewReceiver(receiverConfig)
+//	sender := flow.NewSender(senderConfig)
 //	reply := sender.Send(ctx, request)
 package flow
 
@@ -34,11 +34,11 @@
 	Budgets  *Budgets
 	Routing  routing.Config
 	Throttle throttle.Config
-	// MaxRefusals is how many refusals by nodes that did not involve their backend servers a request may get. After them, each
+	// MaxRefusals is how many times nodes may refuse a request without involving their backend servers. After that, each
 	// further attempt counts as a retry.
 	MaxRefusals int
-	// MaxFleetRetries limits the retries for one service that all nodes together may make at once. With 0, only the budget of
-	// each node limits them.
+	// MaxFleetRetries limits the retries for one service that all nodes together may make in a burst. With 0, only the
+	// budget of each node limits them.
 	MaxFleetRetries float64
 	// Reachability keeps requests away from nodes that do not answer. With nil, such nodes are not tracked.
 	Reachability *ReachabilityMonitor
@@ -125,8 +125,8 @@
 	return reply.AttemptsUsed
 }
 
-// isFreeRefusal reports whether a node refused the request without involving a backend server. Only the message was spent
-// on such a refusal.
+// isFreeRefusal reports whether a node refused the request without involving a backend server. Such a refusal
+// costs no more than the messages.
 func isFreeRefusal(reply *call.Reply) bool {
 	if reply.Outcome != call.NotRun || reply.Final {
 		return false
@@ -140,8 +140,8 @@
 	// freeRefusals counts the refusals that involved no backend server.
 	freeRefusals int
 	attemptsUsed int
-	// queueingDelay is the total time that the attempts spent in queues. crossZoneBytes is the number of bytes sent between
-	// availability zones for them.
+	// queueingDelay is the total time that the attempts spent in queues. crossZoneBytes is the number of bytes sent
+	// between availability zones for them.
 	queueingDelay  time.Duration
 	crossZoneBytes int64
 	// mayHaveRun says that an attempt ran or may have run.
@@ -178,7 +178,7 @@
 	return reply
 }
 
-// noInstanceRetryAfter is the Retry-After time if no instance is known.
+// noInstanceRetryAfter is the Retry-After time of replies with ReasonNoInstance.
 const noInstanceRetryAfter = 500 * time.Millisecond
 
 func (s *Sender) choose(r *call.Request, tried []string) (membership.Member, bool) {
@@ -213,7 +213,7 @@
 	return reply
 }
 
-// messageBytes is the approximate size of a request and its reply without their bodies.
+// messageBytes is the approximate size of the ids, times and headers of a request and its reply.
 const messageBytes = 250
 
 // exchangedBytes returns the approximate number of bytes exchanged between two nodes for a request.
@@ -255,8 +255,8 @@
 	return reply
 }
 
-// shouldRetry reports whether to try another instance. If that is a retry, it charges the retry budget and the attempts of
-// the request. A successful reply credits the budget.
+// shouldRetry reports whether to try another instance. If that is a retry, it charges the retry budget and the attempts
+// of the request. A successful reply credits the budget.
 func (s *Sender) shouldRetry(ctx context.Context, r *call.Request, reply call.Reply, state *sendState) bool {
 	if reply.Failure() == call.ReasonNone {
 		s.config.Budgets.earn(r.Service)
--- a/internal/traffic/flow/silentnodes.go
+++ b/internal/traffic/flow/silentnodes.go
@@ -10,8 +10,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/traffic/peer"
 )
 
-// silentNodes tracks the nodes that did not answer a request. A request sent to such a node may run without its caller
-// learning so. Before the next request, the node is therefore sent a query without side effects.
+// silentNodes tracks the nodes that did not answer a request. A request sent to such a node may run although its caller
+// gets no reply. Before the next request, the node is therefore sent a probe: a query without side effects.
 type silentNodes struct {
 	peers *peer.Client
 
@@ -44,14 +44,15 @@
 	}
 }
 
-// isSilence reports whether a node did not answer although its process may still run. If its process has ended, another
-// node may have taken over its keys.
+// isSilence reports whether a node did not answer although its process may still run. A broken connection does not count,
+// because the process may have ended and another node may have taken over its keys.
 func isSilence(err error) bool {
 	var failure *peer.Error
 	return errors.As(err, &failure) && failure.Sent && failure.Reason == call.ReasonPeerSilent
 }
 
-// isResponsive reports whether requests may be sent to the node at the address. It probes a silent node if a probe is due.
+// isResponsive reports whether requests may be sent to the node at the address. It probes a silent node if a probe is
+// due.
 func (s *silentNodes) isResponsive(ctx context.Context, address string) bool {
 	silent, probe := s.check(address, time.Now())
 	if !probe {
--- a/internal/traffic/flow/silentnodes_test.go
+++ b/internal/traffic/flow/silentnodes_test.go
@@ -16,7 +16,7 @@
 	lost := &peer.Error{Address: address, Sent: true, Reason: call.ReasonPeerSilent}
 	now := time.Unix(1000, 0)
 	for name, test := range map[string]struct {
-		results       []error // results of the exchanges before
+		results       []error // results of the earlier exchanges
 		probed        bool    // a probe was sent less than silentProbeInterval ago
 		silent, probe bool
 	}{
--- a/internal/traffic/flow/typicaldurations_test.go
+++ b/internal/traffic/flow/typicaldurations_test.go
@@ -21,12 +21,12 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p := newTypicalDurations()
-			k := workKind{service: "venues", kind: "halls"}
+			k := requestKind{service: "venues", kind: "halls"}
 			for range 100 {
 				p.observe(k, test.duration)
 			}
 			is.Equal(p.checkDelay(k), test.want)
-			is.Equal(p.checkDelay(workKind{service: "venues", kind: "schedules"}), minCheckDelay)
+			is.Equal(p.checkDelay(requestKind{service: "venues", kind: "schedules"}), minCheckDelay)
 		})
 	}
 }
