--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -1,9 +1,10 @@
 // Package admission decides which requests a backend server runs now, which are queued, and which are shed.
 //
-// A Gate holds an adaptive in-flight limit and a short queue. Free slots go to the most urgent rank first. Within a
-// rank, kinds share the slots in proportion to their shares; within a kind, callers share them equally; and the
-// requests of one caller are served in the order in which their root requests started. A root request keeps its start
-// time along the whole call chain, so every gate on the chain prefers the same root requests.
+// A Gate holds an adaptive in-flight limit and a short queue. Each request in flight takes one slot of the limit. Free
+// slots are given to the most urgent rank first. Within a rank, kinds share the slots in proportion to their shares;
+// within a kind, callers share them equally; and the requests of one caller are served in the order in which their root
+// requests started. A root request keeps its start time along the whole call chain, so every gate on the chain prefers
+// the same root requests.
 //
 // A request is refused as soon as its expected queueing delay exceeds the limit of its rank, or its deadline. To make
 // room, the gate sheds the least urgent rank first, and within that rank from the kind, and then the caller, with the
@@ -22,8 +23,8 @@
 //	next := gate.Finish(now, sample)     // tickets that may run now, and tickets that expired in the queue
 //	next = gate.Advance(now)             // the same, when only time has passed
 //
-// Every offered ticket gets exactly one answer: from Offer itself, or later as displaced, run, expired or withdrawn. A
-// Gate is not safe for concurrent use; package backend guards it with a mutex.
+// Every offered ticket gets exactly one final decision: from Offer itself, or later as displaced, run, expired or
+// withdrawn. A Gate is not safe for concurrent use; package backend guards it with a mutex.
 package admission
 
 import "time"
@@ -77,7 +78,7 @@
 	DeadlineTooNear
 )
 
-// Refusal is the final answer to a ticket that does not run.
+// Refusal is the final decision on a ticket that does not run.
 type Refusal struct {
 	Ticket *Ticket
 	Cause  Cause
@@ -85,7 +86,7 @@
 	RetryAfter time.Duration
 }
 
-// Verdict is the answer to an offer.
+// Verdict is the decision on an offered ticket.
 type Verdict struct {
 	Action Action
 	// Refusal is set if Action is Shed.
--- a/internal/decide/admission/fairqueue.go
+++ b/internal/decide/admission/fairqueue.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// queue holds waiting tickets.
+// queue holds tickets that have no slot yet.
 type queue interface {
 	// push adds a ticket.
 	push(t *Ticket)
@@ -136,8 +136,8 @@
 // minIdleFlows is the number of empty flows that are always kept.
 const minIdleFlows = 256
 
-// sweep deletes empty flows. While other flows wait, an empty flow that is ahead of the virtual time is kept: if its
-// start tag were forgotten, the flow could be served first again and again.
+// sweep deletes empty flows. While other flows hold tickets, an empty flow whose start tag is ahead of the virtual time
+// is kept: without the start tag, the flow could be served first again and again.
 func (q *fairQueue) sweep() {
 	if q.count == 0 {
 		clear(q.flows)
--- a/internal/decide/admission/gate.go
+++ b/internal/decide/admission/gate.go
@@ -185,8 +185,9 @@
 // minRetryAfter is the least Retry-After of a refusal.
 const minRetryAfter = 50 * time.Millisecond
 
-// RetryAfter estimates when a request of the rank may come back: the time in which the queue ahead of it drains, times
-// the ratio of offered to started requests of the rank.
+// RetryAfter returns the time after which a refused request of the rank may be sent again: the time in which the queue
+// ahead of it drains, times the ratio of offered to started requests of the rank, between minRetryAfter and
+// GateConfig.MaxRetryAfter.
 func (g *Gate) RetryAfter(rank int) time.Duration {
 	drain := g.limit.HoldTime() * time.Duration(g.queuedUpTo(rank)+1) / time.Duration(g.limit.Value())
 	delay := time.Duration(float64(drain) * g.demand.offeredRatio(rank))
@@ -255,7 +256,7 @@
 		if r > t.Rank {
 			ahead += g.ranks[r].length()
 		}
-		for places := g.maxQueued(r); ahead > places && g.ranks[r].length() > 0; ahead-- {
+		for allowed := g.maxQueued(r); ahead > allowed && g.ranks[r].length() > 0; ahead-- {
 			victim := g.ranks[r].shed()
 			g.expiry.remove(victim)
 			refusal := g.refuse(now, victim, Overload, overloadReason(victim, t))
@@ -281,7 +282,7 @@
 }
 
 // expiryPercent is the queue timeout of a ticket as a percentage of its rank's maximum queueing delay. It is over 100
-// because slots are freed in bursts, so that the next ticket in the queue may wait longer than was expected.
+// because slots are freed in bursts, so that even the next ticket of the queue may wait longer than was expected.
 const expiryPercent = 150
 
 // maxQueueingDelay returns the maximum expected queueing delay of an offered ticket of the rank.
--- a/internal/decide/admission/gate_test.go
+++ b/internal/decide/admission/gate_test.go
@@ -40,24 +40,24 @@
 	return &admission.Ticket{Rank: rank, Kind: kind, Share: 1, Caller: caller, RootStart: now, Deadline: now.Add(time.Second)}
 }
 
-// model tracks the tickets offered to a gate and checks each of the gate's answers.
+// model tracks the tickets offered to a gate and checks each of the gate's decisions.
 type model struct {
 	*rapid.T
 	gate    *admission.Gate
 	now     time.Time
-	waiting map[*admission.Ticket]bool
+	queued  map[*admission.Ticket]bool
 	running []*admission.Ticket
 }
 
 func (m *model) answered(t *admission.Ticket) {
-	if !m.waiting[t] {
+	if !m.queued[t] {
 		m.Fatalf("ticket of rank %d was answered but was not queued", t.Rank)
 	}
-	delete(m.waiting, t)
+	delete(m.queued, t)
 }
 
 func (m *model) run(t *admission.Ticket) {
-	for w := range m.waiting {
+	for w := range m.queued {
 		if w.Rank < t.Rank {
 			m.Fatalf("a ticket of rank %d runs while one of rank %d is queued", t.Rank, w.Rank)
 		}
@@ -75,7 +75,7 @@
 	if r.Cause != admission.Overload {
 		return
 	}
-	for w := range m.waiting {
+	for w := range m.queued {
 		if w.Rank > r.Ticket.Rank {
 			m.Fatalf("a ticket of rank %d is shed while one of rank %d is queued", r.Ticket.Rank, w.Rank)
 		}
@@ -95,13 +95,13 @@
 
 func (m *model) offer(t *admission.Ticket) {
 	verdict := m.gate.Offer(m.now, t)
-	m.waiting[t] = true
+	m.queued[t] = true
 	for _, d := range verdict.Displaced {
 		m.answered(d.Ticket)
 	}
 	switch verdict.Action {
 	case admission.Run:
-		delete(m.waiting, t)
+		delete(m.queued, t)
 		m.run(t)
 	case admission.Shed:
 		m.answered(t)
@@ -121,7 +121,7 @@
 func TestGateAnswersEachTicketOnce(t *testing.T) {
 	kinds := rapid.SampledFrom([]string{"sheets", "bookings", "archive"})
 	rapid.Check(t, func(r *rapid.T) {
-		m := &model{T: r, gate: admission.NewGate(testConfig()), now: epoch, waiting: map[*admission.Ticket]bool{}}
+		m := &model{T: r, gate: admission.NewGate(testConfig()), now: epoch, queued: map[*admission.Ticket]bool{}}
 		m.gate.Announce(rapid.IntRange(1, 12).Draw(r, "slots"), 100)
 		r.Repeat(map[string]func(*rapid.T){
 			"offer": func(r *rapid.T) {
@@ -148,7 +148,7 @@
 				m.apply(m.gate.Cancel(m.now))
 			},
 			"withdraw": func(r *rapid.T) {
-				for ticket := range m.waiting {
+				for ticket := range m.queued {
 					m.gate.Withdraw(ticket)
 					m.answered(ticket)
 					return
@@ -163,15 +163,15 @@
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(r, "time")) * time.Millisecond)
 			},
 			"": func(r *rapid.T) {
-				if m.gate.InFlight() != len(m.running) || m.gate.Queued() != len(m.waiting) {
-					r.Fatalf("gate has %d in flight and %d queued, want %d and %d", m.gate.InFlight(), m.gate.Queued(), len(m.running), len(m.waiting))
+				if m.gate.InFlight() != len(m.running) || m.gate.Queued() != len(m.queued) {
+					r.Fatalf("gate has %d in flight and %d queued, want %d and %d", m.gate.InFlight(), m.gate.Queued(), len(m.running), len(m.queued))
 				}
 			},
 		})
 		m.now = m.now.Add(time.Minute)
 		m.apply(m.gate.Advance(m.now))
-		if len(m.waiting) > 0 {
-			r.Fatalf("%d tickets were never answered", len(m.waiting))
+		if len(m.queued) > 0 {
+			r.Fatalf("%d tickets were never answered", len(m.queued))
 		}
 	})
 }
@@ -205,7 +205,8 @@
 	}
 }
 
-// A request that the backend server sheds frees no slot there. Without a pause, the gate would send it the whole queue at once.
+// A request that the backend server sheds frees no slot of the backend server. Without a pause, the gate would send it
+// the whole queue at once, to be shed too.
 func TestPauseAfterBackendServerSheds(t *testing.T) {
 	is := is.New(t)
 	gate := admission.NewGate(testConfig())
@@ -263,13 +264,13 @@
 }
 
 // fullGate returns a gate with all 10 slots in use and the given number of queued tickets of all ranks.
-func fullGate(waiting int) *admission.Gate {
+func fullGate(queued int) *admission.Gate {
 	config := testConfig()
-	config.MaxDelayLeastUrgent, config.MaxDelayMostUrgent, config.QueuePerSlot = time.Hour, time.Hour, float64(waiting)/10
+	config.MaxDelayLeastUrgent, config.MaxDelayMostUrgent, config.QueuePerSlot = time.Hour, time.Hour, float64(queued)/10
 	config.Limit.Initial = 10
 	gate := admission.NewGate(config)
 	gate.Announce(10, 10)
-	for i := range waiting + 10 {
+	for i := range queued + 10 {
 		t := newTicket(epoch, i%10, fmt.Sprint("kind ", i%3), fmt.Sprint("caller ", i%100))
 		t.Deadline = epoch.Add(time.Hour)
 		gate.Offer(epoch, t)
@@ -277,11 +278,11 @@
 	return gate
 }
 
-// BenchmarkOfferFinish finishes a request, which starts a queued one, and offers another one.
+// BenchmarkOfferFinish finishes a request, which starts a queued ticket, and offers the started ticket again.
 func BenchmarkOfferFinish(b *testing.B) {
-	for _, waiting := range []int{12, 300, 2100} {
-		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			gate, now := fullGate(waiting), epoch
+	for _, queued := range []int{12, 300, 2100} {
+		b.Run(fmt.Sprint(queued), func(b *testing.B) {
+			gate, now := fullGate(queued), epoch
 			sample := admission.Sample{Kind: "kind 0", ServiceTime: 50 * time.Millisecond, HoldTime: 50 * time.Millisecond}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -294,11 +295,11 @@
 	}
 }
 
-// BenchmarkShed offers tickets that are shed at once.
+// BenchmarkShed offers tickets that are shed without being queued.
 func BenchmarkShed(b *testing.B) {
-	for _, waiting := range []int{12, 300, 2100} {
-		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			gate := fullGate(waiting)
+	for _, queued := range []int{12, 300, 2100} {
+		b.Run(fmt.Sprint(queued), func(b *testing.B) {
+			gate := fullGate(queued)
 			t := newTicket(epoch.Add(time.Second), 9, "kind 0", "caller 0")
 			t.Deadline = epoch.Add(time.Hour)
 			b.ReportAllocs()
--- a/internal/decide/admission/grey_test.go
+++ b/internal/decide/admission/grey_test.go
@@ -9,8 +9,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
 )
 
-// Grey failure: a backend server sheds half of its requests at random while it has free slots. If that counted as overload, the
-// limit would shrink, lose the requests that the backend server can serve, and recover slowly.
+// Grey failure: a backend server sheds half of its requests at random while it has free slots. If that counted as
+// overload, the limit would shrink, the gate would refuse requests that the backend server can serve, and the limit would
+// recover slowly.
 func TestRandomSheddingKeepsFixedLimit(t *testing.T) {
 	is := is.New(t)
 	config := admission.GateConfig{
--- a/internal/decide/admission/latency.go
+++ b/internal/decide/admission/latency.go
@@ -99,10 +99,10 @@
 	return min(known, mean)
 }
 
-// latencyTimeout is how long the latency of a kind is used to predict the next request of that kind.
-const latencyTimeout = time.Second
+// holdTimeExpiry is how long the last hold times of a kind are used to predict the hold time of its next request.
+const holdTimeExpiry = time.Second
 
-// recentMin is the minimum of the values observed within latencyTimeout, or up to twice that.
+// recentMin is the minimum of the values observed within holdTimeExpiry, or up to twice that.
 type recentMin struct {
 	current  time.Duration
 	previous time.Duration
@@ -112,7 +112,7 @@
 func (r *recentMin) observe(now time.Time, value time.Duration) {
 	if !now.Before(r.rotateAt) {
 		r.previous, r.current = r.current, 0
-		r.rotateAt = now.Add(latencyTimeout)
+		r.rotateAt = now.Add(holdTimeExpiry)
 	}
 	r.current = minNonzero(r.current, value)
 }
@@ -128,7 +128,7 @@
 // recent sample.
 func (l *latencyTracker) minHoldTime(now time.Time, kind string) time.Duration {
 	k, ok := l.kinds[kind]
-	if !ok || now.Sub(k.lastSeen) > latencyTimeout {
+	if !ok || now.Sub(k.lastSeen) > holdTimeExpiry {
 		return 0
 	}
 	return k.minHoldTime.value()
--- a/internal/decide/admission/limit.go
+++ b/internal/decide/admission/limit.go
@@ -7,8 +7,8 @@
 
 // LimitConfig configures a Limit.
 type LimitConfig struct {
-	// Fixed keeps the limit at the announced slots that are worth using; see slotOptimizer. It is for backend servers whose
-	// announcement is known to be true. If such a backend server sheds below its slots, it fails a fraction of its
+	// Fixed keeps the limit at the announced slots that are worth using; see slotOptimizer. It is for backend servers
+	// whose announcement is known to be true. If such a backend server sheds below its slots, it fails a fraction of its
 	// requests, and a lower in-flight limit would not help.
 	Fixed bool
 	// Initial is the initial limit, unless fewer slots are announced.
@@ -19,17 +19,19 @@
 	Tolerance float64
 	// LatencySlack is added to each baseline, so that noise in the latency of fast requests has little weight.
 	LatencySlack time.Duration
-	// DecreaseFactor is the lowest factor by which the limit shrinks in one window in which the backend server shed.
+	// DecreaseFactor is the lowest factor by which the limit shrinks in one window because the backend server shed, or
+	// because latency is high.
 	DecreaseFactor float64
 	// TrialDecreaseFactor is the factor by which the limit shrinks in a trial of a lower limit.
 	TrialDecreaseFactor float64
-	// GrowthRatio is the relative growth after the first clean window; each further clean window adds as much again.
+	// GrowthRatio is the relative growth after the first window without trouble; each further such window adds as much
+	// again.
 	GrowthRatio float64
 	// Window is the minimum time for which samples are collected before the limit is adjusted.
 	Window time.Duration
-	// MaxWindow is the maximum time.
+	// MaxWindow is the maximum time for which they are collected; windows of a trial may last twice as long.
 	MaxWindow time.Duration
-	// KindRetention is how long the baseline of a kind that is no longer seen is kept.
+	// KindRetention is how long the baseline of a kind is kept after its last request.
 	KindRetention time.Duration
 	// TrialDelay is how long latency must be high before a lower limit is tried. Each trial in succession that is
 	// reverted doubles the delay, up to MaxTrialDelay.
@@ -63,11 +65,12 @@
 	cleanWindows int
 	// provenInFlight is the number of requests in flight that the backend server has handled at low latency.
 	provenInFlight float64
-	// slowSince is the time at which latency became high; zero while it is low. The next trial of a lower limit starts
-	// trialDelay later.
+	// slowSince is the time at which latency became high, or at which the last trial of a lower limit was reverted; zero
+	// while latency is low. The next trial of a lower limit starts trialDelay later.
 	slowSince  time.Time
 	trialDelay time.Duration
-	// shedInFlight is the number of requests in flight at the last shed; the limit stays below it until shedInFlightUntil.
+	// shedInFlight is the number of requests in flight at the last shed; the limit does not grow to it again before
+	// shedInFlightUntil.
 	shedInFlight      float64
 	shedInFlightUntil time.Time
 	// aboveCeiling and belowCeiling delay trials of a higher limit above and below the ceiling.
@@ -115,10 +118,11 @@
 	healthyLatencyRatio = 1.25
 	// provenMargin is the ratio of the limit to provenInFlight above which high latency shrinks the limit at once.
 	provenMargin = 1.25
-	// initialCleanWindows is the initial count of clean windows; it lets a new limit double in its first window.
+	// initialCleanWindows is the initial count of windows without trouble. It lets a new limit double after its first
+	// window, with a GrowthRatio of 0.1.
 	initialCleanWindows = 9
-	// shedInFlightTimeout is how long the limit stays below the number of requests in flight at which the backend server
-	// shed.
+	// shedInFlightTimeout is how long the limit does not grow to the number of requests in flight at which the backend
+	// server shed.
 	shedInFlightTimeout = time.Second
 )
 
@@ -307,8 +311,9 @@
 	return s.used && s.latencyRatio > l.config.Tolerance
 }
 
-// backOff lowers the limit below the number of requests in flight at which the backend server shed. It acts at once, but
-// the decrease in one window is limited by DecreaseFactor, because a single refusal may have other causes.
+// backOff lowers the limit below the number of requests in flight at which the backend server shed. It does not wait for
+// the end of the window, but the decrease in one window is limited by DecreaseFactor, because a single refusal may have
+// other causes.
 func (l *Limit) backOff(now time.Time, s Sample) {
 	if l.trial.raised && l.trial.state > measuringBefore {
 		l.revertRaise(now, l.trial)
@@ -344,7 +349,7 @@
 	return l.config.Fixed && l.announced > 0
 }
 
-// hardLimit returns the upper limit that holds whatever the backend server's behaviour.
+// hardLimit returns the upper limit that holds regardless of the backend server's behaviour.
 func (l *Limit) hardLimit() float64 {
 	if l.connections > 0 {
 		return float64(min(l.connections, l.config.Max))
--- a/internal/decide/admission/simulation_test.go
+++ b/internal/decide/admission/simulation_test.go
@@ -15,12 +15,12 @@
 // simulation runs a gate in front of a simulated backend server, in simulated time. The backend server has slots and a
 // first-in first-out queue.
 type simulation struct {
-	gate    *admission.Gate
-	random  *rand.Rand
-	now     time.Time
-	service time.Duration
-	slots   int
-	queue   int
+	gate        *admission.Gate
+	random      *rand.Rand
+	now         time.Time
+	serviceTime time.Duration
+	slots       int
+	maxBacklog  int
 
 	// requeues is how often a request that the backend server sheds may be requeued, and requeued counts that by ticket.
 	requeues int
@@ -50,7 +50,7 @@
 type event struct {
 	at     time.Time
 	ticket *admission.Ticket
-	// offer reports whether the ticket is offered to the gate; otherwise its request ends.
+	// offer reports whether the event offers the ticket to the gate; otherwise the event ends the ticket's request.
 	offer bool
 }
 
@@ -66,9 +66,9 @@
 	return last
 }
 
-func newSimulation(announced, slots int, service time.Duration) *simulation {
+func newSimulation(announced, slots int, serviceTime time.Duration) *simulation {
 	s := &simulation{
-		gate: admission.NewGate(testConfig()), random: rand.New(rand.NewPCG(1, 2)), now: epoch, service: service, slots: slots, queue: 1000,
+		gate: admission.NewGate(testConfig()), random: rand.New(rand.NewPCG(1, 2)), now: epoch, serviceTime: serviceTime, slots: slots, maxBacklog: 1000,
 		started: map[*admission.Ticket]time.Time{}, offered: map[*admission.Ticket]time.Time{},
 		requeued: map[*admission.Ticket]int{}, sent: map[string]int{}, good: map[string]int{}, longestQueueingDelay: map[string]time.Duration{},
 	}
@@ -146,7 +146,7 @@
 	switch {
 	case s.busy < s.slots:
 		s.begin(t)
-	case len(s.backlog) < s.queue:
+	case len(s.backlog) < s.maxBacklog:
 		s.backlog = append(s.backlog, t)
 	default:
 		s.refused++
@@ -170,7 +170,7 @@
 
 func (s *simulation) begin(t *admission.Ticket) {
 	s.busy++
-	took := time.Duration(float64(s.service) * (0.7 + 0.6*s.random.Float64()))
+	took := time.Duration(float64(s.serviceTime) * (0.7 + 0.6*s.random.Float64()))
 	heap.Push(&s.events, event{at: s.now.Add(took), ticket: t})
 }
 
@@ -188,8 +188,8 @@
 	s.apply(s.gate.Finish(s.now, admission.Sample{Kind: t.Kind, ServiceTime: took, HoldTime: took}))
 }
 
-// The limit must find the capacity of the backend server whatever the server announces, and keep requests queued at the gate
-// rather than in the backend server.
+// The limit must find the capacity of the backend server regardless of the announced slots, and keep requests queued at
+// the gate rather than in the backend server.
 func TestLimitFindsCapacity(t *testing.T) {
 	tests := map[string]struct {
 		announced, slots, queue int
@@ -206,7 +206,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSimulation(test.announced, test.slots, test.service)
-			s.queue = test.queue
+			s.maxBacklog = test.queue
 			capacity := float64(test.slots) / test.service.Seconds()
 			s.stream(1.5*capacity, newTicket(epoch, 5, "lookups", "a"))
 			s.run(20 * time.Second)
@@ -239,7 +239,7 @@
 			s.run(10 * time.Second)
 			s.run(5 * time.Second)
 			before := float64(s.ended) / float64(s.arrived)
-			s.service, s.slots, s.queue = test.service, test.slots, test.queue
+			s.serviceTime, s.slots, s.maxBacklog = test.service, test.slots, test.queue
 			s.run(test.slowPeriod / 2)
 			refused := s.refused
 			s.run(test.slowPeriod / 2)
@@ -249,7 +249,7 @@
 				possible := float64(test.slots) * float64(test.slowPeriod/2) / float64(test.service)
 				is.True(float64(s.ended) >= 0.9*possible)
 			}
-			s.service, s.slots, s.queue = 40*time.Millisecond, 35, 1000
+			s.serviceTime, s.slots, s.maxBacklog = 40*time.Millisecond, 35, 1000
 			s.run(5 * time.Second)
 			s.run(5 * time.Second)
 			after := float64(s.ended) / float64(s.arrived)
@@ -283,8 +283,8 @@
 	is.True(s.ended >= 900) // nine tenths of 1000 a second
 }
 
-// A backend server that announces more slots than it has sheds by itself, regardless of rank. Shed requests are requeued at the
-// gate, which starts the urgent ones first; without that, urgent requests are lost.
+// A backend server that announces more slots than it has sheds requests itself, regardless of rank. Shed requests are
+// requeued at the gate, which starts the urgent ones first; without that, urgent requests are lost.
 func TestRequeueProtectsUrgentWork(t *testing.T) {
 	const service, slots = 100 * time.Millisecond, 10
 	for name, test := range map[string]struct {
@@ -299,7 +299,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := newSimulation(3*slots, slots, service)
-			s.queue, s.requeues = 0, test.requeues
+			s.maxBacklog, s.requeues = 0, test.requeues
 			possible := slots / service.Seconds()
 			urgent := newTicket(s.now, 0, "sheets", "a")
 			s.stream(possible/4, urgent)
--- a/internal/decide/admission/slotoptimizer.go
+++ b/internal/decide/admission/slotoptimizer.go
@@ -10,20 +10,21 @@
 	stepRatio = 0.05
 	// minUsedRatio is the least ratio of the announced slots that a level may have.
 	minUsedRatio = 0.7
-	// farTrialSteps is the number of steps that the far trial goes down. It finds backend servers that slow down from
-	// far below all slots.
+	// farTrialSteps is the number of steps by which the far trial lowers the level. The far trial finds backend servers
+	// that are already slow with far fewer requests than slots in flight.
 	farTrialSteps = 4
 	// candidateBatch and currentBatch are the numbers of requests that start at the candidate level and at the current
 	// level before the trial switches to the other level.
 	candidateBatch = 24
 	currentBatch   = 48
-	// minComparedSamples is the number of requests that must have ended at both levels before they are compared.
-	// maxCandidateSamples is the number of requests at the candidate level after which it is rejected unless it is better.
+	// minComparedSamples is the number of requests that must have ended at each level before the two are compared.
+	// maxCandidateSamples is the number of requests at the candidate level after which it is rejected unless it is
+	// better.
 	minComparedSamples  = 48
 	maxCandidateSamples = 1200
 	// requiredStandardErrors is the difference between two levels, in standard errors, that counts as significant.
 	requiredStandardErrors = 2.5
-	// maxRelativeTime caps a request's time relative to the mean of its kind, so that outliers have little weight.
+	// maxRelativeTime limits a request's time relative to the mean of its kind, so that outliers have little weight.
 	maxRelativeTime = 4
 	// saturationTimeout is the time without a saturated limit after which the measurements of a trial are discarded.
 	saturationTimeout = 2 * time.Second
@@ -72,7 +73,7 @@
 	mean  float64
 }
 
-// trialSteps lists the trials of a round, each as a number of steps up from the current level.
+// trialSteps lists the trials of a round, each as a number of steps up from the current level; negative steps go down.
 var trialSteps = [...]int{-1, 1, -farTrialSteps}
 
 func newSlotOptimizer() *slotOptimizer {
@@ -80,116 +81,117 @@
 }
 
 // announce sets the number of announced slots.
-func (f *slotOptimizer) announce(slots int) {
-	if slots == f.slots {
+func (o *slotOptimizer) announce(slots int) {
+	if slots == o.slots {
 		return
 	}
-	*f = slotOptimizer{slots: slots, current: level{slots: slots}, kinds: f.kinds}
+	*o = slotOptimizer{slots: slots, current: level{slots: slots}, kinds: o.kinds}
 }
 
 // value returns the number of slots to use now.
-func (f *slotOptimizer) value() int {
-	if f.trialActive && f.candidateActive {
-		return f.candidate.slots
+func (o *slotOptimizer) value() int {
+	if o.trialActive && o.candidateActive {
+		return o.candidate.slots
 	}
-	return f.current.slots
+	return o.current.slots
 }
 
 // begin records that a request started with inFlight slots in use, itself included. Only requests that reach the level in
 // force count: they may start a trial or switch between the levels of a running one.
-func (f *slotOptimizer) begin(now time.Time, inFlight int) {
-	if inFlight < f.value() {
+func (o *slotOptimizer) begin(now time.Time, inFlight int) {
+	if inFlight < o.value() {
 		return
 	}
-	if now.Sub(f.saturatedAt) > saturationTimeout {
-		f.trialActive = false
+	if now.Sub(o.saturatedAt) > saturationTimeout {
+		o.trialActive = false
 	}
-	f.saturatedAt = now
-	if !f.trialActive {
-		f.beginTrial(now)
+	o.saturatedAt = now
+	if !o.trialActive {
+		o.beginTrial(now)
 		return
 	}
-	f.batchLeft--
-	if f.batchLeft > 0 {
+	o.batchLeft--
+	if o.batchLeft > 0 {
 		return
 	}
-	f.candidateActive = !f.candidateActive
-	f.batchLeft = currentBatch
-	if f.candidateActive {
-		f.batchLeft = candidateBatch
+	o.candidateActive = !o.candidateActive
+	o.batchLeft = currentBatch
+	if o.candidateActive {
+		o.batchLeft = candidateBatch
 	}
 }
 
 // beginTrial starts the next trial if one is due and its candidate level is allowed.
-func (f *slotOptimizer) beginTrial(now time.Time) {
-	if now.Before(f.pauseUntil) {
+func (o *slotOptimizer) beginTrial(now time.Time) {
+	if now.Before(o.pauseUntil) {
 		return
 	}
-	step := max(int(math.Ceil(stepRatio*float64(f.slots))), 1)
-	slots := min(f.current.slots+trialSteps[f.stepIndex]*step, f.slots)
-	if slots == f.current.slots || float64(slots) < minUsedRatio*float64(f.slots) {
-		f.rejectTrial(now)
+	step := max(int(math.Ceil(stepRatio*float64(o.slots))), 1)
+	slots := min(o.current.slots+trialSteps[o.stepIndex]*step, o.slots)
+	if slots == o.current.slots || float64(slots) < minUsedRatio*float64(o.slots) {
+		o.rejectTrial(now)
 		return
 	}
-	f.trialActive, f.candidateActive, f.batchLeft = true, false, currentBatch
-	f.current = level{slots: f.current.slots}
-	f.candidate = level{slots: slots}
+	o.trialActive, o.candidateActive, o.batchLeft = true, false, currentBatch
+	o.current = level{slots: o.current.slots}
+	o.candidate = level{slots: slots}
 }
 
 // rejectTrial ends a trial that found no better level. After a whole round of rejected trials there is a pause.
-func (f *slotOptimizer) rejectTrial(now time.Time) {
-	f.trialActive = false
-	f.stepIndex = (f.stepIndex + 1) % len(trialSteps)
-	f.rejections++
-	if f.rejections < len(trialSteps) {
+func (o *slotOptimizer) rejectTrial(now time.Time) {
+	o.trialActive = false
+	o.stepIndex = (o.stepIndex + 1) % len(trialSteps)
+	o.rejections++
+	if o.rejections < len(trialSteps) {
 		return
 	}
-	f.rejections = 0
-	f.pause = min(max(2*f.pause, minTrialPause), maxTrialPause)
-	f.pauseUntil = now.Add(f.pause)
+	o.rejections = 0
+	o.pause = min(max(2*o.pause, minTrialPause), maxTrialPause)
+	o.pauseUntil = now.Add(o.pause)
 }
 
-// end records the service time of a request that started while all of saturatedLimit slots were in use.
-func (f *slotOptimizer) end(now time.Time, kind string, saturatedLimit int, serviceTime time.Duration) {
-	relative, known := f.relativeTime(kind, float64(serviceTime))
-	if !known || !f.trialActive {
+// end records the service time of a request. saturatedLimit is the number of slots if all of them were in use when the
+// request started, else 0.
+func (o *slotOptimizer) end(now time.Time, kind string, saturatedLimit int, serviceTime time.Duration) {
+	relative, known := o.relativeTime(kind, float64(serviceTime))
+	if !known || !o.trialActive {
 		return
 	}
 	switch saturatedLimit {
-	case f.current.slots:
-		f.current.add(relative)
-	case f.candidate.slots:
-		f.candidate.add(relative)
-		f.evaluate(now)
+	case o.current.slots:
+		o.current.add(relative)
+	case o.candidate.slots:
+		o.candidate.add(relative)
+		o.evaluate(now)
 	}
 }
 
 // relativeTime returns the service time relative to the mean of its kind, and whether that mean was known before.
-func (f *slotOptimizer) relativeTime(kind string, serviceTime float64) (float64, bool) {
-	k, known := f.kinds[kind]
-	if !known && len(f.kinds) >= maxKinds {
-		clear(f.kinds) // Most entries belong to routes that no longer exist.
+func (o *slotOptimizer) relativeTime(kind string, serviceTime float64) (float64, bool) {
+	k, known := o.kinds[kind]
+	if !known && len(o.kinds) >= maxKinds {
+		clear(o.kinds) // Most entries belong to routes that no longer exist.
 	}
 	k.count++
 	k.mean += max(minKindWeight, 1/float64(k.count)) * (serviceTime - k.mean)
-	f.kinds[kind] = k
+	o.kinds[kind] = k
 	return min(serviceTime/max(k.mean, 1), maxRelativeTime), known
 }
 
 // evaluate ends the trial if its result is significant or maxCandidateSamples is reached.
-func (f *slotOptimizer) evaluate(now time.Time) {
-	if min(f.current.count, f.candidate.count) < minComparedSamples {
+func (o *slotOptimizer) evaluate(now time.Time) {
+	if min(o.current.count, o.candidate.count) < minComparedSamples {
 		return
 	}
-	gain := math.Log(f.candidate.throughput() / f.current.throughput())
-	margin := requiredStandardErrors * math.Sqrt(f.candidate.variance()+f.current.variance())
+	gain := math.Log(o.candidate.throughput() / o.current.throughput())
+	margin := requiredStandardErrors * math.Sqrt(o.candidate.variance()+o.current.variance())
 	switch {
 	case gain > margin:
-		f.trialActive = false
-		f.current = level{slots: f.candidate.slots}
-		f.rejections, f.pause = 0, 0
-	case gain < -margin || f.candidate.count >= maxCandidateSamples:
-		f.rejectTrial(now)
+		o.trialActive = false
+		o.current = level{slots: o.candidate.slots}
+		o.rejections, o.pause = 0, 0
+	case gain < -margin || o.candidate.count >= maxCandidateSamples:
+		o.rejectTrial(now)
 	}
 }
 
--- a/internal/decide/admission/slotoptimizer_test.go
+++ b/internal/decide/admission/slotoptimizer_test.go
@@ -114,8 +114,8 @@
 	return float64(slots) / mean
 }
 
-// Some backend servers slow down when they are nearly full, so that all slots yield less throughput than fewer slots. The gate
-// must find the level with the highest throughput.
+// Some backend servers slow down when they are nearly full, so that all slots yield less throughput than fewer slots. The
+// gate must find the level with the highest throughput.
 func TestSlowdownNearFullSlots(t *testing.T) {
 	for name, test := range map[string]struct {
 		slots, slowAbove int
--- a/internal/decide/admission/stats.go
+++ b/internal/decide/admission/stats.go
@@ -63,7 +63,7 @@
 	return LimitGrew
 }
 
-// ShedReason is the reason why a ticket was refused. Reasons that callers are told too have the same names there.
+// ShedReason is the reason why a ticket was refused. Reasons that are also sent to callers have the same names there.
 type ShedReason string
 
 // Possible values of ShedReason.
@@ -125,7 +125,7 @@
 	return RankSheds{ByReason: maps.Clone(s.ByReason), Last: s.Last}
 }
 
-// Stats holds the state of a Gate and the reasons for it, for the dump.
+// Stats holds the state of a Gate and the reasons for it, for the state dump.
 type Stats struct {
 	Limit int `json:"limit"`
 	// Ceiling is the highest limit that can be reached without a trial.
--- a/internal/decide/admission/stats_test.go
+++ b/internal/decide/admission/stats_test.go
@@ -19,24 +19,25 @@
 func runPhases(gate *admission.Gate, phases ...phase) map[admission.LimitReason]admission.LimitChange {
 	now := epoch
 	changes := map[admission.LimitReason]admission.LimitChange{}
-	note := func() {
+	record := func() {
 		change := gate.Stats(now).Change
 		changes[change.Reason] = change
 	}
-	note()
+	record()
 	for _, p := range phases {
 		clear(changes)
 		p.sample.Kind = "sheets"
 		for range 2 * p.windows {
 			fillAndFinish(gate, now, p.sample)
-			note()
+			record()
 			now = now.Add(75 * time.Millisecond)
 		}
 	}
 	return changes
 }
 
-// fillAndFinish starts as many requests as the gate admits, offers as many more that have to queue, and ends all that run.
+// fillAndFinish starts as many requests as the gate admits, offers one more than that without a free slot, and ends the
+// requests in flight.
 func fillAndFinish(gate *admission.Gate, now time.Time, s admission.Sample) {
 	for wanted := 0; wanted <= gate.InFlight(); {
 		t := newTicket(now, 0, "sheets", "crew")
@@ -96,9 +97,9 @@
 	is := is.New(t)
 	gate := admission.NewGate(testConfig())
 	gate.Announce(1, 1)
-	offer := func(now time.Time, rank int, patience time.Duration) {
+	offer := func(now time.Time, rank int, timeLeft time.Duration) {
 		ticket := newTicket(now, rank, "kind", "crew")
-		ticket.Deadline = now.Add(patience)
+		ticket.Deadline = now.Add(timeLeft)
 		gate.Offer(now, ticket)
 	}
 	offer(epoch, 0, time.Second) // runs
--- a/internal/decide/admission/trial.go
+++ b/internal/decide/admission/trial.go
@@ -10,8 +10,8 @@
 
 const (
 	noTrial trialState = iota
-	// measuringBefore measures the throughput before the change. The window that triggered the trial is not used for this,
-	// because the backend server may have changed in the middle of it.
+	// measuringBefore measures the throughput before the change. The window that triggered the trial is not used for
+	// this, because the backend server may have changed in the middle of it.
 	measuringBefore
 	// settling lasts one window, in which requests that started before the change end.
 	settling
@@ -60,7 +60,7 @@
 	return t.throughput * (1 + minTrialEffect*(value/t.previousLimit-1))
 }
 
-// expectedLatencyRatio returns the latency ratio above which a lower limit is reverted: where requests queue in the
+// expectedLatencyRatio returns the latency ratio above which a lower limit is reverted: if requests are queued in the
 // backend server, latency falls with the limit.
 func (t trial) expectedLatencyRatio(value float64) float64 {
 	return t.latencyRatio * (1 + minTrialEffect*(value/t.previousLimit-1))
@@ -88,8 +88,8 @@
 	}
 }
 
-// planRaise starts a trial of a higher limit if requests are blocked. Above the ceiling, they must have been blocked for
-// the duration of the delay.
+// planRaise starts a trial of a higher limit if requests are blocked. A trial above the ceiling starts only after a delay
+// since requests were first blocked there, or since the last such trial failed.
 func (l *Limit) planRaise(now time.Time, s windowSummary) {
 	aboveCeiling := l.value >= l.ceiling
 	switch {
@@ -101,7 +101,7 @@
 	}
 }
 
-// raiseDelay is a delay that doubles with each failure in succession.
+// raiseDelay is a delay between trials of a higher limit. It doubles with each failed trial in succession.
 type raiseDelay struct {
 	until time.Time
 	delay time.Duration
