--- a/internal/decide/calllimit/calllimit.go
+++ b/internal/decide/calllimit/calllimit.go
@@ -1,7 +1,7 @@
-// Package calllimit limits how many requests of each kind are in flight on a backend server while the calls that they make are
-// queued further down the call tree. A request whose calls are refused, or queued until the deadline, has wasted work at
-// every level. A refusal costs least before the request starts. If the number of requests that wait for their own calls is
-// limited, the queues below are limited too, even at the start of a burst.
+// Package calllimit limits how many requests of each kind are in flight on a backend server while the calls that they
+// make are queued further down the call tree. A request whose calls are refused, or queued until the deadline, has
+// wasted work at every level; a refusal costs least before the request starts. Requests and their calls form a closed
+// loop: a limit of the requests also limits the queues further down, even at the start of a burst.
 //
 // Each finished request yields an estimate of the in-flight limit at which calls are queued for a small fraction of the
 // request's duration: the number of requests in flight, times the fraction of the duration that was not queueing delay.
@@ -10,8 +10,12 @@
 //
 // # Usage
 //
+//	limits := calllimit.NewLimits(calllimit.DefaultConfig)
 //	start, ok := limits.Begin(now, calllimit.Offer{Kind: kind})
-//	if !ok { ... refuse ... }
+//	if !ok {
+//		return limits.RetryAfter(kind) // the request is refused
+//	}
+//	// Run the request.
 //	limits.End(now, start, calllimit.Sample{Duration: duration, QueueingDelay: delay, Calls: calls})
 //
 // The package does no I/O and reads no clock. Limits is not safe for concurrent use.
@@ -64,11 +68,11 @@
 // Sample is the measurement of one finished request.
 type Sample struct {
 	Duration time.Duration
-	// QueueingDelay is the total queueing delay of its calls and of the calls below them.
+	// QueueingDelay is the total queueing delay of the request's calls and of the calls below them.
 	QueueingDelay time.Duration
 	// Calls is the number of calls that the request itself made.
 	Calls int
-	// Refused reports whether one of its calls was refused because of overload.
+	// Refused reports whether a call of the request was refused because of overload.
 	Refused bool
 }
 
@@ -94,8 +98,9 @@
 type limit struct {
 	value    float64
 	inFlight int
-	// observed reports whether a request of the kind has ended, and makesCalls whether one made calls. A kind is limited
-	// until the first request has ended, because the first requests may be a flood.
+	// observed reports whether a request of the kind has ended, and makesCalls whether one made calls. Only kinds that
+	// make calls are limited. Before the first request has ended, a kind counts as making calls, because its first
+	// requests may be a flood.
 	observed   bool
 	makesCalls bool
 	// duration is the moving average of request durations, and delayRatio that of the ratio of queueing delay to duration.
@@ -139,8 +144,8 @@
 }
 
 // Begin counts a request that starts, or returns false if the limit of its kind is reached. Spilled requests have a lower
-// limit: if all availability zones are overloaded, a spilled request would only displace a local one, which causes no
-// traffic between zones.
+// limit: if all availability zones are overloaded, a spilled request would only displace a local request, and a local
+// request causes no traffic between zones.
 func (l *Limits) Begin(now time.Time, o Offer) (Start, bool) {
 	k := l.kind(o.Kind)
 	inFlightLimit := k.value
@@ -202,7 +207,7 @@
 }
 
 // growthFactor returns the factor by which the number of requests may change for the queueing delay to reach its target.
-// While calls are not queued at all, that factor can't be measured; the result is then 1 + IdleGrowth.
+// While calls are not queued at all, that factor can't be measured, and the result is 1 + Config.IdleGrowth.
 func (l *Limits) growthFactor(k *limit, delayRatio float64) float64 {
 	if k.delayRatio < negligibleDelayRatio {
 		return 1 + l.config.IdleGrowth
@@ -210,12 +215,13 @@
 	return (1 - delayRatio) / (1 - l.config.TargetDelayRatio)
 }
 
-// decay returns the factor by which a value from time then has decayed, with time constant d.
+// decay returns the factor by which a value from time then has decayed, with the time constant d.
 func decay(now, then time.Time, d time.Duration) float64 {
 	return math.Exp(-float64(now.Sub(then)) / float64(d))
 }
 
-// adjust moves the limit towards the target. The fraction of the distance is the gain divided by the limit, at most maxWeight.
+// adjust moves the limit towards the target by a fraction of the distance: the gain divided by the limit, at most
+// maxWeight. A limit that was not reached within Config.UsedTimeout does not rise.
 func (l *Limits) adjust(now time.Time, k *limit, target, gain float64) {
 	if target > k.value && now.Sub(k.usedAt) > l.config.UsedTimeout {
 		return
@@ -232,7 +238,7 @@
 	return l.kind(kind).duration / 2
 }
 
-// Value returns the limit of the kind, and whether it is in force.
+// Value returns the limit of the kind, and whether a request of the kind has made calls, so that the limit is in force.
 func (l *Limits) Value(kind string) (float64, bool) {
 	k := l.kind(kind)
 	return k.value, k.makesCalls
--- a/internal/decide/calllimit/calllimit_test.go
+++ b/internal/decide/calllimit/calllimit_test.go
@@ -94,8 +94,8 @@
 	return false
 }
 
-// A flood of requests whose calls go to one deep service offers three times its capacity. Without a limit, nearly all requests
-// time out after most of their work is done.
+// A flood of requests whose calls all go to one service at the end of the chain offers three times the capacity of that
+// service. Without a limit, nearly all requests time out after most of their work is done.
 func TestLimitUnderFloodOfRequestsWithManyCalls(t *testing.T) {
 	for name, test := range map[string]struct {
 		config  calllimit.Config
@@ -140,8 +140,8 @@
 	}
 }
 
-// The deepest service sheds for a while and then recovers at once. The refusals before must not hold the limit down: after three
-// seconds, 95% of the requests must start again.
+// The deepest service sheds for a while and then recovers suddenly. The earlier refusals must not keep the limit low:
+// three seconds after the recovery, 95% of the requests must start again.
 func TestLimitRecoversAfterDeepestServiceShed(t *testing.T) {
 	for name, perSecond := range map[string]int{
 		"busy node":  100,
@@ -209,8 +209,8 @@
 	is.True(high >= calllimit.DefaultConfig.Initial)
 }
 
-// All availability zones are overloaded and spill requests to each other. Local requests take precedence, so that zones don't just
-// exchange requests; free capacity is open to spilled ones.
+// All availability zones are overloaded and spill requests to each other. Local requests take precedence, so that zones
+// don't just exchange requests; free capacity is open to spilled ones.
 func TestLocalRequestsBeforeSpilledOnes(t *testing.T) {
 	for name, test := range map[string]struct {
 		own         int
