--- a/internal/decide/throttle/failures.go
+++ b/internal/decide/throttle/failures.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Failures records by fingerprint how many requests failed recently, to recognize requests that are sent again. Each failure
-// accounts for one request sent again; further requests with the same fingerprint count as new. Failures is not safe for
-// concurrent use.
+// Failures records by fingerprint how many requests failed recently, to recognize requests that are sent again. Each
+// failure accounts for one request sent again; further requests with the same fingerprint count as new. Failures is not
+// safe for concurrent use.
 type Failures struct {
 	lifetime   time.Duration
 	maxEntries int
@@ -14,8 +14,8 @@
 	rotatedAt time.Time
 }
 
-// NewFailures returns an empty record. It holds at most 2*maxEntries fingerprints and forgets each of them after one to two
-// lifetimes.
+// NewFailures returns an empty record. It holds at most 2*maxEntries fingerprints and deletes each of them after one to
+// two lifetimes.
 func NewFailures(lifetime time.Duration, maxEntries int) *Failures {
 	return &Failures{lifetime: lifetime, maxEntries: maxEntries, recent: map[uint64]int{}, older: map[uint64]int{}}
 }
--- a/internal/decide/throttle/stats.go
+++ b/internal/decide/throttle/stats.go
@@ -27,7 +27,7 @@
 	At     time.Time `json:"at"`
 }
 
-// Stats holds the state of a Throttle, for the dump. The counts decay with Config.TimeConstant.
+// Stats holds the state of a Throttle, for the state dump. The counts decay with Config.TimeConstant.
 type Stats struct {
 	Reason Reason `json:"reason"`
 	// RefusedShare is the fraction of requests that the throttle refuses, from 0 to 1.
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -5,18 +5,20 @@
 // chains, it admits about as many requests as were accepted, plus some headroom to detect at once when more would be
 // accepted. Because it measures the accepted rate, slow replies can't make it refuse more and more requests.
 //
-// Callers that send no more than an equal share of the accepted rate are admitted first, and callers slightly above it are
-// seldom refused. Requests that are sent again get a limited fraction of the accepted rate, and the capacity that new
-// requests leave unused. A throttle that receives too few requests to measure the accepted rate instead learns which ratio
-// of its own requests is accepted, and admits that ratio.
+// Callers that send no more than an equal share of the accepted rate are admitted first, and callers slightly above it
+// are seldom refused. Requests that are sent again get a limited fraction of the accepted rate, or the capacity that new
+// requests leave unused if that is more. A throttle that receives too few requests to measure the accepted rate instead
+// learns which ratio of its own requests is accepted, and admits that ratio.
 //
 // # Usage
 //
+//	t := throttle.New(throttle.DefaultConfig)
 //	verdict := t.Offer(now, random, throttle.Offer{Caller: "parish"})
-//	if verdict.Admitted {
-//		... send it ...
-//		t.Observe(now, throttle.Accepted)
+//	if !verdict.Admitted {
+//		return verdict.RetryAfter // the request is refused
 //	}
+//	// Send the request.
+//	t.Observe(now, throttle.Accepted)
 //
 // The package does no I/O and reads no clock. A Throttle is not safe for concurrent use.
 package throttle
@@ -51,21 +53,22 @@
 	TimeConstant time.Duration
 	// PeakTimeConstant is the time constant with which the peak of the accepted rate decays.
 	PeakTimeConstant time.Duration
-	// Headroom is the ratio of the admitted to the accepted rate just after a refusal. Until the next refusal, it grows by
-	// HeadroomStep with each accepted request, but at most once in each StepInterval, up to MaxHeadroom.
+	// Headroom is the ratio of the admitted rate to the peak of the accepted rate just after a request was refused
+	// downstream. Until the next such refusal, the ratio grows by HeadroomStep with each accepted request, but at most
+	// once in each StepInterval, up to MaxHeadroom.
 	Headroom     float64
 	HeadroomStep float64
 	StepInterval time.Duration
 	MaxHeadroom  float64
-	// ProbeRatio is the ratio of requests that are always admitted. A request is also admitted if none was for
-	// ProbeInterval.
+	// ProbeRatio is the fraction of requests that is admitted in any case. A request is also admitted if no other was
+	// for ProbeInterval.
 	ProbeRatio    float64
 	ProbeInterval time.Duration
 	// ResentRatio is the fraction of the accepted rate that is open to requests sent again while some are refused, even
 	// if new requests alone would use up the rate.
 	ResentRatio float64
-	// LowRateRequests is the count of requests below which the accepted rate can't be measured. A node with fewer
-	// requests learns the ratio of accepted requests instead; 0 turns this off.
+	// LowRateRequests is the decayed count of requests below which the accepted rate can't be measured. A node with
+	// fewer requests learns the ratio of accepted requests instead; 0 turns this off.
 	LowRateRequests float64
 	// MaxCallers is the maximum number of callers that are counted separately; further callers count as one.
 	MaxCallers int
@@ -98,11 +101,11 @@
 	Resent bool
 }
 
-// Verdict is the answer to an offer.
+// Verdict is the decision on an offer.
 type Verdict struct {
 	Admitted bool
 	// RetryAfter is the time after which a refused request may be sent again. It is randomized, so that requests refused
-	// together don't come back together.
+	// together are not sent again together.
 	RetryAfter time.Duration
 }
 
@@ -161,7 +164,7 @@
 	case callerCount <= equalShare:
 	case o.Resent && t.refusedBelow > unthrottledRequests && random.Float64() < t.maxResent(now)/t.resent:
 	case o.Resent && t.refusedBelow > unthrottledRequests:
-		// Not counted in refusedHere, so that requests sent again don't take the place of new ones.
+		// Not counted in refusedHere, which raises the refusal ratio: requests sent again must not displace new ones.
 		t.lastRefusal = Refusal{Reason: RefusedResent, At: now}
 		return Verdict{RetryAfter: t.retryAfter(random)}
 	case refusalRatio == 0:
@@ -206,7 +209,7 @@
 	}
 }
 
-// IsThrottling reports whether requests are being refused.
+// IsThrottling reports whether the throttle refuses requests because fewer are accepted than are offered.
 func (t *Throttle) IsThrottling(now time.Time) bool {
 	t.decay(now)
 	return t.refusalRatio(now) > 0
@@ -218,11 +221,11 @@
 	return t.accepted+t.refusedBelow+t.refusedHere+float64(len(t.callers)) < negligibleCount
 }
 
-// negligibleCount is the count below which a single request counts as decayed.
+// negligibleCount is the value below which a decayed count is taken as zero.
 const negligibleCount = 0.05
 
-// unthrottledRequests is the number of requests within the counts that are not throttled, so that a few requests can't
-// block each other.
+// unthrottledRequests is how many of the counted requests are not throttled, so that a few requests can't block each
+// other.
 const unthrottledRequests = 1
 
 // refusalRatio returns the ratio of requests to refuse.
@@ -234,14 +237,15 @@
 	return max(0, (offered-unthrottledRequests-t.maxAdmitted(now))/offered)
 }
 
-// maxAdmitted returns the maximum number of admitted requests within the counts.
+// maxAdmitted returns the highest count of admitted requests that the peak of the accepted count and the present headroom
+// allow.
 func (t *Throttle) maxAdmitted(now time.Time) float64 {
 	steps := min(t.acceptedSinceRefusal, float64(now.Sub(t.refusedBelowAt))/float64(t.config.StepInterval))
 	return min(t.config.Headroom+t.config.HeadroomStep*steps, t.config.MaxHeadroom) * t.peak
 }
 
-// maxResent returns how many of these may be requests sent again: at least the limited fraction, or the capacity that new
-// requests leave unused.
+// maxResent returns the highest count of admitted requests that are sent again: Config.ResentRatio of the accepted count,
+// or what new requests leave of maxAdmitted, whichever is more.
 func (t *Throttle) maxResent(now time.Time) float64 {
 	return max(t.config.ResentRatio*t.accepted, t.maxAdmitted(now)-t.newRequests)
 }
--- a/internal/decide/throttle/throttle_test.go
+++ b/internal/decide/throttle/throttle_test.go
@@ -13,17 +13,18 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/throttle"
 )
 
-// downstream simulates the services behind the entry node: it accepts perSecond requests a second and replies after a delay.
+// downstream simulates the services behind the entry node: it accepts perSecond requests a second and replies after a
+// delay.
 type downstream struct {
 	perSecond float64
-	// refuseEvery refuses one of every so many requests regardless of the rate; 0 for none.
+	// refuseEvery is the number of requests of which one is refused regardless of the rate; 0 means none.
 	refuseEvery int
-	taken       int
+	received    int
 	tokens      float64
-	pending     []answer
+	pending     []reply
 }
 
-type answer struct {
+type reply struct {
 	at     time.Time
 	result throttle.Result
 }
@@ -35,12 +36,12 @@
 
 func (c *downstream) take(now time.Time) bool {
 	result := throttle.Refused
-	c.taken++
-	if c.tokens >= 1 && (c.refuseEvery == 0 || c.taken%c.refuseEvery > 0) {
+	c.received++
+	if c.tokens >= 1 && (c.refuseEvery == 0 || c.received%c.refuseEvery > 0) {
 		c.tokens--
 		result = throttle.Accepted
 	}
-	c.pending = append(c.pending, answer{now.Add(delay), result})
+	c.pending = append(c.pending, reply{now.Add(delay), result})
 	return result == throttle.Accepted
 }
 
@@ -179,7 +180,7 @@
 
 // Refusals under a high rate must not affect a low rate of requests that follows.
 func TestLowRateAfterFloodIsAdmitted(t *testing.T) {
-	const rest = time.Second // between the flood and the low rate
+	const pause = time.Second // without requests, between the flood and the low rate
 	for name, perSecond := range map[string]float64{
 		"at half of the capacity":    20,
 		"at a tenth of the capacity": 4,
@@ -188,7 +189,7 @@
 			is := is.New(t)
 			th, c := throttle.New(throttle.DefaultConfig), &downstream{perSecond: 40}
 			drive(th, c, start, 3*time.Second, map[string]source{"crowd": {perSecond: 200}})
-			after := start.Add(3*time.Second + rest)
+			after := start.Add(3*time.Second + pause)
 			sum := drive(th, c, after, 2*time.Second, map[string]source{"later": {perSecond: perSecond}})["later"]
 			is.Equal(sum.admitted, sum.offered)
 		})
