--- a/internal/decide/retry/requeue.go
+++ b/internal/decide/retry/requeue.go
@@ -3,9 +3,9 @@
 import "time"
 
 // RequeueBudget is the requeue budget of the gate of one backend server. The gate handles all requests for the backend
-// server, so a fraction of these requests is a limit for the whole fleet. Most of the budget is reserved for the most
-// urgent requests: while many requests are shed, requeueing is seldom worthwhile for a call of a request that makes many
-// calls, each of which may be shed.
+// server, so a budget that is a fraction of these requests limits the requeues of the whole fleet. Most of the budget is
+// reserved for the most urgent requests: while many requests are shed, requeueing is seldom worthwhile for a call of a
+// request that makes many calls, because each of them may be shed.
 type RequeueBudget struct {
 	budget   *Budget
 	reserved float64
@@ -32,7 +32,7 @@
 	return b.budget.TakeAbove(b.reserved)
 }
 
-// RequeueCandidate describes a request that the backend server has answered.
+// RequeueCandidate describes a request to which the backend server has responded.
 type RequeueCandidate struct {
 	// Shed reports whether the backend server refused the request because of overload.
 	Shed bool
@@ -51,13 +51,14 @@
 	maxRequeueDelay = 250 * time.Millisecond
 )
 
-// DecideRequeue returns the delay after which the request is offered to the same gate again, and whether it is. Other
-// instances whose limits are too high as well shed requests regardless of rank. This gate, whose limit has just been
-// lowered, starts urgent requests first. The delay is the hold time of a request, within limits: by then, all requests that were started
-// under the old limit have ended.
-func DecideRequeue(t RequeueCandidate) (time.Duration, bool) {
-	delay := min(max(t.HoldTime, minRequeueDelay), maxRequeueDelay)
-	if !t.Shed || !t.SafeToRepeat || t.AttemptsLeft <= 0 || t.TimeLeft <= delay+t.HoldTime {
+// DecideRequeue reports whether the request is offered to the same gate again, and after which delay. Another instance
+// whose limit is too high as well would shed the request regardless of its rank. The gate of the backend server that has
+// just shed it, by contrast, has lowered its limit and starts urgent requests first. The delay is the hold time of a
+// request, between minRequeueDelay and maxRequeueDelay: after it, the requests that were started under the old limit have
+// ended.
+func DecideRequeue(c RequeueCandidate) (time.Duration, bool) {
+	delay := min(max(c.HoldTime, minRequeueDelay), maxRequeueDelay)
+	if !c.Shed || !c.SafeToRepeat || c.AttemptsLeft <= 0 || c.TimeLeft <= delay+c.HoldTime {
 		return 0, false
 	}
 	return delay, true
--- a/internal/decide/retry/requeue_test.go
+++ b/internal/decide/retry/requeue_test.go
@@ -35,12 +35,13 @@
 	}
 }
 
-// The backend servers of the deepest service shed half of the requests at random. The most urgent requests must get the requeues
-// that they need, and all requeues together must stay a small fraction of the requests.
+// The backend servers of the deepest service shed regardless of rank: here every second request, and with these all of the
+// most urgent ones. The most urgent requests must get the requeues that they need, and all requeues together must stay a
+// small fraction of the requests.
 func TestRequeueBudgetPrefersMostUrgent(t *testing.T) {
 	is := is.New(t)
-	const perRequest, kept, urgentEvery, count = 0.1, 8, 10, 2000
-	budget := retry.NewRequeueBudget(retry.BudgetConfig{EarnRatio: perRequest, Max: kept})
+	const perRequest, capacity, urgentEvery, count = 0.1, 8, 10, 2000
+	budget := retry.NewRequeueBudget(retry.BudgetConfig{EarnRatio: perRequest, Max: capacity})
 	urgent, urgentRequeues, otherRequeues := 0, 0, 0
 	for n := range count {
 		budget.Earn()
@@ -58,5 +59,5 @@
 	}
 	t.Logf("%d requeues for %d urgent requests, %d for others", urgentRequeues, urgent, otherRequeues)
 	is.True(float64(urgentRequeues) >= 0.95*float64(urgent))
-	is.True(float64(urgentRequeues+otherRequeues) <= perRequest*count+kept)
+	is.True(float64(urgentRequeues+otherRequeues) <= perRequest*count+capacity)
 }
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -1,12 +1,20 @@
 // Package retry decides whether a request is attempted again.
 //
-// Two limits apply together: the attempt allowance, which the root request carries along its whole call chain, and a retry
-// budget for each service, which is replenished only by successes. There is no further attempt if the reply is marked
-// final, if a non-idempotent request may have run, or if the deadline is spent.
+// Two limits apply together: the attempt allowance, which the root request carries along its whole call chain, and a
+// retry budget for each service, which is replenished only by successes. There is no further attempt if the reply is
+// marked final, if the failure comes from further down the call chain, if a non-idempotent request may have run, or if
+// the deadline is too near.
+//
+// A request that the backend server itself shed can instead be requeued: it is offered to the gate of the same backend
+// server again, within a requeue budget. See DecideRequeue.
 //
 // # Usage
 //
-//	if retry.Decide(attempt, budget) == retry.Retry { ... }
+//	budget := retry.NewBudget(retry.BudgetConfig{EarnRatio: 0.1, Max: 20})
+//	budget.Earn() // after each success
+//	if retry.Decide(attempt, budget) == retry.Retry {
+//		// Send the request to another instance.
+//	}
 //
 // The package does no I/O and reads no clock.
 package retry
@@ -31,8 +39,8 @@
 	Started bool
 	// Final reports whether the reply is marked final.
 	Final bool
-	// FailedDownstream reports whether the failure comes from further down the call chain, where the node nearest to it
-	// has already decided about retries.
+	// FailedDownstream reports whether the failure comes from further down the call chain, where the node next to it
+	// has already decided whether to retry.
 	FailedDownstream bool
 	AttemptsLeft     int
 	TimeLeft         time.Duration
@@ -40,7 +48,7 @@
 	Candidates int
 }
 
-// MinTimeLeft is the least remaining time before the deadline for another attempt.
+// MinTimeLeft is the least time before the deadline with which another attempt is made.
 const MinTimeLeft = 2 * time.Millisecond
 
 // Decide decides about a failed attempt and charges the budget if the result is Retry.
@@ -65,7 +73,7 @@
 	Max float64
 }
 
-// Budget is a token bucket of retries for one service. The zero Budget allows none.
+// Budget is a token bucket of retries for one service, in which each retry costs one token. The zero Budget allows none.
 type Budget struct {
 	config BudgetConfig
 	tokens float64
@@ -100,8 +108,8 @@
 	b.tokens = min(b.tokens, limit)
 }
 
-// PerNodeLimit divides the retries that the fleet may make at once by the number of nodes. Each node gets at least one, as
-// it could otherwise never retry.
+// PerNodeLimit divides the number of retries that the fleet may make at the same time by the number of nodes. Each node
+// gets at least one, because it could otherwise never retry.
 func PerNodeLimit(fleet float64, nodes int) float64 {
 	return max(fleet/float64(max(nodes, 1)), 1)
 }
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -9,7 +9,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/retry"
 )
 
-// All requests fail on all nodes at once. The retries of nodes that don't communicate must stay within the limit of the fleet.
+// All requests fail on all nodes at the same time. The retries of nodes that don't communicate must together stay within
+// the limit of the fleet.
 func TestFleetRetryLimit(t *testing.T) {
 	for name, test := range map[string]struct{ nodes, atMost int }{
 		"13 nodes": {13, 36},
