--- a/internal/decide/routing/crosszone.go
+++ b/internal/decide/routing/crosszone.go
@@ -12,7 +12,8 @@
 // kindAverages holds a moving average per request kind.
 type kindAverages struct {
 	byKind map[string]kindAverage
-	// startAtZero makes a new average start at 0 instead of at the first observed value.
+	// startAtZero makes a new average start at 0 instead of at the first observed value, so that the first few requests
+	// of a kind have little effect.
 	startAtZero bool
 }
 
--- a/internal/decide/routing/crosszone_test.go
+++ b/internal/decide/routing/crosszone_test.go
@@ -11,14 +11,14 @@
 )
 
 // crossZoneFraction sends requests from zone z0 to one node in each of three zones and returns the fraction that left
-// z0. sample gives the latency and bytes at each node; taken is how many slots of the node in z0 are in use.
-func crossZoneFraction(sample func(node string) routing.Sample, taken int, r routing.Request) float64 {
+// z0. sample gives the latency and bytes at each node; slotsInUse is how many slots of the node in z0 are in use.
+func crossZoneFraction(sample func(node string) routing.Sample, slotsInUse int, r routing.Request) float64 {
 	random := rand.New(rand.NewPCG(1, 1))
 	s := newSet(3)
 	now := start
 	crossed := 0
 	const count = 2000
-	for range taken {
+	for range slotsInUse {
 		s.Find("node_0").Begin(r.Rank)
 	}
 	for range count {
@@ -40,10 +40,10 @@
 // chain crosses once instead and takes its calls along. If no zone has the service, nothing moves.
 func TestRequestsCrossZonesInsteadOfCalls(t *testing.T) {
 	for name, test := range map[string]struct {
-		below       map[string]int64
-		least, most float64
+		crossZoneBytes map[string]int64
+		least, most    float64
 	}{
-		"own zone lacks the service":     {map[string]int64{"node_0": 4000}, 0.95, 1},
+		"sender's zone lacks it":         {map[string]int64{"node_0": 4000}, 0.95, 1},
 		"a few calls cross":              {map[string]int64{"node_0": 500}, 0, 0},
 		"no zone has the service":        {map[string]int64{"node_0": 4000, "node_1": 4000, "node_2": 4000}, 0, 0.1},
 		"one other zone has the service": {map[string]int64{"node_0": 4000, "node_1": 4000}, 0.9, 1},
@@ -51,7 +51,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fraction := crossZoneFraction(func(node string) routing.Sample {
-				return routing.Sample{Latency: 20 * time.Millisecond, Bytes: 800, DownstreamCrossZoneBytes: test.below[node]}
+				return routing.Sample{Latency: 20 * time.Millisecond, Bytes: 800, DownstreamCrossZoneBytes: test.crossZoneBytes[node]}
 			}, 0, routing.Request{Kind: "ledger", IsCall: true})
 			t.Logf("%.2f crossed", fraction)
 			is.New(t).True(fraction >= test.least && fraction <= test.most)
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestLoadOfOtherZonesLimitsCrossing guards against calls that cross between zones because the other zones are busy.
-// The sender's zone is idle but lacks a service further down the chain; requests move to another zone while that one
-// is fast, and stay if it is slow or full.
+// TestLoadOfOtherZonesLimitsCrossing guards against many calls that cross between zones only because the other zones are
+// busy. The sender's zone is idle but lacks a service further down the chain. While another zone is fast, requests move
+// there, even if it is half busy; if it is slow or full, they stay.
 func TestLoadOfOtherZonesLimitsCrossing(t *testing.T) {
 	for name, test := range map[string]struct {
 		inFlight    int
@@ -87,17 +87,17 @@
 
 // TestFractionOfRequestsThatCross guards against moving all requests when the sender's zone has too little capacity
 // at the end of a chain and only some calls cross. The fraction of requests that crosses follows the fraction of
-// calls that would.
+// requests whose calls would cross.
 func TestFractionOfRequestsThatCross(t *testing.T) {
 	for name, share := range map[string]float64{"a fifth": 0.2, "half": 0.5, "most": 0.8} {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(2, 2))
 			fraction := crossZoneFraction(func(node string) routing.Sample {
-				below := int64(0)
+				crossZoneBytes := int64(0)
 				if node == "node_0" && random.Float64() < share {
-					below = 4000
+					crossZoneBytes = 4000
 				}
-				return routing.Sample{Latency: 20 * time.Millisecond, Bytes: 800, DownstreamCrossZoneBytes: below}
+				return routing.Sample{Latency: 20 * time.Millisecond, Bytes: 800, DownstreamCrossZoneBytes: crossZoneBytes}
 			}, 0, routing.Request{Kind: "ledger", IsCall: true})
 			t.Logf("%.2f crossed", fraction)
 			is.New(t).True(fraction >= share-0.2 && fraction <= share+0.1)
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestLargeAnswersStayInTheirZone guards against large answers between zones when the sender's zone is nearly full
-// and another zone is faster. Requests with small answers move; for large ones the cost of the bytes exceeds the gain
+// TestLargeAnswersStayInTheirZone guards against large replies between zones when the sender's zone is nearly full
+// and another zone is faster. Requests with small replies move; for large ones the cost of the bytes exceeds the gain
 // in time.
 func TestLargeAnswersStayInTheirZone(t *testing.T) {
 	for name, test := range map[string]struct {
--- a/internal/decide/routing/instance.go
+++ b/internal/decide/routing/instance.go
@@ -11,10 +11,10 @@
 type Result int
 
 const (
-	// Neutral says nothing about the instance, for example because the caller went away or a call further down the
-	// chain failed.
+	// Neutral says nothing about the instance, for example because the caller gave up or a call further down the chain
+	// failed.
 	Neutral Result = iota
-	// Good means that the backend server answered.
+	// Good means that the backend server responded without a server error.
 	Good
 	// Failed means a server error, a broken connection or a timeout.
 	Failed
@@ -42,7 +42,7 @@
 	// Rank is the rank of the request. If the request was shed, the instance sheds this rank and all less urgent
 	// ones.
 	Rank int
-	// AllShed says that the instance refuses requests of all ranks.
+	// AllShed reports whether the instance refuses requests of all ranks.
 	AllShed bool
 	// Reason names the failure or the refusal, for the state dump.
 	Reason string
@@ -56,8 +56,8 @@
 // Instance is the state that a sender keeps about one instance.
 type Instance struct {
 	Member Member
-	// Unreachable says that the instance does not answer. It gets requests only if all others are ejected or
-	// unreachable.
+	// Unreachable reports whether the instance does not reply. Such an instance gets requests only if all others are
+	// ejected or unreachable.
 	Unreachable bool
 
 	config   *Config
@@ -79,8 +79,8 @@
 	failures     int
 	ejectedUntil time.Time
 	ejection     Ejection
-	// kindLimitedUntil is, by kind, until when the instance counts as having reached the in-flight limit of that
-	// kind.
+	// kindLimitedUntil holds, for each kind, the time until which the instance counts as having reached the in-flight
+	// limit of the kind.
 	kindLimitedUntil map[string]time.Time
 	lastShed         ShedEvidence
 	sheddingRank     int
@@ -217,7 +217,7 @@
 	return count
 }
 
-// minSlowStartFraction is the fraction of its capacity that an instance counts with when it has just joined.
+// minSlowStartFraction is the fraction of its full capacity from which a new instance ramps up.
 const minSlowStartFraction = 0.1
 
 // capacity returns the in-flight limit that the instance reported, or its slots if it reported none. It is scaled
@@ -234,7 +234,7 @@
 	return full * max(minSlowStartFraction, float64(age)/float64(i.config.SlowStart))
 }
 
-// averageLatency returns the average latency of requests of the same kind and rank; 0 if none was answered.
+// averageLatency returns the average latency of requests of the same kind and rank; 0 without samples.
 func (i *Instance) averageLatency(r Request) time.Duration {
 	return i.latencies.byClass[requestClass{rank: r.Rank, kind: r.Kind}].average
 }
@@ -269,7 +269,7 @@
 	return p.factor*time + float64(p.extra)
 }
 
-// isCheaper reports whether the expected time to answer the request, with the penalty, is lower than that of the
+// isCheaper reports whether the expected time until the reply to the request, with the penalty, is lower than that of the
 // other instance. If the two have no latencies that can be compared, both count with the same latency, and only
 // errors and the number of requests ahead decide.
 func (i *Instance) isCheaper(now time.Time, r Request, other *Instance, p penalty) bool {
--- a/internal/decide/routing/overload_test.go
+++ b/internal/decide/routing/overload_test.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	modelServiceTime = 80 * time.Millisecond
-	modelStep        = time.Millisecond
+	simulatedServiceTime = 80 * time.Millisecond
+	simulatedStep        = time.Millisecond
 )
 
-// fleet models nodes that admit requests through a gate and send requests to each other.
+// fleet simulates nodes that admit requests through a gate and send requests to each other.
 type fleet struct {
 	random  *rand.Rand
 	now     time.Time
 	sets    []*routing.Set
 	gates   []*admission.Gate
 	endings map[time.Time][]func()
-	// waiting tells the sender of each ticket whether the ticket runs.
-	waiting map[*admission.Ticket]func(ran bool)
+	// callbacks holds, for each ticket without a decision, the function that is called with it: whether the request ran.
+	callbacks map[*admission.Ticket]func(ran bool)
 	// answered and refused count requests by kind.
 	answered, refused map[string]int
 }
@@ -33,7 +33,7 @@
 func newFleet(seed uint64, instances int) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), now: start,
-		endings: map[time.Time][]func(){}, waiting: map[*admission.Ticket]func(bool){},
+		endings: map[time.Time][]func(){}, callbacks: map[*admission.Ticket]func(bool){},
 		answered: map[string]int{}, refused: map[string]int{},
 	}
 	var list []routing.Member
@@ -67,14 +67,14 @@
 		load := routing.Load{InFlight: gate.InFlight(), Queued: gate.Queued(), Limit: gate.LimitValue(), SheddingRank: gate.SheddingRank(f.now)}
 		i.End(f.now, routing.Sample{Result: result, Latency: f.now.Sub(began), Rank: rank, Kind: kind, Load: load})
 	}
-	f.waiting[t] = func(ran bool) {
-		delete(f.waiting, t)
+	f.callbacks[t] = func(ran bool) {
+		delete(f.callbacks, t)
 		if !ran {
 			f.refused[kind]++
 			reply(routing.Shed)
 			return
 		}
-		serviceTime := time.Duration(float64(modelServiceTime) * (0.7 + 0.6*f.random.Float64())).Truncate(modelStep)
+		serviceTime := time.Duration(float64(simulatedServiceTime) * (0.7 + 0.6*f.random.Float64())).Truncate(simulatedStep)
 		end := f.now.Add(serviceTime)
 		f.endings[end] = append(f.endings[end], func() {
 			f.answered[kind]++
@@ -84,10 +84,10 @@
 	}
 	verdict := gate.Offer(f.now, t)
 	for _, d := range verdict.Displaced {
-		f.waiting[d.Ticket](false)
+		f.callbacks[d.Ticket](false)
 	}
 	if verdict.Action != admission.Enqueue {
-		f.waiting[t](verdict.Action == admission.Run)
+		f.callbacks[t](verdict.Action == admission.Run)
 	}
 }
 
@@ -99,10 +99,10 @@
 
 func (f *fleet) settle(next admission.Dequeued) {
 	for _, e := range next.Expired {
-		f.waiting[e.Ticket](false)
+		f.callbacks[e.Ticket](false)
 	}
 	for _, t := range next.Run {
-		f.waiting[t](true)
+		f.callbacks[t](true)
 	}
 }
 
@@ -115,7 +115,7 @@
 
 // run sends the streams for the duration d.
 func (f *fleet) run(d time.Duration, streams []stream) {
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(modelStep) {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(simulatedStep) {
 		for _, e := range f.endings[f.now] {
 			e()
 		}
@@ -124,7 +124,7 @@
 			f.settle(g.Advance(f.now))
 		}
 		for _, s := range streams {
-			if f.random.Float64() < s.rate*modelStep.Seconds() {
+			if f.random.Float64() < s.rate*simulatedStep.Seconds() {
 				f.send(s.rank, s.kind)
 			}
 		}
--- a/internal/decide/routing/routing.go
+++ b/internal/decide/routing/routing.go
@@ -1,7 +1,7 @@
 // Package routing chooses the instance of a service that gets a request.
 //
-// A Set holds what one sender knows about the instances of one service. It picks two of them at random and sends the
-// request to the one with the lower expected time to answer, estimated from the requests ahead, the capacity, the
+// A Set holds the state that one sender keeps about the instances of one service. It picks two of them at random and
+// chooses the one with the lower expected time until the reply, estimated from the requests ahead, the capacity, the
 // latency and the error rate that the sender observed. Instances in the sender's availability zone are preferred;
 // requests spill over to other zones before the sender's zone is full. New instances get their share of the requests
 // gradually. If a service has many instances, each sender uses a subset, which differs between senders.
@@ -14,9 +14,13 @@
 //
 //	set := routing.NewSet(routing.DefaultConfig("node_1", "lisbon_1"))
 //	set.Update(now, members)
-//	instance, ok := set.Choose(now, random, routing.Request{Rank: 2})
+//	instance, ok := set.Choose(now, random, routing.Request{Rank: 2, Kind: kind})
+//	if !ok {
+//		return errNoInstance
+//	}
 //	instance.Begin(2)
-//	instance.End(now, routing.Sample{Rank: 2, ...})
+//	// Send the request to instance.Member.Node.
+//	instance.End(now, routing.Sample{Result: routing.Good, Latency: latency, Rank: 2, Kind: kind})
 //
 // The package does no I/O and reads no clock: the random source, the time and the observations are arguments. A Set
 // and its instances are not safe for concurrent use.
@@ -70,12 +74,12 @@
 	// KindLimitedTime is how long an instance counts as limited for a kind after it refused a request because the
 	// kind had reached its in-flight limit. During this time other instances of the sender's zone are asked first.
 	KindLimitedTime time.Duration
-	// LeavingTime is how long an instance that refuses all ranks is avoided. It may not be able to tell every sender
-	// that it leaves.
+	// LeavingTime is how long an instance that refuses all ranks is avoided. An instance that leaves may not be able to
+	// announce that to every sender.
 	LeavingTime time.Duration
 	// TimeConstant is the time constant of the decay of latency and error rate.
 	TimeConstant time.Duration
-	// FailureCost is the latency that an error rate of 1 counts as.
+	// FailureCost is the latency that is added for an error rate of 1; it is added in proportion for lower rates.
 	FailureCost time.Duration
 }
 
@@ -121,9 +125,9 @@
 type Request struct {
 	Rank int
 	Kind string
-	// IsCall says that the request is a call within a call chain, not a root request.
+	// IsCall reports whether the request is a call within a call chain, not a root request.
 	IsCall bool
-	// Target is the latency within which an answer has its full value; 0 means none.
+	// Target is the latency within which the reply has its full value; 0 means none.
 	Target time.Duration
 	// Tried lists the nodes that already refused the request.
 	Tried []string
--- a/internal/decide/routing/routing_test.go
+++ b/internal/decide/routing/routing_test.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// behaviour is how a simulated instance answers.
+// behaviour is how a simulated instance replies.
 type behaviour struct {
 	latency time.Duration
 	result  routing.Result
@@ -105,7 +105,7 @@
 		// the sender's zone.
 		least, most float64
 	}{
-		"own zone preferred":          {3, good, 5 * time.Millisecond, 0.95, 1},
+		"sender's zone preferred":     {3, good, 5 * time.Millisecond, 0.95, 1},
 		"spills over before it fills": {3, good, time.Millisecond, 0.3, 0.7},
 		"slow instance gets less":     {9, slow, 5 * time.Millisecond, 0.001, 0.15},
 		"fast instance with errors":   {9, unreliable, 5 * time.Millisecond, 0.001, 0.1},
@@ -134,7 +134,7 @@
 		total += count
 	}
 	is.Equal(total, 300)  // every request is sent
-	is.Equal(len(got), 3) // no instance is left out for good
+	is.Equal(len(got), 3) // every instance gets some
 }
 
 func TestEjectedInstancesAreAvoided(t *testing.T) {
@@ -199,7 +199,8 @@
 	nodes["node_0"] = nodes["node_3"]
 	later := start.Add(10 * time.Second)
 	sendRequests(s, later, 1000, 5*time.Millisecond, nodes)
-	is.True(sendRequests(s, later.Add(5*time.Second), 1000, 5*time.Millisecond, nodes)["node_0"] > 250) // of three instances in the zone
+	// The sender's zone has three instances.
+	is.True(sendRequests(s, later.Add(5*time.Second), 1000, 5*time.Millisecond, nodes)["node_0"] > 250)
 }
 
 func TestNewInstanceStartsSlowly(t *testing.T) {
@@ -258,7 +259,7 @@
 			}
 		}
 		is.Equal(otherZones, config.SubsetOtherZones)
-		is.True(kept >= config.SubsetSize-1) // a member that leaves changes at most its own place in the subset
+		is.True(kept >= config.SubsetSize-1) // a member that leaves changes at most one instance of the subset
 	}
 	is.Equal(len(users), instances) // every instance is in some subset
 }
--- a/internal/decide/routing/set.go
+++ b/internal/decide/routing/set.go
@@ -76,9 +76,9 @@
 	healthy
 	// reachable is for instances that answer but may be shedding the request's rank.
 	reachable
-	// untried is for unreachable and ejected instances. They are used if there are no others, so that at least one
+	// unavailable is for unreachable and ejected instances. They are used if there are no others, so that at least one
 	// instance is tried.
-	untried
+	unavailable
 	tierCount
 )
 
@@ -139,7 +139,7 @@
 	return penalty{factor: factor, extra: time.Duration(size * float64(s.config.CrossZoneKilobyte))}
 }
 
-// isSlow reports whether the average latency of the instance is so high that many answers miss the request's target.
+// isSlow reports whether the average latency of the instance is so high that many replies miss the request's target.
 func (s *Set) isSlow(r Request, i *Instance) bool {
 	return !r.IsCall && float64(i.averageLatency(r)) > s.config.TargetFraction*float64(r.Target) && r.Target > 0
 }
@@ -161,7 +161,8 @@
 	return other
 }
 
-// exploreFraction is the fraction of these requests for which an instance without a known latency may be picked.
+// exploreFraction is the probability with which an instance of another availability zone without a known latency is
+// considered for a request whose instance in the sender's zone is slow.
 const exploreFraction = 0.05
 
 // zoneSummary sums up the load of the sender's zone and the instances available elsewhere.
@@ -194,7 +195,7 @@
 	case r.hasTried(i.Member.Node):
 		return tierCount
 	case i.Unreachable || i.isEjected(now):
-		return untried
+		return unavailable
 	case i.sheds(now, r.Rank):
 		return reachable
 	case i.isKindLimited(now, r):
@@ -238,12 +239,12 @@
 			continue
 		}
 		found++
-		place := found - 1
+		position := found - 1
 		if found > len(picked) {
-			place = random.IntN(found)
+			position = random.IntN(found)
 		}
-		if place < len(picked) {
-			picked[place] = i
+		if position < len(picked) {
+			picked[position] = i
 		}
 	}
 	a, b := picked[0], picked[1]
--- a/internal/decide/routing/stats.go
+++ b/internal/decide/routing/stats.go
@@ -6,7 +6,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/admission"
 )
 
-// Reason says why an instance gets no requests, or none of some ranks.
+// Reason is the reason why an instance gets no requests, or none of some ranks.
 type Reason string
 
 const (
--- a/internal/decide/routing/target_test.go
+++ b/internal/decide/routing/target_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestTargetMissedInSlowZone guards against missed targets when backend servers of one service differ in speed and
-// the one in the sender's zone is too slow for many answers. Urgent requests move to a faster one in another zone;
+// the one in the sender's zone is too slow for many requests. Urgent requests move to a faster one in another zone;
 // requests with enough time, and calls, stay.
 func TestTargetMissedInSlowZone(t *testing.T) {
 	for name, test := range map[string]struct {
