--- a/internal/decide/admission/limit.go
+++ b/internal/decide/admission/limit.go
@@ -24,8 +24,8 @@
 	DecreaseFactor float64
 	// TrialDecreaseFactor is the factor by which the limit shrinks in a trial of a lower limit.
 	TrialDecreaseFactor float64
-	// GrowthRatio is the relative growth after the first window without trouble; each further such window adds as much
-	// again.
+	// GrowthRatio is the relative growth after the first window in which the limit was used without trouble. It rises by as
+	// much with each further such window, until the limit doubles.
 	GrowthRatio float64
 	// Window is the minimum time for which samples are collected before the limit is adjusted.
 	Window time.Duration
@@ -61,7 +61,7 @@
 
 	window window
 	trial  trial
-	// cleanWindows counts the windows without trouble since the last window with trouble.
+	// cleanWindows counts the windows without trouble in which the limit grew, since the last window with trouble.
 	cleanWindows int
 	// provenInFlight is the number of requests in flight that the backend server has handled at low latency.
 	provenInFlight float64
