--- a/cmd/comfreyhoist/document.go
+++ b/cmd/comfreyhoist/document.go
@@ -29,20 +29,20 @@
 // operatorTimeout is the default timeout of one call of the administration API.
 const operatorTimeout = 10 * time.Second
 
-func (t *apiFlags) register(flags *flag.FlagSet) {
-	flags.StringVar(&t.address, "address", "127.0.0.1:7003", "IP and port of a node's administration API")
-	flags.StringVar(&t.token, "token", "", "bearer token; better set as COMFREYHOIST_TOKEN, which other users can't see")
-	flags.DurationVar(&t.timeout, "timeout", operatorTimeout, "timeout of one call")
-	flags.BoolVar(&t.json, "json", false, "print JSON instead of a table")
+func (api *apiFlags) register(flags *flag.FlagSet) {
+	flags.StringVar(&api.address, "address", "127.0.0.1:7003", "IP and port of a node's administration API")
+	flags.StringVar(&api.token, "token", "", "bearer token; better set as COMFREYHOIST_TOKEN, which other users can't see")
+	flags.DurationVar(&api.timeout, "timeout", operatorTimeout, "timeout of one call")
+	flags.BoolVar(&api.json, "json", false, "print JSON instead of a table")
 }
 
-func (t *apiFlags) client() *operator.Client {
-	return operator.NewClient(operator.ClientConfig{Address: t.address, Token: t.token, Timeout: t.timeout})
+func (api *apiFlags) client() *operator.Client {
+	return operator.NewClient(operator.ClientConfig{Address: api.address, Token: api.token, Timeout: api.timeout})
 }
 
 // clientCommand returns a command that calls the administration API of a node.
-func clientCommand(name, usage, help string, flags *flag.FlagSet, t *apiFlags, run func(context.Context, []string) error) *ffcli.Command {
-	t.register(flags)
+func clientCommand(name, usage, help string, flags *flag.FlagSet, api *apiFlags, run func(context.Context, []string) error) *ffcli.Command {
+	api.register(flags)
 	return &ffcli.Command{
 		Name:       name,
 		ShortUsage: usage,
@@ -67,18 +67,18 @@
 }
 
 func getCommand() *ffcli.Command {
-	var t apiFlags
+	var api apiFlags
 	flags := flag.NewFlagSet("comfreyhoist document get", flag.ContinueOnError)
 	usage := "comfreyhoist document get -address 10.0.1.21:7003 bookings"
-	return clientCommand("get", usage, "print a document; its tag goes to standard error", flags, &t, func(ctx context.Context, arguments []string) error {
+	return clientCommand("get", usage, "print a document; its tag goes to standard error", flags, &api, func(ctx context.Context, arguments []string) error {
 		if len(arguments) != 1 {
 			return flag.ErrHelp
 		}
-		stored, err := t.client().Get(ctx, arguments[0])
+		stored, err := api.client().Get(ctx, arguments[0])
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		if t.json {
+		if api.json {
 			return printJSON(stored)
 		}
 		fmt.Print(stored.Source)
@@ -88,12 +88,12 @@
 }
 
 func putCommand() *ffcli.Command {
-	var t apiFlags
+	var api apiFlags
 	flags := flag.NewFlagSet("comfreyhoist document put", flag.ContinueOnError)
 	expected := flags.String("expected", "", "tag of the document to be replaced; empty for a new one")
 	operation := flags.String("operation", "", "id of the edit; the same id may be sent again and is carried out once")
 	usage := "comfreyhoist document put -expected 3-1f0c2a9e bookings bookings.ini"
-	return clientCommand("put", usage, "write a document", flags, &t, func(ctx context.Context, arguments []string) error {
+	return clientCommand("put", usage, "write a document", flags, &api, func(ctx context.Context, arguments []string) error {
 		if len(arguments) != 2 {
 			return flag.ErrHelp
 		}
@@ -101,11 +101,11 @@
 		if err != nil {
 			return trace.ConvertSystemError(err)
 		}
-		stored, err := t.client().Put(ctx, arguments[0], source, *expected, *operation)
+		stored, err := api.client().Put(ctx, arguments[0], source, *expected, *operation)
 		if err != nil {
 			return explainPutError(err)
 		}
-		if t.json {
+		if api.json {
 			return printJSON(stored)
 		}
 		fmt.Println("accepted:", stored.Tag())
@@ -113,7 +113,8 @@
 	})
 }
 
-// explainPutError adds to the error of an edit whose outcome is unknown how to send the edit again.
+// explainPutError returns the error of an edit. If it is unknown whether the edit took effect, the error also says how
+// to repeat it.
 func explainPutError(err error) error {
 	var refusal *operator.Error
 	if errors.As(err, &refusal) && refusal.Code == operator.CodeUnsettled {
@@ -123,15 +124,15 @@
 }
 
 func listCommand() *ffcli.Command {
-	var t apiFlags
+	var api apiFlags
 	flags := flag.NewFlagSet("comfreyhoist document list", flag.ContinueOnError)
 	usage := "comfreyhoist document list -address 10.0.1.21:7003"
-	return clientCommand("list", usage, "list the documents in force on a node", flags, &t, func(ctx context.Context, _ []string) error {
-		summaries, err := t.client().List(ctx)
+	return clientCommand("list", usage, "list the documents in force on a node", flags, &api, func(ctx context.Context, _ []string) error {
+		summaries, err := api.client().List(ctx)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		if t.json {
+		if api.json {
 			return printJSON(summaries)
 		}
 		table := terminal.NewTable(os.Stdout, "SERVICE", "TEAM", "REVISION", "EDITOR", "ACCEPTED")
@@ -143,18 +144,18 @@
 }
 
 func historyCommand() *ffcli.Command {
-	var t apiFlags
+	var api apiFlags
 	flags := flag.NewFlagSet("comfreyhoist document history", flag.ContinueOnError)
 	usage := "comfreyhoist document history bookings"
-	return clientCommand("history", usage, "list the edits of a document, the newest first", flags, &t, func(ctx context.Context, arguments []string) error {
+	return clientCommand("history", usage, "list the edits of a document, the newest first", flags, &api, func(ctx context.Context, arguments []string) error {
 		if len(arguments) != 1 {
 			return flag.ErrHelp
 		}
-		edits, err := t.client().History(ctx, arguments[0])
+		edits, err := api.client().History(ctx, arguments[0])
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		if t.json {
+		if api.json {
 			return printJSON(edits)
 		}
 		return printEdits(edits)
--- a/cmd/comfreyhoist/dump.go
+++ b/cmd/comfreyhoist/dump.go
@@ -14,15 +14,15 @@
 )
 
 func dumpCommand() *ffcli.Command {
-	var t apiFlags
+	var api apiFlags
 	flags := flag.NewFlagSet("comfreyhoist dump", flag.ContinueOnError)
 	usage := "comfreyhoist dump -address 10.0.1.21:7003"
-	return clientCommand("dump", usage, "print the state of a node", flags, &t, func(ctx context.Context, _ []string) error {
-		encoded, err := t.client().Dump(ctx)
+	return clientCommand("dump", usage, "print the state of a node", flags, &api, func(ctx context.Context, _ []string) error {
+		encoded, err := api.client().Dump(ctx)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		if t.json {
+		if api.json {
 			return printJSON(encoded)
 		}
 		var dump node.Dump
--- a/cmd/comfreyhoist/main.go
+++ b/cmd/comfreyhoist/main.go
@@ -1,4 +1,5 @@
-// Command comfreyhoist runs the node beside a backend server, and has the commands for operators.
+// Command comfreyhoist runs the node beside a backend server. Its other commands are for operators: they check files,
+// read and write documents, and drain or dump a node.
 package main
 
 import (
@@ -56,7 +57,7 @@
 )
 
 // reportError prints the error and returns the exit code. It prints nothing for flag.ErrHelp, because ffcli has already
-// printed the help. Help that was requested is no failure; help for missing arguments is.
+// printed the help. Requested help is a success; help because of missing arguments is a usage error.
 func reportError(err error, arguments []string) int {
 	switch {
 	case !errors.Is(err, flag.ErrHelp):
--- a/cmd/comfreyhoist/node.go
+++ b/cmd/comfreyhoist/node.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// maxBufferedLogLines is the number of log lines that are buffered. If the reader of the log is too slow, lines are dropped
-// instead of delaying requests.
+// maxBufferedLogLines is the number of log lines that are buffered. If the reader of the log is too slow, lines are
+// dropped instead of delaying requests.
 const maxBufferedLogLines = 1000
 
 func runNode(ctx context.Context, s *settings.Settings, config string) error {
--- a/cmd/comfreyhoist/signals_test.go
+++ b/cmd/comfreyhoist/signals_test.go
@@ -16,7 +16,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/fleet"
 )
 
-// Guards against a further signal ending a node that drains, which would interrupt its requests.
+// Guards against a second signal that ends a draining node and so interrupts its requests.
 func TestSignalsWhileDraining(t *testing.T) {
 	directory := t.TempDir()
 	binary, err := fleet.Build(t.Context(), directory)
@@ -57,7 +57,7 @@
 	}
 }
 
-// routesSettings returns the settings of a node that follows routes and whose store is unreachable.
+// routesSettings returns the settings of a node that is configured by routes and whose store is unreachable.
 func routesSettings(ip string) string {
 	return strings.ReplaceAll(`[node]
 name = node_1
