--- a/cmd/hoistlab/fleet.go
+++ b/cmd/hoistlab/fleet.go
@@ -14,8 +14,8 @@
 // readyTimeout limits the time until a started fleet is ready.
 const readyTimeout = 30 * time.Second
 
-// withFleet builds comfreyhoist, starts a fleet and runs f on it. The nodes' logs go to standard error if verbose is set,
-// and are discarded otherwise.
+// withFleet builds comfreyhoist, starts a fleet and runs f on it. The nodes' logs go to standard error if verbose is
+// set, and are discarded otherwise.
 func withFleet(ctx context.Context, config fleet.Config, verbose bool, f func(*fleet.Fleet) error) error {
 	return withBinary(ctx, func(_, binary string) error {
 		config.Binary, config.Output = binary, io.Discard
--- a/cmd/hoistlab/main.go
+++ b/cmd/hoistlab/main.go
@@ -1,5 +1,5 @@
-// Command hoistlab runs experiments on real nodes, with stand-in backend servers and stores, generated load, injected
-// faults and reports.
+// Command hoistlab runs experiments on real node processes, with simulated backend servers and stores, generated load
+// and injected faults, and reports the results.
 package main
 
 import (
--- a/cmd/hoistlab/overload.go
+++ b/cmd/hoistlab/overload.go
@@ -85,8 +85,8 @@
 
 const directoryMode = 0o755
 
-// runConfigs returns one configuration for each combination of deployment, scenario and variant. The baseline variant runs
-// a command of hoistlab itself.
+// runConfigs returns one configuration for each combination of deployment, scenario and variant. The baseline variant
+// runs a command of hoistlab itself.
 func (o *overloadFlags) runConfigs(binary, labBinary string) []scenario.Config {
 	variants := []scenario.Variant{{Name: "product", Binary: binary}}
 	if o.previous != "" {
--- a/cmd/hoistlab/standins.go
+++ b/cmd/hoistlab/standins.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// The default flag values of a stand-in backend server.
+// The default flag values of a simulated backend server.
 const (
 	defaultSlots       = 35
 	defaultConnections = 300
