--- a/internal/control/catalogue/catalogue.go
+++ b/internal/control/catalogue/catalogue.go
@@ -5,7 +5,9 @@
 // # Usage
 //
 //	err := catalogue.WriteEvents(os.Stdout)
-//	for name, page := range catalogue.Pages() { ... }
+//	for name, page := range catalogue.Pages() {
+//		err = os.WriteFile(filepath.Join("docs", name), []byte(page), 0o644)
+//	}
 //
 // After a catalogue has changed, the command "comfreyhoist events -markdown docs" regenerates the pages.
 package catalogue
--- a/internal/control/catalogue/catalogue_test.go
+++ b/internal/control/catalogue/catalogue_test.go
@@ -60,9 +60,9 @@
 	is := is.New(t)
 	declared := declaredNumbers(t)
 	is.Equal(len(declared), len(events.Catalogue)) // one entry for each constant
-	for place, name := range emittedNumbers(t) {
+	for position, name := range emittedNumbers(t) {
 		if !declared[name] {
-			t.Errorf("%s: emits %s, which is not in the catalogue", place, name)
+			t.Errorf("%s: emits %s, which is not in the catalogue", position, name)
 		}
 	}
 }
