--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -7,7 +7,7 @@
 //	d, err := document.Parse(source)
 //	kind, ok := d.Match("GET", "/sheets/today")
 //
-// Parse reports every fault of the document at once.
+// The error of Parse lists all faults of the document.
 package document
 
 import (
@@ -61,7 +61,7 @@
 	Name string `json:"name"`
 	// Method is an HTTP method, or "*" for any.
 	Method string `json:"method"`
-	// Path is a path, or a prefix of paths followed by "*".
+	// Path is a complete path, or a prefix of paths followed by "*".
 	Path       string        `json:"path"`
 	Rank       int           `json:"rank"`
 	Idempotent bool          `json:"idempotent"`
--- a/internal/control/document/document_test.go
+++ b/internal/control/document/document_test.go
@@ -27,21 +27,21 @@
 		text string
 		want string
 	}{
-		"sound":           {validDocument, ""},
-		"unknown key":     {validDocument + "colour = red", "d.ini:9: [kind windows] colour: unknown key"},
-		"unknown section": {validDocument + "[paint]", "d.ini:9: [paint] unknown section"},
-		"kind twice":      {validDocument + "[kind windows]", "d.ini:9: [kind windows] stands twice"},
-		"key above all":   {"colour = red\n" + validDocument, "d.ini:1: colour: unknown key"},
-		"bad rank":        {strings.Replace(validDocument, "rank = 1", "rank = 10", 1), "d.ini:7: [kind windows] rank: \"10\" is not a whole number from 0 to 9"},
-		"no rank":         {strings.Replace(validDocument, "rank = 1\n", "", 1), "d.ini:4: [kind windows] rank: \"\" is not a whole number from 0 to 9"},
-		"bad unit":        {validDocument + "deadline = 2", "d.ini:9: [kind windows] deadline: \"2\" is not a duration from 1ms to 2m0s, such as 800ms"},
-		"bad method":      {strings.Replace(validDocument, "GET", "get", 1), "d.ini:5: [kind windows] method: \"get\" is not an HTTP method in upper case or *"},
-		"bad path":        {strings.Replace(validDocument, "/windows/*", "/*/windows", 1), "d.ini:6: [kind windows] path: \"/*/windows\" does not begin with / or has * before its end"},
-		"hidden kind": {
+		"sound":                        {validDocument, ""},
+		"unknown key":                  {validDocument + "colour = red", "d.ini:9: [kind windows] colour: unknown key"},
+		"unknown section":              {validDocument + "[paint]", "d.ini:9: [paint] unknown section"},
+		"kind twice":                   {validDocument + "[kind windows]", "d.ini:9: [kind windows] stands twice"},
+		"key before the first section": {"colour = red\n" + validDocument, "d.ini:1: colour: unknown key"},
+		"bad rank":                     {strings.Replace(validDocument, "rank = 1", "rank = 10", 1), "d.ini:7: [kind windows] rank: \"10\" is not a whole number from 0 to 9"},
+		"no rank":                      {strings.Replace(validDocument, "rank = 1\n", "", 1), "d.ini:4: [kind windows] rank: \"\" is not a whole number from 0 to 9"},
+		"bad unit":                     {validDocument + "deadline = 2", "d.ini:9: [kind windows] deadline: \"2\" is not a duration from 1ms to 2m0s, such as 800ms"},
+		"bad method":                   {strings.Replace(validDocument, "GET", "get", 1), "d.ini:5: [kind windows] method: \"get\" is not an HTTP method in upper case or *"},
+		"bad path":                     {strings.Replace(validDocument, "/windows/*", "/*/windows", 1), "d.ini:6: [kind windows] path: \"/*/windows\" does not begin with / or has * before its end"},
+		"kind that never matches": {
 			validDocument + "[kind late]\npath = /windows/late\nmethod = GET\nrank = 2\nidempotent = true",
 			"d.ini:10: [kind late] path: never matches: kind windows above takes all of its requests",
 		},
-		"all at once": {
+		"several faults": {
 			"[service]\nname = A B\n[kind x]\npath = x\nrank = 1\nidempotent = yes",
 			"d.ini:1: [service] team: missing\n" +
 				"d.ini:2: [service] name: \"A B\" is not lower-case letters, digits, - and _\n" +
@@ -116,7 +116,7 @@
 		lines := strings.Count(text, "\n") + 1
 		for _, fault := range faults {
 			if fault.Line < 0 || fault.Line > lines || fault.Reason == "" {
-				t.Fatalf("fault without place or reason: %+v", fault)
+				t.Fatalf("fault with an invalid line or without a reason: %+v", fault)
 			}
 		}
 		for i := 0; d != nil && i < len(d.Kinds); i++ {
