--- a/internal/control/events/log.go
+++ b/internal/control/events/log.go
@@ -63,7 +63,7 @@
 }
 
 // NewBurstLimiter returns a limiter that writes one event of each number per interval on average, and up to burst
-// events at once.
+// events in quick succession.
 func NewBurstLimiter(log *Log, interval time.Duration, burst int) *Limiter {
 	return &Limiter{log: log, interval: interval, burst: float64(burst), allowances: map[Number]*allowance{}}
 }
--- a/internal/control/events/log_test.go
+++ b/internal/control/events/log_test.go
@@ -12,7 +12,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/events"
 )
 
-// Many refusals at once must not flood the log, and the suppressed lines must be counted.
+// Many refusals within a short time must not flood the log, and the suppressed lines must be counted.
 func TestBurstLimiter(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
