--- a/internal/control/inifile/inifile.go
+++ b/internal/control/inifile/inifile.go
@@ -78,8 +78,8 @@
 func Load(name string, source []byte) *File {
 	lines, readable := indexLines(source)
 	f := &File{name: name, lines: lines}
-	for _, p := range lines.rejected {
-		f.addFault(p)
+	for _, info := range lines.rejected {
+		f.addFault(info)
 	}
 	options := ini.LoadOptions{IgnoreInlineComment: true, IgnoreContinuation: true, KeyValueDelimiters: delimiter}
 	parsed, err := ini.LoadSources(options, readable)
@@ -130,6 +130,6 @@
 	return f.faults
 }
 
-func (f *File) addFault(p lineInfo) {
-	f.faults = append(f.faults, Fault{File: f.name, Line: p.line, Section: p.section, Key: p.key, Reason: p.reason})
+func (f *File) addFault(info lineInfo) {
+	f.faults = append(f.faults, Fault{File: f.name, Line: info.line, Section: info.section, Key: info.key, Reason: info.reason})
 }
--- a/internal/control/inifile/lines.go
+++ b/internal/control/inifile/lines.go
@@ -33,12 +33,12 @@
 	var readable bytes.Buffer
 	for i, line := range strings.Split(strings.TrimPrefix(string(source), byteOrderMark), "\n") {
 		line = strings.TrimSpace(line)
-		p := parseLine(line, section)
-		p.line = i + 1
-		if p.key == "" && p.section != "" {
-			section = p.section
+		info := parseLine(line, section)
+		info.line = i + 1
+		if info.key == "" && info.section != "" {
+			section = info.section
 		}
-		if x.add(p) {
+		if x.add(info) {
 			readable.WriteString(line)
 		}
 		readable.WriteByte('\n')
@@ -57,28 +57,28 @@
 	}
 	name, value, found := strings.Cut(line, delimiter)
 	name, value = strings.TrimSpace(name), strings.TrimSpace(value)
-	p := lineInfo{section: section, key: name}
+	info := lineInfo{section: section, key: name}
 	switch {
 	case !found || name == "":
-		p.reason = "not a [section], a key = value or a comment"
+		info.reason = "not a [section], a key = value or a comment"
 	case !isPlainName(name):
-		p.reason = "a key is made of letters, digits, -, _ and ."
+		info.reason = "a key is made of letters, digits, -, _ and ."
 	case value != "" && strings.ContainsRune("\"'`", rune(value[0])):
-		p.reason = "values are not quoted"
+		info.reason = "values are not quoted"
 	}
-	return p
+	return info
 }
 
 func parseSection(line string) lineInfo {
 	name := strings.TrimSpace(strings.Trim(line, "[]"))
-	p := lineInfo{section: name}
+	info := lineInfo{section: name}
 	switch {
 	case line != "["+name+"]" || name == "" || !isPlainName(strings.ReplaceAll(name, " ", "")):
-		p.reason = "a section is [name] on a line of its own"
+		info.reason = "a section is [name] on a line of its own"
 	case name == ini.DefaultSection:
-		p.reason = "unknown section"
+		info.reason = "unknown section"
 	}
-	return p
+	return info
 }
 
 // isPlainName rejects names that the INI library interprets as quotes, auto-increment keys or nesting.
@@ -94,20 +94,20 @@
 }
 
 // add records a line and reports whether the INI library may read it.
-func (x *lineIndex) add(p lineInfo) bool {
-	if p.reason == "" && (p.section != "" || p.key != "") {
-		id := [2]string{p.section, p.key}
+func (x *lineIndex) add(info lineInfo) bool {
+	if info.reason == "" && (info.section != "" || info.key != "") {
+		id := [2]string{info.section, info.key}
 		if _, exists := x.lineOf[id]; exists {
-			p.reason = "stands twice"
+			info.reason = "stands twice"
 		} else {
-			x.lineOf[id] = p.line
+			x.lineOf[id] = info.line
 		}
 	}
-	if p.reason != "" {
-		x.rejected = append(x.rejected, p)
+	if info.reason != "" {
+		x.rejected = append(x.rejected, info)
 	}
 	// The line of a repeated section is kept, because its keys would otherwise be added to the section before it.
-	return p.reason == "" || p.key == "" && p.reason == "stands twice"
+	return info.reason == "" || info.key == "" && info.reason == "stands twice"
 }
 
 func (x *lineIndex) find(section, key string) int {
