--- a/internal/control/metrics/metrics.go
+++ b/internal/control/metrics/metrics.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	metrics.Publish(func() metrics.Values { return metrics.Values{metrics.Members: 12, ...} })
+//	metrics.Publish(func() metrics.Values { return metrics.Values{metrics.Members: 12, metrics.Documents: 8} })
 //
 // GET /debug/vars then returns them under "comfreyhoist", together with the variables of the Go runtime.
 package metrics
