--- a/internal/control/operator/editor.go
+++ b/internal/control/operator/editor.go
@@ -12,7 +12,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/membership"
 )
 
-// Records stores the records that the node holds and distributes them to other nodes.
+// Records gives access to the records that the node holds. Offer adds records, which are then distributed to other
+// nodes.
 type Records interface {
 	Held(ctx context.Context, key string) (membership.Record, bool)
 	Offer(ctx context.Context, records ...membership.Record)
@@ -160,7 +161,8 @@
 	return next, nil
 }
 
-// resolveWrite reads the document back to find out whether a write took effect that failed or whose response was lost.
+// resolveWrite reads the document back after a write that failed or whose response was lost, to find out whether the
+// write took effect.
 func (e *Editor) resolveWrite(ctx context.Context, before zone.PlatformDocument, edit Edit) (zone.StoredDocument, error) {
 	current, err := e.readPlatform(ctx, edit.Service)
 	if err == nil {
--- a/internal/control/operator/errors.go
+++ b/internal/control/operator/errors.go
@@ -50,11 +50,11 @@
 	Message string `json:"message"`
 	// Faults are the faults of an invalid document.
 	Faults []Fault `json:"faults,omitempty"`
-	// Expected is the tag named by If-Match, and Current is the tag of the current document, in a refusal because of the
-	// current document.
+	// Expected is the tag that If-Match names, and Current is the tag of the current document. They are set if the edit
+	// does not name the current document.
 	Expected string `json:"expected,omitempty"`
 	Current  string `json:"current,omitempty"`
-	// Operation is the id of a write of which it is unknown whether it took effect.
+	// Operation is the id of the edit if it is unknown whether the edit took effect.
 	Operation string `json:"operation,omitempty"`
 }
 
--- a/internal/control/operator/history_test.go
+++ b/internal/control/operator/history_test.go
@@ -21,11 +21,11 @@
 func TestHistoryIsStoredSeparately(t *testing.T) {
 	is := is.New(t)
 	_, url := newStore(t)
-	s := startAPINode(t, url, io.Discard)
+	node := startAPINode(t, url, io.Discard)
 	tag := ""
 	const edits = 70
 	for i := range edits {
-		stored, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", fmt.Sprintf("%ds", i+1)), tag, fmt.Sprintf("edit-%d", i))
+		stored, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", fmt.Sprintf("%ds", i+1)), tag, fmt.Sprintf("edit-%d", i))
 		is.NoErr(err)
 		tag = stored.Tag()
 	}
@@ -34,7 +34,7 @@
 	is.NoErr(err)
 	is.Equal(len(listed.Entries), 1)
 	is.Equal(strings.Count(string(listed.Entries[0].Value), "[service]"), 1) // only the document in force
-	history, err := s.client(bookingsToken).History(t.Context(), "bookings")
+	history, err := node.client(bookingsToken).History(t.Context(), "bookings")
 	is.NoErr(err)
 	is.Equal(len(history), 65) // the document in force and 64 earlier ones
 	for i, edit := range history {
@@ -73,18 +73,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s, url := newStore(t)
-			side := startAPINode(t, url, io.Discard)
+			platformStore, url := newStore(t)
+			node := startAPINode(t, url, io.Discard)
 			value, err := json.Marshal(c.document)
 			is.NoErr(err)
 			client := platform.NewClient(platform.Config{URL: url, Timeout: time.Second})
 			_, err = client.CompareAndSwap(t.Context(), platform.Swap{Key: documentKey, Value: value})
 			is.NoErr(err)
-			s.SetFaults(c.faults)
-			_, err = side.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "3s"), inForce.Tag(), "third")
+			platformStore.SetFaults(c.faults)
+			_, err = node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "3s"), inForce.Tag(), "third")
 			is.Equal(codeOf(err), c.code)
-			s.SetFaults(store.Faults{})
-			edits, err := side.client(bookingsToken).History(t.Context(), "bookings")
+			platformStore.SetFaults(store.Faults{})
+			edits, err := node.client(bookingsToken).History(t.Context(), "bookings")
 			is.Equal(err == nil, len(c.history) > 0)
 			var revisions []uint64
 			for _, edit := range edits {
--- a/internal/control/operator/operator_test.go
+++ b/internal/control/operator/operator_test.go
@@ -40,26 +40,26 @@
 	records *membership.Records
 }
 
-func (h *fakeRecords) Held(_ context.Context, key string) (membership.Record, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.records.Get(key)
+func (r *fakeRecords) Held(_ context.Context, key string) (membership.Record, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.records.Get(key)
 }
 
-func (h *fakeRecords) Offer(_ context.Context, records ...membership.Record) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.records.Merge(records...)
+func (r *fakeRecords) Offer(_ context.Context, records ...membership.Record) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.records.Merge(records...)
 }
 
-// apiNode is the administration API of one node that uses a store.
+// apiNode is the administration API of one node, with the records that the node holds.
 type apiNode struct {
 	address string
 	records *fakeRecords
 }
 
-func (s apiNode) client(token string) *operator.Client {
-	return operator.NewClient(operator.ClientConfig{Address: s.address, Token: token, Timeout: 10 * time.Second})
+func (n apiNode) client(token string) *operator.Client {
+	return operator.NewClient(operator.ClientConfig{Address: n.address, Token: token, Timeout: 10 * time.Second})
 }
 
 func newStore(t *testing.T) (*store.Store, string) {
@@ -107,8 +107,8 @@
 
 func TestRefusals(t *testing.T) {
 	_, url := newStore(t)
-	s := startAPINode(t, url, io.Discard)
-	stored, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "first")
+	node := startAPINode(t, url, io.Discard)
+	stored, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "first")
 	is.New(t).NoErr(err)
 	for name, c := range map[string]struct {
 		token    string
@@ -128,9 +128,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := s.client(c.token).Put(t.Context(), c.service, c.source, c.expected, "")
+			_, err := node.client(c.token).Put(t.Context(), c.service, c.source, c.expected, "")
 			is.Equal(codeOf(err), c.code)
-			now, err := s.client(operatorsToken).Get(t.Context(), "bookings")
+			now, err := node.client(operatorsToken).Get(t.Context(), "bookings")
 			is.NoErr(err)
 			is.Equal(now.Tag(), stored.Tag()) // the document is unchanged
 		})
@@ -162,9 +162,9 @@
 	var won, lost [racers]bool
 	var group conc.WaitGroup
 	for i := range racers {
-		s := startAPINode(t, url, io.Discard)
+		node := startAPINode(t, url, io.Discard)
 		group.Go(func() {
-			_, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), stored.Tag(), "")
+			_, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), stored.Tag(), "")
 			var refusal *operator.Error
 			won[i] = err == nil
 			lost[i] = errors.As(err, &refusal) && refusal.Expected == stored.Tag() && strings.HasPrefix(refusal.Current, "2-")
@@ -187,28 +187,28 @@
 func TestResponseLostAfterWrite(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
-	s := startAPINode(t, url, io.Discard)
+	node := startAPINode(t, url, io.Discard)
 	platformStore.SetFaults(store.Faults{LoseAnswers: true})
-	stored, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
+	stored, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
 	is.NoErr(err) // reading back finds the operation
 	is.Equal(stored.Revision, uint64(1))
 	platformStore.SetFaults(store.Faults{})
-	again, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
+	again, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
 	is.NoErr(err)
 	is.Equal(again.Tag(), stored.Tag()) // took effect once
-	_, err = s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), stored.Tag(), "edit-1")
+	_, err = node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), stored.Tag(), "edit-1")
 	is.Equal(codeOf(err), operator.CodeOperationReused)
 }
 
 func TestLostWriteIsNotReportedAsAccepted(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
-	s := startAPINode(t, url, io.Discard)
+	node := startAPINode(t, url, io.Discard)
 	platformStore.SetFaults(store.Faults{LoseWrites: true})
-	_, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
+	_, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
 	is.Equal(codeOf(err), operator.CodeUnsettled)
 	platformStore.SetFaults(store.Faults{})
-	stored, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
+	stored, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "edit-1")
 	is.NoErr(err)
 	is.Equal(stored.Revision, uint64(1))
 }
@@ -216,11 +216,11 @@
 func TestPlatformDown(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
-	s := startAPINode(t, url, io.Discard)
-	stored, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
+	node := startAPINode(t, url, io.Discard)
+	stored, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
 	is.NoErr(err)
 	platformStore.SetFaults(store.Faults{Down: true})
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPut, "http://"+s.address+"/v1/documents/bookings", strings.NewReader(string(source("bookings-team", "2s"))))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPut, "http://"+node.address+"/v1/documents/bookings", strings.NewReader(string(source("bookings-team", "2s"))))
 	is.NoErr(err)
 	request.Header.Set("Authorization", "Bearer "+bookingsToken)
 	response, err := http.DefaultClient.Do(request)
@@ -228,7 +228,7 @@
 	is.NoErr(response.Body.Close())
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(response.Header.Get("Retry-After"), "2")
-	held, err := s.client(bookingsToken).Get(t.Context(), "bookings")
+	held, err := node.client(bookingsToken).Get(t.Context(), "bookings")
 	is.NoErr(err) // the node returns the document that it holds
 	is.Equal(held.Tag(), stored.Tag())
 }
@@ -236,26 +236,27 @@
 func TestNewerDocumentIsWrittenBackToRestoredPlatform(t *testing.T) {
 	is := is.New(t)
 	platformStore, url := newStore(t)
-	s := startAPINode(t, url, io.Discard)
-	first, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
+	node := startAPINode(t, url, io.Discard)
+	first, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
 	is.NoErr(err)
 	older := platformStore.Snapshot()
-	second, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), first.Tag(), "")
+	second, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "2s"), first.Tag(), "")
 	is.NoErr(err)
 	platformStore.Restore(older)
-	_, err = s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "3s"), first.Tag(), "")
+	_, err = node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "3s"), first.Tag(), "")
 	is.Equal(codeOf(err), operator.CodeRevisionConflict) // an edit of the restored content is refused
-	now, err := s.client(bookingsToken).Get(t.Context(), "bookings")
+	now, err := node.client(bookingsToken).Get(t.Context(), "bookings")
 	is.NoErr(err)
 	is.Equal(now.Tag(), second.Tag())
 
-	// Another node, which has not seen the second edit, accepts an edit of the restored content under the same revision.
+	// Another node, which has not seen the second edit, accepts an edit of the restored content under the same
+	// revision.
 	platformStore.Restore(older)
-	blank := startAPINode(t, url, io.Discard)
-	other, err := blank.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "4s"), first.Tag(), "")
+	otherNode := startAPINode(t, url, io.Discard)
+	other, err := otherNode.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "4s"), first.Tag(), "")
 	is.NoErr(err)
 	is.Equal(other.Revision, second.Revision)
-	settled, err := s.client(bookingsToken).Get(t.Context(), "bookings")
+	settled, err := node.client(bookingsToken).Get(t.Context(), "bookings")
 	is.NoErr(err)
 	is.Equal(settled.Tag(), other.Tag()) // the later of the two edits is in force
 }
@@ -264,8 +265,8 @@
 	is := is.New(t)
 	_, url := newStore(t)
 	var log strings.Builder
-	s := startAPINode(t, url, &log)
-	_, err := s.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
+	node := startAPINode(t, url, &log)
+	_, err := node.client(bookingsToken).Put(t.Context(), "bookings", source("bookings-team", "1s"), "", "")
 	is.NoErr(err)
 	is.True(strings.Contains(log.String(), "document_accepted"))
 	is.True(!strings.Contains(log.String(), bookingsToken))
@@ -275,25 +276,25 @@
 	is := is.New(t)
 	_, url := newStore(t)
 	var log strings.Builder
-	s := startAPINode(t, url, &log)
+	node := startAPINode(t, url, &log)
 	tag := ""
 	want := []string{"bookings-team", "bookings-team/ana", "*/rui"}
 	for i, token := range []string{bookingsToken, anaToken, ruiToken} {
-		stored, err := s.client(token).Put(t.Context(), "bookings", source("bookings-team", fmt.Sprintf("%ds", i+1)), tag, "")
+		stored, err := node.client(token).Put(t.Context(), "bookings", source("bookings-team", fmt.Sprintf("%ds", i+1)), tag, "")
 		is.NoErr(err)
 		is.Equal(stored.Editor, want[i])
 		is.True(strings.Contains(log.String(), `"editor":"`+want[i]+`"`))
 		tag = stored.Tag()
 	}
-	edits, err := s.client(anaToken).History(t.Context(), "bookings")
+	edits, err := node.client(anaToken).History(t.Context(), "bookings")
 	is.NoErr(err)
 	is.Equal(len(edits), len(want))
 	for i, edit := range edits {
 		is.Equal(edit.Editor, want[len(want)-1-i])
 	}
-	_, err = s.client(anaToken).Put(t.Context(), "bookings", source("access-team", "9s"), tag, "")
+	_, err = node.client(anaToken).Put(t.Context(), "bookings", source("access-team", "9s"), tag, "")
 	is.Equal(codeOf(err), operator.CodeForbidden) // an editor has the rights of the team
-	is.Equal(codeOf(s.client(anaToken).Drain(t.Context())), operator.CodeForbidden)
+	is.Equal(codeOf(node.client(anaToken).Drain(t.Context())), operator.CodeForbidden)
 	for _, token := range []string{bookingsToken, anaToken, ruiToken} {
 		is.True(!strings.Contains(log.String(), token))
 	}
--- a/internal/control/operator/server.go
+++ b/internal/control/operator/server.go
@@ -8,9 +8,11 @@
 // # Usage
 //
 //	router := httprouter.New()
-//	operator.Register(router, operator.Config{Editor: operator.NewEditor(...), Tokens: operator.NewTokens(byIdentity), ...})
+//	editor := operator.NewEditor(operator.EditorConfig{Platform: platformClient, Records: records, Log: log})
+//	tokens := operator.NewTokens(map[operator.Identity]string{{Team: "bookings-team"}: token})
+//	operator.Register(router, operator.Config{Board: loop, Editor: editor, Tokens: tokens, Drain: drain, Dump: dump})
 //
-//	client := operator.NewClient(operator.ClientConfig{Address: "10.0.1.21:7003", Token: token})
+//	client := operator.NewClient(operator.ClientConfig{Address: "10.0.1.21:7003", Token: token, Timeout: time.Second})
 //	stored, err := client.Get(ctx, "bookings")
 //
 // Refusals are of type *Error, on the server and on the client.
