--- a/internal/control/platform/platform.go
+++ b/internal/control/platform/platform.go
@@ -3,7 +3,8 @@
 // # Usage
 //
 //	client := platform.NewClient(platform.Config{URL: url, Timeout: time.Second})
-//	entry, err := client.CompareAndSwap(ctx, platform.Swap{Key: key, Value: value, Expected: entry.Revision})
+//	entry, err := client.Get(ctx, key)
+//	entry, err = client.CompareAndSwap(ctx, platform.Swap{Key: key, Value: value, Expected: entry.Revision})
 //
 // ErrCompareFailed means that the write was refused. After any other error it is unknown whether the write took effect.
 package platform
@@ -125,7 +126,7 @@
 	return lease, err
 }
 
-// RenewLease renews a lease for another term. It returns ErrNotFound if the lease has expired.
+// RenewLease extends a lease to its full time to live. It returns ErrNotFound if the lease has expired.
 func (c *Client) RenewLease(ctx context.Context, lease Lease) error {
 	return c.call(ctx, c.config.Timeout, http.MethodPut, "/v1/lease", nil, lease, nil)
 }
