--- a/internal/control/routes/routes.go
+++ b/internal/control/routes/routes.go
@@ -23,7 +23,7 @@
 // Cluster is a service that receives a fraction of a route's requests.
 type Cluster struct {
 	Service string `json:"service"`
-	// Weight divided by the sum of the route's weights is the fraction.
+	// Weight divided by the sum of the weights of the route's clusters is the fraction.
 	Weight int `json:"weight"`
 }
 
@@ -45,8 +45,8 @@
 	Clusters    []Cluster `json:"clusters"`
 }
 
-// Service returns the service for the request with the given number. Over any run of consecutive numbers, the requests
-// are distributed by weight.
+// Service returns the service for the request with the given number. In every sequence of consecutive numbers, the
+// fractions of the services are close to those given by their weights.
 func (r *Route) Service(number uint64) string {
 	if len(r.Clusters) == 1 {
 		return r.Clusters[0].Service
@@ -68,7 +68,8 @@
 // goldenStep is 2^64 divided by the golden ratio. Its multiples, modulo 2^64, are evenly distributed.
 const goldenStep = 0x9E3779B97F4A7C15
 
-// quasiRandom maps a number to a value below total. The values of consecutive numbers are evenly distributed.
+// quasiRandom maps a number to a value below total. The values of consecutive numbers are evenly distributed: they are
+// the multiples of goldenStep, scaled to the range.
 func quasiRandom(number, total uint64) uint64 {
 	const upperHalf = 32
 	return ((number * goldenStep) >> upperHalf) * total >> upperHalf
@@ -107,7 +108,8 @@
 	services map[string]Service
 }
 
-// NewTable validates the configuration and returns its table, or a trace.BadParameter that names the first invalid value.
+// NewTable validates the configuration and returns its table, or a trace.BadParameter that names the first invalid
+// value.
 func NewTable(c Configuration) (*Table, error) {
 	t := &Table{Configuration: c, byHost: map[string][]*Route{}, services: map[string]Service{}}
 	for _, s := range c.Services {
