--- a/internal/control/settings/settings.go
+++ b/internal/control/settings/settings.go
@@ -43,7 +43,7 @@
 	Log      Log
 	Process  Process
 
-	// origins maps flag names to the places of the values that were read from a file.
+	// origins maps flag names to the files and lines of the values that were read from a file.
 	origins map[string]origin
 }
 
@@ -52,10 +52,10 @@
 	Name   string
 	Zone   string
 	Region string
-	// Service is the service of the local backend server. Used only on a node configured by routes.
+	// Service is the service of the local backend server. It is used only on a node configured by routes.
 	Service string
-	// Zones lists all availability zones that own idempotency keys, separated by commas. It must be the same on all
-	// nodes.
+	// Zones lists all availability zones whose nodes remember idempotency keys, separated by commas. It must be the
+	// same on all nodes.
 	Zones string
 }
 
@@ -81,7 +81,8 @@
 	Seeds string
 }
 
-// Backend is the listener for the local backend server's announcements, and the limit of the queueing delay for it.
+// Backend is the listener for the local backend server's announcements, and on a node configured by documents also for
+// health, metrics and the dump. It includes the limit of the queueing delay for the backend server.
 type Backend struct {
 	Address string
 	// MaxWait is the longest queueing delay of a request that waits for a slot.
@@ -95,12 +96,13 @@
 	Tokens string
 }
 
-// Ready is the listener that reports whether the node accepts new requests. Used only on a node configured by routes.
+// Ready is the listener that reports whether the node accepts new requests. It is used only on a node configured by
+// routes.
 type Ready struct {
 	Address string
 }
 
-// Metrics is the listener for metrics and the dump. Used only on a node configured by routes.
+// Metrics is the listener for metrics and the dump. It is used only on a node configured by routes.
 type Metrics struct {
 	Address string
 }
@@ -351,7 +353,8 @@
 	}
 }
 
-// keys checks the limits for keys, also against each other and against the size of callers' requests.
+// keys checks the limits for idempotency keys, including that MaxBytes suffices for MaxKeys and for one body of the
+// maximum size.
 func (c *checker) keys(s *Settings) {
 	if s.Keys.Window < minKeysWindow || s.Keys.Window > maxKeysWindow {
 		c.fault("keys.window", "must be from "+minKeysWindow.String()+", the longest deadline of a document, to "+maxKeysWindow.String())
@@ -402,7 +405,7 @@
 	}
 }
 
-// distinctAddresses adds a fault for each address that another setting has already.
+// distinctAddresses adds a fault for each listener that has the same address as an earlier one.
 func (c *checker) distinctAddresses(s *Settings) {
 	listeners := []struct{ name, address string }{
 		{"caller.address", s.Caller.Address},
