--- a/internal/control/store/follower.go
+++ b/internal/control/store/follower.go
@@ -8,7 +8,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// FollowerConfig configures a Follower.
+// FollowerConfig configures a Follower. All fields but CoalesceDelay are required.
 type FollowerConfig struct {
 	Store  Store
 	Prefix string
@@ -33,14 +33,15 @@
 	maxRetryDelay = 800 * time.Millisecond
 )
 
-// Follower keeps a copy of all keys under a prefix up to date.
+// Follower reports all keys under a prefix and their changes to the functions of its configuration. It keeps no copy of
+// the keys itself.
 type Follower struct {
 	config FollowerConfig
 	// revision is the revision up to which changes are known; it is valid while listed is true.
 	revision uint64
 	listed   bool
-	// unreachable reports whether the store has stopped answering, so that OnLost and OnRecovered are called once per
-	// outage.
+	// unreachable is true from a failed call to the next successful one. OnLost and OnRecovered are called when it
+	// changes, and so once per outage.
 	unreachable bool
 	// backoff is the delay after failed calls.
 	backoff pause.Backoff
--- a/internal/control/store/follower_test.go
+++ b/internal/control/store/follower_test.go
@@ -21,43 +21,43 @@
 	lost  int
 }
 
-func (s *observedValue) set(item store.Item) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.value = string(item.Value)
+func (v *observedValue) set(item store.Item) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.value = string(item.Value)
 }
 
-func (s *observedValue) get() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.value
+func (v *observedValue) get() string {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.value
 }
 
-func follow(ctx context.Context, group *conc.WaitGroup, s store.Store, known *observedValue) {
+func follow(ctx context.Context, group *conc.WaitGroup, s store.Store, observed *observedValue) {
 	f := store.NewFollower(store.FollowerConfig{
 		Store:        s,
 		Prefix:       "op/",
 		WatchTimeout: 30 * time.Second,
 		OnList: func(_ context.Context, snapshot store.Snapshot) {
 			for _, item := range snapshot.Items {
-				known.set(item)
+				observed.set(item)
 			}
 		},
 		OnChange: func(_ context.Context, c store.Changes) {
 			for _, e := range c.Events {
-				known.set(e.Item)
+				observed.set(e.Item)
 			}
 		},
-		OnLost:      func(error) { known.lost++ },
+		OnLost:      func(error) { observed.lost++ },
 		OnRecovered: func() {},
 	})
 	group.Go(func() { f.Run(ctx) })
 }
 
-// Guards against a follower that misses a change while it is disturbed: it must report the change within one second of
-// the end of the disturbance, without any further change in the store.
+// Guards against a follower that misses a change because its calls fail or its watches return no events. It must report
+// the change within one second of the end of the fault, without any further change in the store.
 func TestFollowerCatchesUp(t *testing.T) {
-	for name, disturb := range map[string]func(s *kv.Store){
+	for name, disrupt := range map[string]func(s *kv.Store){
 		"nothing": func(s *kv.Store) { s.ForcePut("op/config", []byte("2")) },
 		"watches return no events, then the history is compacted and the watches are cut": func(s *kv.Store) {
 			s.SetFaults(kv.Faults{StallWatches: true})
@@ -77,18 +77,18 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s, known := kv.New(), &observedValue{}
+				s, observed := kv.New(), &observedValue{}
 				s.ForcePut("op/config", []byte("1"))
 				ctx, cancel := context.WithCancel(t.Context())
 				var group conc.WaitGroup
 				defer group.Wait()
 				defer cancel()
-				follow(ctx, &group, s.ForNode("node_1"), known)
+				follow(ctx, &group, s.ForNode("node_1"), observed)
 				time.Sleep(time.Second)
-				is.Equal(known.get(), "1")
-				disturb(s)
+				is.Equal(observed.get(), "1")
+				disrupt(s)
 				time.Sleep(time.Second)
-				is.Equal(known.get(), "2")
+				is.Equal(observed.get(), "2")
 			})
 		})
 	}
--- a/internal/control/store/store.go
+++ b/internal/control/store/store.go
@@ -1,9 +1,12 @@
 // Package store defines what the control plane needs of the platform's key-value service: conditional writes, leases
-// and watches. Adapters implement Store; Follower follows all keys under a prefix.
+// and watches. Adapters implement Store. A Follower lists and watches all keys under a prefix.
 //
 // # Usage
 //
-//	f := store.NewFollower(store.FollowerConfig{Store: s, Prefix: "members/", OnChange: onChange})
+//	f := store.NewFollower(store.FollowerConfig{
+//		Store: s, Prefix: "members/", WatchTimeout: 30 * time.Second,
+//		OnList: onList, OnChange: onChange, OnLost: onLost, OnRecovered: onRecovered,
+//	})
 //	f.Run(ctx)
 //
 // A write that fails with any error other than ErrConflict, ErrNoLease or ErrBusy may have taken effect, or may still
