--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline is a simple client-side balancer to compare comfreyhoist with. It uses all instances round robin, retries
-// three times at every level of the call chain, and sheds nothing.
+// Package baseline is a simple client-side load balancer to compare comfreyhoist with. It uses all instances round
+// robin, retries three times at every level of the call chain, and sheds nothing.
 //
 // # Usage
 //
@@ -39,6 +39,7 @@
 	}
 }
 
+// idlePerInstance is the number of idle connections kept to each backend server.
 const idlePerInstance = 300
 
 // Serve answers calls at the address until the context ends.
@@ -67,16 +68,16 @@
 		http.Error(w, "unknown service", http.StatusNotFound)
 		return
 	}
-	status, answer := http.StatusBadGateway, []byte(nil)
+	status, content := http.StatusBadGateway, []byte(nil)
 	for range Retries + 1 {
 		address := instances[b.next.Add(1)%uint64(len(instances))]
-		status, answer = b.sendOnce(r, "http://"+address+p.ByName("path"), body)
+		status, content = b.sendOnce(r, "http://"+address+p.ByName("path"), body)
 		if status < http.StatusInternalServerError || r.Context().Err() != nil {
 			break
 		}
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(answer)
+	_, _ = w.Write(content)
 }
 
 func (b *Balancer) sendOnce(r *http.Request, address string, body []byte) (int, []byte) {
@@ -90,9 +91,9 @@
 		return http.StatusBadGateway, nil
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
+	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return http.StatusBadGateway, nil
 	}
-	return response.StatusCode, answer
+	return response.StatusCode, content
 }
