--- a/internal/lab/capacity/capacity.go
+++ b/internal/lab/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity measures the cost of the control plane without any caller traffic. It runs fleets of several sizes with
-// real node processes and measures the processor time, memory and bytes of each node, for leaders and followers
+// Package capacity measures the cost of the control plane without any caller traffic. It runs fleets of several sizes
+// with real node processes and measures the processor time, memory and bytes of each node, for leaders and followers
 // separately, the calls to the platform, and the time until a changed document is in force on all nodes.
 //
 // # Usage
@@ -7,7 +7,7 @@
 //	runs, err := capacity.Measure(ctx, capacity.Config{Binary: path, Sizes: []int{6, 12, 24}, Zones: 3, Window: 10 * time.Second})
 //	err = capacity.WriteTable(os.Stdout, runs)
 //
-// docs/CAPACITY.md uses the slopes that it prints.
+// docs/CAPACITY.md is based on the slopes that WriteTable prints.
 package capacity
 
 import (
@@ -31,7 +31,7 @@
 	Sizes []int
 	// Zones is the number of availability zones.
 	Zones int
-	// Settle is the time from when a fleet is ready to the start of the window.
+	// Settle is the time between the readiness of a fleet and the start of the window.
 	Settle time.Duration
 	// Window is the duration over which costs are counted.
 	Window time.Duration
@@ -81,8 +81,9 @@
 	instancesPerService = 6
 	// startTimeout limits the time until a fleet is ready.
 	startTimeout = 90 * time.Second
-	labSlots     = 35
-	// labConnections is the connection limit that each simulated backend server announces.
+	// labSlots is the number of slots that each simulated backend server announces.
+	labSlots = 35
+	// labConnections is the maximum number of connections that each simulated backend server announces.
 	labConnections = 300
 )
 
--- a/internal/lab/capacity/change.go
+++ b/internal/lab/capacity/change.go
@@ -15,12 +15,13 @@
 	changeTimeout = 30 * time.Second
 	// changePoll is the time between two checks of a node that has not applied a change yet.
 	changePoll = 100 * time.Millisecond
-	// operatorTimeout is the timeout of one call of the operators' API.
+	// operatorTimeout is the timeout of one call of the administration API.
 	operatorTimeout = 5 * time.Second
 )
 
 // changeDocuments changes documents through several nodes in turn and returns, for each change, the time from its
-// acceptance until the last node had it in force. It uses the nodes' clocks, which are the same clock on a single machine.
+// acceptance until the last node had it in force. It uses the nodes' clocks, which are the same clock on a single
+// machine.
 func changeDocuments(ctx context.Context, f *fleet.Fleet, changes int) ([]time.Duration, error) {
 	var durations []time.Duration
 	for i := range changes {
--- a/internal/lab/capacity/sample.go
+++ b/internal/lab/capacity/sample.go
@@ -158,8 +158,8 @@
 	r.MachineBusy = (after.machine.busy - before.machine.busy) / (after.machine.total - before.machine.total)
 }
 
-// bytesBetween returns the number of bytes sent from one endpoint to another between the snapshots. An empty name stands
-// for all nodes.
+// bytesBetween returns the number of bytes sent from one endpoint to another between the snapshots. An empty name
+// stands for all nodes.
 func bytesBetween(before, after snapshot, from, to string) float64 {
 	var bytes int64
 	for source, targets := range after.traffic {
