--- a/internal/lab/fleet/address.go
+++ b/internal/lab/fleet/address.go
@@ -15,8 +15,8 @@
 // fleetCount is the number of fleets that this process has created.
 var fleetCount atomic.Uint64
 
-// subnet selects a range of loopback addresses for one fleet. Fleets of other processes most likely get other ranges, so a
-// node that restarts finds its ports free.
+// subnet selects a range of loopback addresses for one fleet. Fleets of other processes most likely get other ranges,
+// so a node that restarts finds its ports free.
 type subnet uint16
 
 func newSubnet() subnet {
@@ -46,8 +46,8 @@
 	lastPort  = 32000
 )
 
-// freeAddresses returns addresses on the IP whose ports were free a moment ago. It blocks the start of processes meanwhile:
-// a new process holds copies of the sockets until its program begins, which would keep the ports in use.
+// freeAddresses returns addresses on the IP whose ports are free during the call. It blocks the start of processes
+// meanwhile: a new process holds copies of the sockets until its program begins, which would keep the ports in use.
 func freeAddresses(ip string, count int) ([]string, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
--- a/internal/lab/fleet/address_test.go
+++ b/internal/lab/fleet/address_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Guards against ports that look free but are in use when other tests start processes at the same time: a process that is
-// being started briefly holds copies of all sockets.
+// Guards against ports that look free but are in use when other tests start processes at the same time: a process that
+// is being started briefly holds copies of all sockets.
 func TestPortsAreFreeWhileProcessesStart(t *testing.T) {
 	is := is.New(t)
 	const ip = "127.251.251.2"
@@ -61,6 +61,6 @@
 	}
 }
 
-// processStartTime is long enough for processes that were being started when the test closed its listener to begin their
-// program and release their copies of the socket.
+// processStartTime is long enough for processes that were being started when the test closed its listener to begin
+// their program and release their copies of the socket.
 const processStartTime = 10 * time.Millisecond
--- a/internal/lab/fleet/deployment.go
+++ b/internal/lab/fleet/deployment.go
@@ -27,7 +27,7 @@
 	Document  string
 	Instances int
 	// FirstZone is the index in Deployment.Zones of the first instance's availability zone. Further instances use the
-	// following zones in turn.
+	// following availability zones, one after the other, and then the first ones again.
 	FirstZone int
 	Slots     int
 	// AnnouncedSlots is the number of slots that the backend servers announce; 0 for Slots.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts a small complete deployment on loopback: real node processes, simulated backend servers and a
-// simulated platform.
+// Package fleet starts a complete small deployment on loopback addresses: real node processes, simulated backend
+// servers and a simulated platform.
 //
 // # Usage
 //
@@ -113,7 +113,8 @@
 // readyPoll is the time between two checks of a node that is not ready.
 const readyPoll = 50 * time.Millisecond
 
-// WaitReady waits until every node knows all others. It returns an error immediately if a backend server failed.
+// WaitReady waits until every node knows all others and responds to callers. It returns an error immediately if a
+// backend server failed.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, n := range f.Nodes {
 		for !f.isReady(ctx, n) {
@@ -142,7 +143,7 @@
 }
 
 // answersCallers reports whether the node has answered a caller. A node makes callers wait until it has learned of the
-// services. The answer is that the path is unknown, which is enough here.
+// services. The status of the response does not matter; the requested path is unknown.
 func answersCallers(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/", http.NoBody)
 	if err != nil {
