--- a/internal/lab/kv/kv.go
+++ b/internal/lab/kv/kv.go
@@ -1,7 +1,7 @@
-// Package kv simulates the platform's store for tests that control it step by step. It implements store.Store in memory,
-// with the faults that the platform's documentation allows: leases that expire or pause during an outage, watches that
-// report no changes or are interrupted, dropped history, writes whose response is lost or that are carried out late, and
-// calls refused for single nodes.
+// Package kv simulates the platform's store for tests that control it step by step. It implements store.Store in
+// memory, with the faults that the platform's documentation allows: leases that expire or pause during an outage,
+// watches that report no changes or are interrupted, dropped history, writes whose response is lost or that are carried
+// out late, and calls refused for single nodes.
 //
 // # Usage
 //
@@ -33,7 +33,8 @@
 	StallWatches bool
 	// LoseAnswers carries writes out and reports them as failed.
 	LoseAnswers bool
-	// LateWrites fails writes and carries them out when CompleteLateWrites is called, if their condition still holds then.
+	// LateWrites fails writes and carries them out when CompleteLateWrites is called, if their condition still holds
+	// then.
 	LateWrites bool
 }
 
@@ -58,19 +59,19 @@
 	leases     map[uint64]*lease
 	lateWrites []store.Write
 	// changed is closed by each change, and cut by each call of Compact.
-	changed chan struct{}
-	cut     chan struct{}
-	calls   int
+	changed     chan struct{}
+	interrupted chan struct{}
+	calls       int
 }
 
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		revision: 1,
-		items:    map[string]store.Item{},
-		leases:   map[uint64]*lease{},
-		changed:  make(chan struct{}),
-		cut:      make(chan struct{}),
+		revision:    1,
+		items:       map[string]store.Item{},
+		leases:      map[uint64]*lease{},
+		changed:     make(chan struct{}),
+		interrupted: make(chan struct{}),
 	}
 }
 
@@ -97,8 +98,8 @@
 	defer s.mu.Unlock()
 	s.compacted = s.revision
 	s.history = nil
-	close(s.cut)
-	s.cut = make(chan struct{})
+	close(s.interrupted)
+	s.interrupted = make(chan struct{})
 }
 
 // CompleteLateWrites carries out the writes that the LateWrites fault delayed.
@@ -202,7 +203,8 @@
 	node  string
 }
 
-// beginCall locks the store and counts a call. If a fault makes the call fail, it unlocks the store and returns the error.
+// beginCall locks the store and counts a call. If a fault makes the call fail, it unlocks the store and returns the
+// error.
 func (c *client) beginCall() error {
 	c.store.mu.Lock()
 	c.store.calls++
@@ -256,12 +258,12 @@
 		if err != nil || len(changes.Events) > 0 {
 			return changes, err
 		}
-		changed, cut := c.store.changed, c.store.cut
+		changed, interrupted := c.store.changed, c.store.interrupted
 		c.store.mu.Unlock()
 		var endErr error
 		select {
 		case <-changed:
-		case <-cut:
+		case <-interrupted:
 			endErr = errUnavailable
 		case <-ctx.Done():
 			endErr = ctx.Err()
