--- a/internal/lab/load/budget.go
+++ b/internal/lab/load/budget.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// connectionFileRatio is the fraction of the process's open-file limit that the callers' connections may use. The other
-	// ends of connections that are in the same process, such as those of the backend servers, need the rest.
+	// connectionFileRatio is the fraction of the process's open-file limit that the callers' connections may use. The
+	// other ends of connections that are in the same process, such as those of the backend servers, need the rest.
 	connectionFileRatio = 0.4
 	// minConnections is the smallest number of connections that neededConnections returns. It is also the limit of all
 	// streams together if the open-file limit is unknown.
 	minConnections = 64
-	// timeoutsPerRequest is how many timeouts a request may take with its resends. It includes a reserve.
+	// timeoutsPerRequest is the longest time for which a request and its resends need a connection, as a multiple of
+	// the stream's timeout. No resend begins after the first timeout, so that 2 is the maximum; the rest is a reserve.
 	timeoutsPerRequest = 3
 )
 
@@ -55,8 +56,8 @@
 // connectionLimiter limits the number of connections of one stream.
 type connectionLimiter chan struct{}
 
-// tryAcquire takes a connection if one is free and reports whether it did. It does not wait, because waiting would use up
-// the request's timeout, and the request would be sent only to be canceled right away.
+// tryAcquire takes a connection if one is free and reports whether it did. It does not wait, because waiting would use
+// up the request's timeout, and the request would be sent only to be canceled right away.
 func (c connectionLimiter) tryAcquire() bool {
 	select {
 	case c <- struct{}{}:
--- a/internal/lab/load/budget_test.go
+++ b/internal/lab/load/budget_test.go
@@ -19,10 +19,10 @@
 		streams     []Stream
 		want        []int
 	}{
-		"enough for all":             {40000, []Stream{flood, small}, []int{30000, 450}},
-		"a flood takes what is left": {8000, []Stream{small, flood, small}, []int{450, 7100, 450}},
-		"equal shares of too few":    {100, []Stream{small, flood}, []int{50, 50}},
-		"at least one each":          {1, []Stream{small, flood}, []int{1, 1}},
+		"enough for all":                          {40000, []Stream{flood, small}, []int{30000, 450}},
+		"a flood gets the remaining connections":  {8000, []Stream{small, flood, small}, []int{450, 7100, 450}},
+		"too few connections are divided equally": {100, []Stream{small, flood}, []int{50, 50}},
+		"at least one connection each":            {1, []Stream{small, flood}, []int{1, 1}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// A flood beyond what the target can answer must stay within its connection limit, and the other requests must be
-// reported as unsent.
+// A flood that exceeds the capacity of the target must stay within its connection limit, and the requests beyond the
+// limit must be reported as unsent.
 func TestFloodStaysWithinItsConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	const limit = 10
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -118,11 +118,13 @@
 }
 
 const (
+	// idlePerTarget is the number of idle connections kept to each target.
 	idlePerTarget = 256
 	// completionTimeout is how long requests may take after the end of the streams.
 	completionTimeout = 10 * time.Second
 )
 
+// generator sends the streams of one run and collects the results.
 type generator struct {
 	config Config
 	start  time.Time
