--- a/internal/lab/once/caller.go
+++ b/internal/lab/once/caller.go
@@ -4,7 +4,9 @@
 // # Usage
 //
 //	report := once.Run(ctx, once.Config{Fleet: f, Service: "bookings", Duration: time.Minute, Seed: 7})
-//	for _, v := range report.Violations { ... }
+//	for _, v := range report.Violations {
+//		fmt.Println(v)
+//	}
 package once
 
 import (
@@ -81,7 +83,7 @@
 	Sends []Send
 }
 
-// Ran reports whether the caller was told that the booking ran.
+// Ran reports whether the caller received the outcome that the booking ran.
 func (b Booking) Ran() bool {
 	for _, s := range b.Sends {
 		if s.Outcome == "ran" {
@@ -107,8 +109,8 @@
 	service    string
 	targets    []string
 	singleSend bool
-	// keepAliveClient reuses connections. Like other HTTP clients, it resends a request with a key on its own if a reused
-	// connection ends before any response. singleUseClient makes a new connection for each request.
+	// keepAliveClient reuses connections. Like other HTTP clients, it resends a request with a key on its own if a
+	// reused connection ends before any response. singleUseClient makes a new connection for each request.
 	keepAliveClient *http.Client
 	singleUseClient *http.Client
 
@@ -159,7 +161,8 @@
 	}
 }
 
-// book sends the booking in rounds until the caller is told that it ran, and in one of four cases for another round after that.
+// book sends the booking in rounds until a response says that it ran. With a probability of 1/4 it then sends one more
+// round.
 func (c *callers) book(ctx context.Context, b *Booking, random *rand.Rand) {
 	key := firstKey(b)
 	sendAgain := random.IntN(4) == 0
@@ -219,11 +222,11 @@
 	if b.Kind == None || key != "" {
 		client = c.keepAliveClient
 	}
-	o := Request{Target: target, Service: c.service, Method: http.MethodPost, Path: "/bookings", Key: key, Body: b.ID}
+	request := Request{Target: target, Service: c.service, Method: http.MethodPost, Path: "/bookings", Key: key, Body: b.ID}
 	if b.Kind == None {
-		o.Method, o.Path = http.MethodGet, "/windows"
+		request.Method, request.Path = http.MethodGet, "/windows"
 	}
-	return SendRequest(client, o)
+	return SendRequest(client, request)
 }
 
 // Request is one request to send.
@@ -239,19 +242,19 @@
 }
 
 // SendRequest sends a request and returns the outcome as seen by its caller.
-func SendRequest(client *http.Client, o Request) (s Send) {
-	s = Send{Begin: time.Now(), Key: o.Key, Target: o.Target}
+func SendRequest(client *http.Client, r Request) (s Send) {
+	s = Send{Begin: time.Now(), Key: r.Key, Target: r.Target}
 	defer func() { s.End = time.Now() }()
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	address := "http://" + o.Target + "/call/" + o.Service + o.Path
-	request, err := http.NewRequestWithContext(ctx, o.Method, address, strings.NewReader(o.Body))
+	address := "http://" + r.Target + "/call/" + r.Service + r.Path
+	request, err := http.NewRequestWithContext(ctx, r.Method, address, strings.NewReader(r.Body))
 	if err != nil {
 		s.Error = err.Error()
 		return s
 	}
-	if o.Key != "" {
-		request.Header.Set(backend.KeyHeader, o.Key)
+	if r.Key != "" {
+		request.Header.Set(backend.KeyHeader, r.Key)
 	}
 	response, err := client.Do(request)
 	if err != nil {
--- a/internal/lab/once/check.go
+++ b/internal/lab/once/check.go
@@ -18,7 +18,8 @@
 	Reasons  map[string]int `json:"reasons"`
 	// Kinds has the counts of each kind of key.
 	Kinds map[KeyKind]KindCount `json:"kinds"`
-	// FirstSends has, for a run with an outage, the counts of first sends by kind of key and zone of the node.
+	// FirstSends has, for a run with an outage, the counts of the first sends, by the kind of key and the availability
+	// zone of the node.
 	FirstSends map[string]FirstSendCounts `json:"shares,omitempty"`
 	// Violations are the broken guarantees. None are expected.
 	Violations []string `json:"violations"`
@@ -29,9 +30,9 @@
 // KindCount counts the bookings with one kind of key.
 type KindCount struct {
 	Bookings int `json:"bookings"`
-	// Ran counts the bookings whose callers were told that they ran.
+	// Ran counts the bookings for which Booking.Ran reports true.
 	Ran int `json:"ran"`
-	// FirstRan counts the bookings whose callers were told so by the first send.
+	// FirstRan counts the bookings whose first send had the outcome that the booking ran.
 	FirstRan int `json:"first_ran"`
 	// FirstMedian and FirstP99 are the median and the 99th percentile of the latency of those first sends.
 	FirstMedian time.Duration `json:"first_median"`
@@ -148,8 +149,8 @@
 	}
 }
 
-// isExplained reports whether a later send of the same key was in progress at startedAt. In that case the run belongs to
-// the later send and does not contradict the not_run outcome of the earlier send.
+// isExplained reports whether a later send of the same key was in progress at startedAt. In that case the run belongs
+// to the later send and does not contradict the not_run outcome of the earlier send.
 func isExplained(b Booking, earlier Send, startedAt time.Time) bool {
 	for _, s := range b.Sends {
 		if s.Key == earlier.Key && s.Begin.After(earlier.Begin) && s.Begin.Before(startedAt) && s.End.After(startedAt) {
--- a/internal/lab/once/faults.go
+++ b/internal/lab/once/faults.go
@@ -38,7 +38,8 @@
 	// minPause and maxPause limit the time between two faults. Faults usually last longer, so that they overlap.
 	minPause = 300 * time.Millisecond
 	maxPause = 1500 * time.Millisecond
-	// minFaultDuration and maxFaultDuration limit the duration of a fault. The maximum is well above the term of an epoch.
+	// minFaultDuration and maxFaultDuration limit the duration of a fault. The maximum is well above the term of an
+	// epoch.
 	minFaultDuration = 500 * time.Millisecond
 	maxFaultDuration = 7 * time.Second
 )
@@ -57,7 +58,8 @@
 	return low + time.Duration(f.random.Int64N(int64(high-low)))
 }
 
-// startFault starts one fault. It makes all random choices itself, in the goroutine of run, so that the seed determines them.
+// startFault starts one fault. It makes all random choices itself, in the goroutine of run, so that the seed determines
+// them.
 func (f *faults) startFault(ctx context.Context) {
 	duration := f.between(minFaultDuration, maxFaultDuration)
 	nodes := f.fleet.Nodes
@@ -86,7 +88,8 @@
 	_, _ = fmt.Fprintf(f.output, "%7.3f %s\n", time.Since(f.start).Seconds(), fmt.Sprintf(format, values...))
 }
 
-// withAvailableNode runs a fault on a process that no other fault affects meanwhile. Half of the processes stay unaffected.
+// withAvailableNode runs a fault on a process that no other fault affects meanwhile. Half of the processes stay
+// unaffected.
 func (f *faults) withAvailableNode(fault func(*fleet.Node)) {
 	if len(f.available) <= len(f.fleet.Nodes)/2 {
 		return
@@ -133,7 +136,7 @@
 	f.cutBetween(ctx, inside, outside, duration)
 }
 
-// splitZone returns the names of the nodes in the zone, and of all other endpoints.
+// splitZone returns the names of the nodes in the availability zone, and of all other endpoints.
 func splitZone(f *fleet.Fleet, zone string) (inside, outside []string) {
 	outside = []string{fleet.PlatformEndpoint}
 	for _, n := range f.Nodes {
--- a/internal/lab/once/outage.go
+++ b/internal/lab/once/outage.go
@@ -41,7 +41,7 @@
 type FirstSendCounts struct {
 	Sent int `json:"sent"`
 	Ran  int `json:"ran"`
-	// Refused counts the sends that were told not_admitted or not_run.
+	// Refused counts the sends with the outcome not_admitted or not_run.
 	Refused int `json:"refused"`
 	// SlowestRefusal is the largest latency of the refused sends.
 	SlowestRefusal time.Duration `json:"slowest_refusal"`
