--- a/internal/lab/proxy/connection.go
+++ b/internal/lab/proxy/connection.go
@@ -105,7 +105,8 @@
 	return err == nil
 }
 
-// awaitUncut waits while the link is cut, and until the connection closes if it is silenced. It reports whether bytes may pass.
+// awaitUncut waits while the link is cut, and until the connection closes if it is silenced. It reports whether bytes
+// may pass.
 func (c *proxiedConn) awaitUncut(ctx context.Context, l link) bool {
 	for {
 		f, changed := c.network.fault(l)
--- a/internal/lab/proxy/network.go
+++ b/internal/lab/proxy/network.go
@@ -1,5 +1,5 @@
-// Package proxy is a fault-injecting TCP proxy. A Network connects named endpoints. Each endpoint listens behind its own
-// proxy and dials from its own IP, so that faults can be set for each pair of endpoints and each direction.
+// Package proxy is a fault-injecting TCP proxy. A Network connects named endpoints. Each endpoint listens behind its
+// own proxy and dials from its own IP, so that faults can be set for each pair of endpoints and each direction.
 //
 // # Usage
 //
@@ -52,6 +52,7 @@
 	return Fault{Cut: f.Cut, Delay: f.Delay, Jitter: f.Jitter}
 }
 
+// link is one direction between two endpoints.
 type link struct {
 	from string
 	to   string
@@ -128,8 +129,8 @@
 	n.notifyChange()
 }
 
-// SilenceOpen silences the open connections from one endpoint to another permanently and
-// returns their number. New connections work.
+// SilenceOpen silences the open connections from one endpoint to another permanently and returns their number. New
+// connections work.
 func (n *Network) SilenceOpen(from, to string) int {
 	return n.forEachConnection(from, to, func(c *proxiedConn) { c.silence() })
 }
@@ -190,7 +191,7 @@
 	t.Chunks++
 }
 
-// Wait waits until all proxies have ended. They end after their contexts.
+// Wait waits until all proxies have ended. A proxy ends after the context of its Listen call.
 func (n *Network) Wait() {
 	n.group.Wait()
 }
@@ -237,8 +238,8 @@
 	return n.faults[l], n.changed
 }
 
-// faultForChunk returns the fault to apply to a chunk of the given size, and counts the chunk as
-// damaged unless it is exempt.
+// faultForChunk returns the fault to apply to a chunk of the given size, and counts the chunk as damaged unless it is
+// exempt.
 func (n *Network) faultForChunk(l link, bytes int) Fault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
