--- a/internal/lab/scenario/ideal.go
+++ b/internal/lab/scenario/ideal.go
@@ -9,9 +9,9 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/load"
 )
 
-// Ideal returns the highest rate in requests per second at which each stream can be served. Streams use the slots of every
-// service on their call chains, most urgent first, until the slots are used up. Streams of the same rank share the slots
-// in proportion to their rates.
+// Ideal returns the highest rate in requests per second at which each stream can be served. Streams use the slots of
+// every service on their call chains, most urgent first, until the slots are used up. Streams of the same rank share
+// the slots in proportion to their rates.
 func Ideal(d fleet.Deployment, streams []load.Stream) map[string]float64 {
 	left := capacities(d)
 	ordered := slices.Clone(streams)
--- a/internal/lab/scenario/measure.go
+++ b/internal/lab/scenario/measure.go
@@ -22,8 +22,8 @@
 	GoodputAfter  float64 `json:"goodput_after"`
 	// IdealDuring is the goodput that the fleet's slots allow during the trigger.
 	IdealDuring float64 `json:"ideal_during"`
-	// Recovery is the time from the end of the last trigger until goodput has recovered; -1 if it does not recover
-	// during the run.
+	// Recovery is the time from the end of the last trigger until the ratio of successful responses has recovered; -1
+	// if it does not recover during the run.
 	Recovery time.Duration `json:"recovery"`
 	// Unsent counts the requests that were not sent because no connection was left. They count as failed.
 	Unsent int `json:"unsent"`
@@ -40,7 +40,8 @@
 type StreamResult struct {
 	Name string `json:"name"`
 	Rank int    `json:"rank"`
-	// GoodBefore, GoodDuring and GoodAfter are the fractions of requests answered successfully in each phase, from 0 to 1.
+	// GoodBefore, GoodDuring and GoodAfter are the fractions of requests answered successfully in each phase, from 0 to
+	// 1.
 	GoodBefore float64 `json:"good_before"`
 	GoodDuring float64 `json:"good_during"`
 	GoodAfter  float64 `json:"good_after"`
@@ -114,7 +115,7 @@
 	}
 }
 
-// slowedDeployment returns the deployment with the service times that hold during the first trigger.
+// slowedDeployment returns the deployment with the service times that apply during the first trigger.
 func slowedDeployment(config Config) fleet.Deployment {
 	d := config.Deployment.Fleet
 	services := slices.Clone(d.Services)
@@ -191,9 +192,9 @@
 	return found
 }
 
-// recovery returns the time from the end of the trigger to the first of requiredWindows consecutive windows in which the
-// ratio of successful responses has recovered, or -1 if there are none. It compares ratios instead of rates, because
-// random arrivals make the rate of single windows fluctuate.
+// recovery returns the time from the end of the trigger to the first of requiredWindows consecutive windows in which
+// the ratio of successful responses has recovered, or -1 if there are none. It compares ratios instead of rates,
+// because random arrivals make the rate of single windows fluctuate.
 func recovery(results []load.Result, end, duration time.Duration) time.Duration {
 	threshold := recoveredRatio * goodRatio(results, span{settleTime, DurationBefore - preTriggerMargin})
 	recoveredWindows := 0
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,6 @@
 // Package scenario runs overload experiments: a deployment under its ordinary load, a trigger that overloads it, and
-// the time after the trigger. They run with the current program, an earlier build of it, or the baseline balancer.
+// the time after the trigger. The system under test is the current build of comfreyhoist, an earlier build, or the
+// baseline balancer.
 //
 // # Usage
 //
@@ -120,13 +121,13 @@
 // streams returns the ordinary load and the load that each trigger adds.
 func (s Scenario) streams(d Deployment) []load.Stream {
 	var streams []load.Stream
-	for _, o := range d.Streams {
-		o.Resends = s.Resends
-		streams = append(streams, o)
+	for _, ordinary := range d.Streams {
+		ordinary.Resends = s.Resends
+		streams = append(streams, ordinary)
 		for i, t := range s.Triggers {
-			if ratio := t.addedRatio(d, o); ratio > 0 {
-				added := o
-				added.Rate = o.Rate * ratio
+			if ratio := t.addedRatio(d, ordinary); ratio > 0 {
+				added := ordinary
+				added.Rate = ordinary.Rate * ratio
 				added.Start, added.Stop = s.spans()[i].start, s.spans()[i].end
 				added.Added = true
 				streams = append(streams, added)
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -16,15 +16,15 @@
 		rates map[string]float64
 		want  map[string]float64
 	}{
-		"all fits": {
+		"the slots suffice for all streams": {
 			rates: map[string]float64{"sheets": 250, "bookings": 100, "deposits": 50, "archive": 150},
 			want:  map[string]float64{"sheets": 250, "bookings": 100, "deposits": 50, "archive": 150},
 		},
-		"a flood of archive gets what is left of access": {
+		"a flood of archive requests gets the remaining slots of access": {
 			rates: map[string]float64{"sheets": 250, "bookings": 100, "deposits": 50, "archive": 4000},
 			want:  map[string]float64{"sheets": 250, "bookings": 100, "deposits": 50, "archive": 600},
 		},
-		"a flood of sheets leaves nothing": {
+		"a flood of sheets leaves no slots for the other streams": {
 			rates: map[string]float64{"sheets": 2500, "bookings": 100, "deposits": 50, "archive": 150},
 			want:  map[string]float64{"sheets": 1000, "bookings": 0, "deposits": 0, "archive": 0},
 		},
