--- a/internal/lab/server/endpoints.go
+++ b/internal/lab/server/endpoints.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// countQuery counts a query of the health or load endpoint and returns the last observed status and the endpoint faults.
+// countQuery counts a query of the health or load endpoint and returns the last observed status and the endpoint
+// faults.
 func (s *Server) countQuery() (status, EndpointFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/server/handle.go
+++ b/internal/lab/server/handle.go
@@ -101,6 +101,8 @@
 	_, _ = fmt.Fprintf(w, "%s ran %s %s\n", s.config.Service, r.Method, r.URL.Path)
 }
 
+// acquireSlot waits for a slot, in the queue if none is free. It reports false if the queue is full or the context
+// ends.
 func (s *Server) acquireSlot(ctx context.Context, b Behaviour) bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -119,6 +121,7 @@
 	}
 }
 
+// adjustQueue changes the number of waiting requests. If the queue is full, it counts a shed request and reports false.
 func (s *Server) adjustQueue(change, limit int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +183,8 @@
 // announceInterval is the time between announcements.
 const announceInterval = 500 * time.Millisecond
 
-// announce announces the server to the local node periodically, five times as often while announcements fail.
+// announce announces the server to the local node every announceInterval, and five times as often while announcements
+// fail. A hung server does not announce itself.
 func (s *Server) announce(ctx context.Context) {
 	for ctx.Err() == nil {
 		interval := announceInterval
--- a/internal/lab/server/server.go
+++ b/internal/lab/server/server.go
@@ -1,9 +1,10 @@
 // Package server simulates a backend server: slots, service time, calls to other services through the local node,
-// faults, health and load endpoints that may report stale or false values, and a ledger that counts the runs of each request.
+// faults, health and load endpoints that may report stale or false values, and a ledger that counts the runs of each
+// request.
 //
 // # Usage
 //
-//	s := server.New(server.Config{Service: "access", Address: "127.0.0.1:9001", ...})
+//	s := server.New(server.Config{Service: "access", Address: "127.0.0.1:9001", NodeBackend: "127.0.0.1:7003", Slots: 35})
 //	err := s.Run(ctx)
 //
 // Experiments change its behaviour with PUT /lab/behaviour and read its ledger with GET /lab/ledger.
@@ -63,7 +64,7 @@
 	Echo bool `json:"echo"`
 	// Hung makes the server accept connections without answering requests or announcing itself.
 	Hung bool `json:"hung"`
-	// Leaving is the value of that name in the announcements.
+	// Leaving makes the server announce that it leaves.
 	Leaving bool `json:"leaving"`
 	// Endpoints holds the faults of the health and load endpoints.
 	Endpoints EndpointFaults `json:"endpoints"`
@@ -177,8 +178,8 @@
 }
 
 const (
-	// listenTimeout is how long the server retries to listen on its port. After a crash, a process that is being started
-	// at that moment may still hold a copy of the old socket.
+	// listenTimeout is how long the server retries to listen on its port. After a crash, a process that is being
+	// started at that moment may still hold a copy of the old socket.
 	listenTimeout = time.Second
 	// listenRetryInterval is the time between two attempts to listen.
 	listenRetryInterval = 5 * time.Millisecond
