--- a/internal/lab/store/http.go
+++ b/internal/lab/store/http.go
@@ -25,6 +25,7 @@
 	return router
 }
 
+// operation handles one call and returns the response.
 type operation func(r *http.Request) (status int, body any)
 
 func (s *Store) read(f operation) httprouter.Handle {
--- a/internal/lab/store/store.go
+++ b/internal/lab/store/store.go
@@ -1,5 +1,6 @@
 // Package store simulates the platform's key-value service: compare-and-swap, leases and watches, and the faults of the
-// service: outages, slow responses, stale reads, restored older content, and responses lost after the write took effect.
+// service: outages, slow responses, stale reads, restored older content, and responses lost after the write took
+// effect.
 //
 // # Usage
 //
@@ -63,6 +64,7 @@
 	revision uint64
 }
 
+// storedEntry is an entry with the ID of its lease, or "" if it has none.
 type storedEntry struct {
 	entry platform.Entry
 	lease string
@@ -179,7 +181,8 @@
 	return entry, true
 }
 
-// changesAfter returns the changes under the prefix after the revision, and a channel that is closed by the next change.
+// changesAfter returns the changes under the prefix after the revision, and a channel that is closed by the next
+// change.
 func (s *Store) changesAfter(prefix string, after uint64) (platform.Changes, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
