--- a/internal/process/local/local.go
+++ b/internal/process/local/local.go
@@ -43,8 +43,8 @@
 	return &Server{config: config}
 }
 
-// HandleAnnouncement applies an announcement of the backend server, unless a later one is known. It returns when the board
-// shows it.
+// HandleAnnouncement applies an announcement of the backend server, unless a later one is known. It returns when the
+// board shows it.
 func (s *Server) HandleAnnouncement(ctx context.Context, a backend.Announcement) {
 	if s.isStale(a) {
 		s.config.Log.Emit(events.AnnouncementStale, events.Fields{
