--- a/internal/process/node/completeview_test.go
+++ b/internal/process/node/completeview_test.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/outcome"
 )
 
-// A node that has just started and knows only some of its peers must not serve callers yet.
+// A node that has just started and knows only some of the services and key owners must not serve callers yet.
 func TestHasCompleteView(t *testing.T) {
 	owner := outcome.Node{Name: "access_0", Incarnation: 3}
 	member := membership.Member{Node: owner.Name, Incarnation: owner.Incarnation}
--- a/internal/process/node/drain.go
+++ b/internal/process/node/drain.go
@@ -23,8 +23,8 @@
 }
 
 // countRequests counts the requests of callers and asks callers to close their connections while the node drains.
-// Until its listener closes, the node remains an entry node and forwards requests: a refusal would only cost the caller a
-// second attempt.
+// Until its listener closes, the node remains an entry node and forwards requests to other nodes: a refusal would only
+// cost the caller a second attempt.
 func (s *trafficState) countRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		s.inFlight.Add(1)
@@ -37,8 +37,8 @@
 }
 
 const (
-	// leavePollInterval is the interval between checks whether the node has to drain. It is also the delay before the keys
-	// are offered to another successor.
+	// leavePollInterval is the interval between checks whether the node has to drain. It is also the delay before the
+	// keys are offered to another successor.
 	leavePollInterval = 50 * time.Millisecond
 	// quietPeriod is how long no request may be in flight before the listeners close.
 	quietPeriod = 250 * time.Millisecond
@@ -46,8 +46,8 @@
 	shutdownTimeout = 5 * time.Second
 )
 
-// waitForLeave returns when the context ends (the process is asked to stop, or an operator drains the node), when the node
-// is marked as draining, or when the backend server announces that it leaves.
+// waitForLeave returns when the context ends (the process is asked to stop, or an operator drains the node), when the
+// node is marked as draining, or when the backend server announces that it leaves.
 func (n *Node) waitForLeave(ctx context.Context) {
 	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
@@ -64,7 +64,8 @@
 }
 
 // drain announces that the node leaves, hands its keys over, and waits until nothing is in flight. During
-// drainPropagationDelay the node remains an entry node and a key owner and forwards the requests it gets.
+// drainPropagationDelay, while its peers still learn that it leaves, the node remains an entry node and a key owner and
+// forwards the requests that it gets.
 func (n *Node) drain(ctx context.Context) {
 	n.config.Log.Emit(events.DrainStarted, nil)
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
@@ -142,8 +143,8 @@
 }
 
 // shutdown closes the listener, serves the open connections until the serving context ends, and then waits for the last
-// responses to be written. http.Server.Shutdown drops a request that it has just read, so it is called last, when nothing
-// is in flight.
+// responses to be written. http.Server.Shutdown drops a request that it has just read, so it is called last, when
+// nothing is in flight.
 func shutdown(serving context.Context, server *http.Server, l net.Listener) {
 	_ = l.Close()
 	<-serving.Done()
--- a/internal/process/node/drain_test.go
+++ b/internal/process/node/drain_test.go
@@ -16,7 +16,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/pause"
 )
 
-// singleConnListener accepts the connections in conns until it is closed.
+// singleConnListener accepts the connections in conns until it is closed. The test puts one connection into conns.
 type singleConnListener struct {
 	net.Listener
 	conns chan net.Conn
@@ -41,19 +41,19 @@
 func TestShutdownWaitsWhileTheNodeDrains(t *testing.T) {
 	const drainTime = 30 * time.Second
 	for name, tc := range map[string]struct {
-		sent     time.Duration
-		takes    time.Duration
-		answered bool
+		sendDelay time.Duration
+		duration  time.Duration
+		answered  bool
 	}{
-		"ends while the node drains":            {takes: drainTime, answered: true},
-		"is being answered when the drain ends": {takes: drainTime + shutdownTimeout/2, answered: true},
-		"arrives while the node drains":         {sent: drainTime / 2, takes: time.Second, answered: true},
-		"exceeds the shutdown timeout":          {takes: drainTime + 2*shutdownTimeout},
+		"ends while the node drains":            {duration: drainTime, answered: true},
+		"is being answered when the drain ends": {duration: drainTime + shutdownTimeout/2, answered: true},
+		"arrives while the node drains":         {sendDelay: drainTime / 2, duration: time.Second, answered: true},
+		"exceeds the shutdown timeout":          {duration: drainTime + 2*shutdownTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				status := statusAfterShutdown(t, tc.sent, tc.takes, drainTime)
+				status := statusAfterShutdown(t, tc.sendDelay, tc.duration, drainTime)
 				is.Equal(status == http.StatusOK, tc.answered)
 			})
 		})
@@ -61,7 +61,8 @@
 }
 
 // statusAfterShutdown returns the status of a request on an open connection of a server that begins to shut down after
-// one second, or 0 if the connection ends without a response.
+// one second and drains until drainTime. The request is sent after sendDelay and runs for the given duration. The
+// status is 0 if the connection ends without a response.
 func statusAfterShutdown(t *testing.T, sendDelay, duration, drainTime time.Duration) int {
 	clientConn, serverConn := net.Pipe()
 	l := &singleConnListener{conns: make(chan net.Conn, 1)}
--- a/internal/process/node/health.go
+++ b/internal/process/node/health.go
@@ -11,7 +11,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/parts"
 )
 
-// Dump is a snapshot of the state of a node.
+// Dump is a snapshot of the state of a node configured by documents.
 type Dump struct {
 	parts.State
 	QueuedByRank       []int          `json:"queued_by_rank"`
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -1,10 +1,13 @@
-// Package node assembles the components of one node and runs them until the process is asked to stop.
+// Package node assembles the components of a node configured by documents and runs them until the process is asked to
+// stop.
 //
 // # Usage
 //
 //	err := node.Run(ctx, node.Config{Settings: settings, Log: log})
 //
-// When the context ends the node drains: it refuses new requests, finishes those in flight, and returns.
+// When the context ends the node drains: its backend server gets no new requests, its idempotency keys are handed over
+// to another node, requests that callers still send are forwarded to other nodes, and Run returns when nothing is in
+// flight.
 package node
 
 import (
@@ -47,7 +50,8 @@
 	Log      *events.Log
 }
 
-// Node runs beside one backend server. It admits, queues, retries and routes requests and shares state with its peers.
+// Node is a node configured by documents. It runs beside one backend server, admits, queues, retries and routes
+// requests, and shares state with its peers.
 type Node struct {
 	config Config
 	loop   *board.Loop
@@ -62,7 +66,7 @@
 	quarantine       *flow.Quarantine
 	controller       *zone.Controller
 	platform         *platform.Client
-	chains           *call.RunningRequests
+	runningRequests  *call.RunningRequests
 	keyOwner         *flow.KeyOwner
 	ownerController  *homes.Controller
 	keyedSender      *flow.KeyedSender
@@ -78,7 +82,7 @@
 func New(config Config) *Node {
 	s := config.Settings
 	self := outcome.Node{Name: s.Node.Name, Incarnation: uint64(time.Now().UnixNano())}
-	n := &Node{config: config, chains: call.NewRunningRequests(), limiter: events.NewLimiter(config.Log, parts.LogLimitInterval)}
+	n := &Node{config: config, runningRequests: call.NewRunningRequests(), limiter: events.NewLimiter(config.Log, parts.LogLimitInterval)}
 	n.loop = board.NewLoop(board.Board{Self: board.Self{
 		Node:          s.Node.Name,
 		Zone:          s.Node.Zone,
@@ -97,7 +101,7 @@
 func (n *Node) buildReceiver(s *settings.Settings) {
 	n.gate = backend.NewGate(parts.GateConfig(s))
 	liveness := backend.NewLiveness()
-	n.client = backend.NewClient(backend.ClientConfig{MaxBody: s.Caller.MaxBody, Liveness: liveness}, n.chains)
+	n.client = backend.NewClient(backend.ClientConfig{MaxBody: s.Caller.MaxBody, Liveness: liveness}, n.runningRequests)
 	n.localServer = local.New(local.Config{Board: n.loop, Gate: n.gate, Client: n.client, Liveness: liveness, Log: n.config.Log})
 	n.pool = peer.NewPool(parts.PoolConfig(s))
 	n.controlPool = peer.NewPool(parts.PoolConfig(s))
@@ -181,8 +185,8 @@
 	})
 }
 
-// Run serves until the context ends, an operator drains the node or its backend server leaves. It returns after the node
-// has drained.
+// Run serves until the context ends, an operator drains the node or its backend server leaves. It returns after the
+// node has drained.
 func Run(ctx context.Context, config Config) error {
 	n := New(config)
 	if err := n.listen(); err != nil {
@@ -257,7 +261,7 @@
 	caller.Register(router, caller.Config{
 		Board:   n.loop,
 		Sender:  n.keyedSender,
-		Chains:  n.chains,
+		Chains:  n.runningRequests,
 		MaxBody: n.config.Settings.Caller.MaxBody,
 
 		Rejected: n.logRejected,
@@ -311,7 +315,7 @@
 }
 
 // completeViewTimeout limits how long a node that has just started waits to learn of all services and key owners before
-// it serves callers.
+// it serves callers. The connections of callers wait meanwhile.
 const completeViewTimeout = 2 * time.Second
 
 // waitForCompleteView returns when the node has a complete view, or after completeViewTimeout.
@@ -326,8 +330,8 @@
 	}
 }
 
-// hasCompleteView reports whether the node knows an instance of each service that has a document, and which node answers
-// for each key owner of the latest epoch, in the shards of all availability zones.
+// hasCompleteView reports whether the node knows an instance of each service that has a document, and which node
+// answers for each key owner of the latest epoch, in the shards of all availability zones.
 func hasCompleteView(b *board.Board, zones []string) bool {
 	for service := range b.Documents.ByService {
 		if len(b.Members.ByService[service]) == 0 {
--- a/internal/process/node/table.go
+++ b/internal/process/node/table.go
@@ -61,8 +61,8 @@
 func (d Dump) writeDocuments(t *terminal.Table, now time.Time) {
 	t.Section("DOCUMENTS", "SERVICE", "TEAM", "REVISION", "EDITOR", "OPERATION", "IN FORCE FOR")
 	for _, service := range slices.Sorted(maps.Keys(d.Board.Documents.ByService)) {
-		in := d.Board.Documents.ByService[service]
-		t.Row(service, in.Document.Team, in.Revision, in.Editor, in.Operation, now.Sub(in.InForceSince).Round(time.Second))
+		inForce := d.Board.Documents.ByService[service]
+		t.Row(service, inForce.Document.Team, inForce.Revision, inForce.Editor, inForce.Operation, now.Sub(inForce.InForceSince).Round(time.Second))
 	}
 }
 
@@ -162,8 +162,8 @@
 // formatCrashes lists the crashes that are attributed to a quarantined request.
 func formatCrashes(e quarantine.Entry, now time.Time) string {
 	var crashes []string
-	for _, v := range e.Evidence {
-		crashes = append(crashes, fmt.Sprintf("%s %s ago", v.Source, ago(now, v.At)))
+	for _, crash := range e.Evidence {
+		crashes = append(crashes, fmt.Sprintf("%s %s ago", crash.Source, ago(now, crash.At)))
 	}
 	return strings.Join(crashes, ", ")
 }
