--- a/internal/process/parts/parts.go
+++ b/internal/process/parts/parts.go
@@ -1,4 +1,5 @@
-// Package parts configures the components that every kind of node has, and serves what they have in common.
+// Package parts holds what a node configured by documents (package node) and a node configured by routes (package
+// routed) have in common: the configuration of their components, their listeners and server options, and the dump.
 //
 // # Usage
 //
@@ -18,10 +19,10 @@
 const (
 	// GatePollInterval is the interval between checks of the queue.
 	GatePollInterval = 10 * time.Millisecond
-	// LogLimitInterval is the minimum interval between two log lines of one event number, for events that callers and other
-	// outside processes can cause.
+	// LogLimitInterval is the minimum interval between two log lines of one event number, for events that callers and
+	// other outside processes can cause.
 	LogLimitInterval = time.Second
-	// peerMaxIdle is how long an idle connection between nodes is reused.
+	// peerMaxIdle is the maximum idle time after which a connection between nodes is still reused.
 	peerMaxIdle = 5 * time.Second
 	// peerDialTimeout is the timeout for connecting to another node.
 	peerDialTimeout = 500 * time.Millisecond
--- a/internal/process/parts/serve.go
+++ b/internal/process/parts/serve.go
@@ -20,7 +20,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/control/settings"
 )
 
-// Socket is where to store a listener, and its address. With an empty address no listener is opened.
+// Socket is an address to listen on, and the variable that receives the listener. No listener is opened for an empty
+// address.
 type Socket struct {
 	Listener *net.Listener
 	Address  string
@@ -65,8 +66,8 @@
 	return len(line), nil
 }
 
-// PeerServerOptions returns the options of the server for other nodes. ManualFlush sends each response together with the
-// end of its RPC.
+// PeerServerOptions returns the options of the server for other nodes. ManualFlush sends each response together with
+// the end of its RPC.
 func PeerServerOptions(s *settings.Settings, limiter *events.Limiter) drpcserver.Options {
 	return drpcserver.Options{
 		Manager: drpcmanager.Options{
