--- a/internal/process/pause/pause.go
+++ b/internal/process/pause/pause.go
@@ -1,4 +1,5 @@
-// Package pause waits for a duration, until a time or after a failure, or until a context ends.
+// Package pause waits for a duration, until a time, or with exponential backoff after a failure. Every wait ends early
+// when its context ends.
 //
 // # Usage
 //
@@ -33,8 +34,8 @@
 	return For(ctx, time.Until(t))
 }
 
-// Backoff is an exponential backoff after consecutive failures: Initial after the first one, and twice as long after each
-// further one, up to Max. A Backoff is not safe for concurrent use.
+// Backoff is an exponential backoff after consecutive failures: Initial after the first one, and twice as long after
+// each further one, up to Max. A Backoff is not safe for concurrent use.
 type Backoff struct {
 	Initial, Max time.Duration
 
@@ -48,5 +49,5 @@
 	return For(ctx, d)
 }
 
-// Reset starts over with the initial backoff. It is called after a success.
+// Reset makes the next wait begin with Initial again. It is called after a success.
 func (b *Backoff) Reset() { b.next = 0 }
