--- a/internal/process/reload/reload.go
+++ b/internal/process/reload/reload.go
@@ -26,8 +26,8 @@
 	Log       *events.Log
 }
 
-// Reloader reloads the settings when the process gets SIGHUP. Only a changed log level takes effect in a running node. All
-// other changes take effect at the next start.
+// Reloader reloads the settings when the process gets SIGHUP. Only a changed log level takes effect in a running node.
+// All other changes take effect at the next start.
 type Reloader struct {
 	config Config
 }
--- a/internal/process/reload/reload_test.go
+++ b/internal/process/reload/reload_test.go
@@ -19,6 +19,7 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/process/reload"
 )
 
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -36,7 +37,7 @@
 	return strings.Contains(b.buffer.String(), text)
 }
 
-// Guards against SIGHUP ending the process, which is the default, and with it every request in flight.
+// Guards against SIGHUP ending the process, as it does by default, and with it every request in flight.
 func TestHangupReloadsSettings(t *testing.T) {
 	for name, test := range map[string]struct {
 		file string
