--- a/internal/process/routed/bench_test.go
+++ b/internal/process/routed/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkCall measures one call from a caller through the entry node to the node beside the backend server. Caller, both
-// nodes and backend server run in one process.
+// BenchmarkCall measures one call from a caller through the entry node to the node beside the backend server. Caller,
+// both nodes and backend server run in one process.
 func BenchmarkCall(b *testing.B) {
 	f := newFleet(b, twoServices(1))
 	crew := f.add(b, "zone_1", "crew", hello)
--- a/internal/process/routed/fleet_test.go
+++ b/internal/process/routed/fleet_test.go
@@ -79,26 +79,26 @@
 	return b.buffer.String()
 }
 
-func newFleet(tb testing.TB, catalogue routes.Configuration) *fleet {
+func newFleet(tb testing.TB, configuration routes.Configuration) *fleet {
 	f := &fleet{store: kv.New()}
-	f.setRoutes(tb, catalogue)
+	f.setRoutes(tb, configuration)
 	tb.Cleanup(f.stop)
 	return f
 }
 
-func (f *fleet) setRoutes(tb testing.TB, catalogue routes.Configuration) {
-	value, err := json.Marshal(catalogue)
+func (f *fleet) setRoutes(tb testing.TB, configuration routes.Configuration) {
+	value, err := json.Marshal(configuration)
 	is.New(tb).NoErr(err)
 	f.store.ForcePut(routesKey, value)
 }
 
 func (f *fleet) stop() {
-	for _, m := range f.nodes {
-		m.stop()
+	for _, n := range f.nodes {
+		n.stop()
 	}
 	f.group.Wait()
-	for _, m := range f.nodes {
-		m.server.Close()
+	for _, n := range f.nodes {
+		n.server.Close()
 	}
 }
 
@@ -119,10 +119,10 @@
 		"-ready.address", freeAddress(tb), "-platform.url", "http://127.0.0.1:1", "-platform.source", settings.SourceRoutes,
 	}))
 	is.New(tb).NoErr(s.Check())
-	m := &testNode{settings: s, log: &syncBuffer{}, service: service, ended: make(chan struct{})}
-	m.server = httptest.NewServer(withSignature(handler))
+	n := &testNode{settings: s, log: &syncBuffer{}, service: service, ended: make(chan struct{})}
+	n.server = httptest.NewServer(withSignature(handler))
 	ctx, cancel := context.WithCancel(context.Background())
-	m.stop = cancel
+	n.stop = cancel
 	registered, readyRegistered := make(chan struct{}), make(chan struct{})
 	adapter := routed.Adapter{
 		Store:     f.store.ForNode(s.Node.Name),
@@ -135,26 +135,26 @@
 			return routes.NewTable(c)
 		},
 		RegisterAnnouncements: func(_ *httprouter.Router, a routed.AnnouncementHandlers) {
-			m.announce, m.departed = a.Announced, a.Departed
+			n.announce, n.departed = a.Announced, a.Departed
 			close(registered)
 		},
 		RegisterReady: func(_ *httprouter.Router, ready func() bool) {
-			m.ready = ready
+			n.ready = ready
 			close(readyRegistered)
 		},
 		CallerHeaders:  callerHeaders,
 		BackendHeaders: backendHeaders,
 	}
-	log := events.NewLog(m.log, zerolog.DebugLevel, s.Node.Name)
+	log := events.NewLog(n.log, zerolog.DebugLevel, s.Node.Name)
 	f.group.Go(func() {
-		defer close(m.ended)
+		defer close(n.ended)
 		_ = routed.Run(ctx, routed.Config{Settings: s, Log: log, Adapter: adapter})
 	})
 	<-registered
 	<-readyRegistered
-	m.heartbeat(false)
-	f.nodes = append(f.nodes, m)
-	return m
+	n.announceServer(false)
+	f.nodes = append(f.nodes, n)
+	return n
 }
 
 // withSignature adds the headers by which a node recognizes the response of its backend server.
@@ -166,20 +166,21 @@
 	}
 }
 
-func (m *testNode) heartbeat(leaving bool) {
-	m.announce(backend.Announcement{
-		Service: m.service, Address: strings.TrimPrefix(m.server.URL, "http://"), Slots: 64, Connections: 256,
-		Instance: "i_" + m.settings.Node.Name, Started: 1, Sequence: m.sequence.Add(1), Leaving: leaving,
+func (n *testNode) announceServer(leaving bool) {
+	n.announce(backend.Announcement{
+		Service: n.service, Address: strings.TrimPrefix(n.server.URL, "http://"), Slots: 64, Connections: 256,
+		Instance: "i_" + n.settings.Node.Name, Started: 1, Sequence: n.sequence.Add(1), Leaving: leaving,
 	})
 }
 
-// waitReady waits until every node has routes and is ready, and then for the members to learn of each other.
+// waitReady waits until every node has routes and is ready, and then 500 ms more, in which the nodes learn of each
+// other.
 func (f *fleet) waitReady(tb testing.TB) {
 	deadline := time.Now().Add(10 * time.Second)
-	for _, m := range f.nodes {
-		for !strings.Contains(m.log.String(), "routes_in_force") || !m.ready() {
+	for _, n := range f.nodes {
+		for !strings.Contains(n.log.String(), "routes_in_force") || !n.ready() {
 			if time.Now().After(deadline) {
-				tb.Fatal("the nodes did not become ready: " + m.log.String())
+				tb.Fatal("the nodes did not become ready: " + n.log.String())
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -195,13 +196,13 @@
 }
 
 // call sends one request to the node as a caller.
-func (m *testNode) call(tb testing.TB, client *http.Client, method, host, path string) callResult {
-	return m.callWithin(tb, client, method, host, path, "5000")
+func (n *testNode) call(tb testing.TB, client *http.Client, method, host, path string) callResult {
+	return n.callWithin(tb, client, method, host, path, "5000")
 }
 
-// callWithin is call for a caller that waits for the given number of milliseconds.
-func (m *testNode) callWithin(tb testing.TB, client *http.Client, method, host, path, left string) callResult {
-	r, err := http.NewRequestWithContext(tb.Context(), method, "http://"+m.settings.Caller.Address+path, http.NoBody)
+// callWithin sends one request to the node as a caller that waits for the given number of milliseconds.
+func (n *testNode) callWithin(tb testing.TB, client *http.Client, method, host, path, left string) callResult {
+	r, err := http.NewRequestWithContext(tb.Context(), method, "http://"+n.settings.Caller.Address+path, http.NoBody)
 	is.New(tb).NoErr(err)
 	r.Host = host
 	r.Header.Set("Request-Name", fmt.Sprintf("r%d", requestNumber.Add(1)))
@@ -218,9 +219,10 @@
 	return callResult{status: response.StatusCode, body: string(body), header: response.Header}
 }
 
+// requestNumber makes the request IDs of all tests unique.
 var requestNumber atomic.Uint64
 
-// twoServices returns a catalogue with a route to each of two services.
+// twoServices returns a configuration with a route to each of two services.
 func twoServices(version uint64) routes.Configuration {
 	return routes.Configuration{
 		Version: version,
--- a/internal/process/routed/requeststats.go
+++ b/internal/process/routed/requeststats.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxLatencyMicros is the highest latency that a histogram records, in microseconds. Higher latencies are recorded as
-	// this value.
+	// maxLatencyMicros is the highest latency that a histogram records, in microseconds. Higher latencies are recorded
+	// as this value.
 	maxLatencyMicros = 60_000_000
 	// latencyDigits is the number of significant decimal digits of a recorded latency.
 	latencyDigits = 2
@@ -22,7 +22,7 @@
 
 // KindStats holds the counts and latencies of the requests of one kind. Latencies are in microseconds.
 type KindStats struct {
-	// ByOutcome counts requests by outcome. The outcome is followed by the reason if no backend server responded.
+	// ByOutcome counts requests by outcome. If the reply has a reason, the key is the outcome, "_" and the reason.
 	ByOutcome map[string]uint64 `json:"ended"`
 	P50       int64             `json:"p50_micros"`
 	P90       int64             `json:"p90_micros"`
@@ -37,6 +37,7 @@
 	byKind map[string]*kindCounters
 }
 
+// kindCounters counts the requests of one kind by outcome, and records their latencies in microseconds.
 type kindCounters struct {
 	byOutcome map[string]uint64
 	latencies *hdrhistogram.Histogram
--- a/internal/process/routed/routed.go
+++ b/internal/process/routed/routed.go
@@ -1,14 +1,14 @@
-// Package routed assembles a node that follows the routes in the platform's store, and runs it until the process is asked
-// to stop. Unlike a node that follows documents, it has no leader, remembers no idempotency keys and accepts no edits. It
-// reads routes and members from the store, and each request has its own ID. A request that may run at most once is sent
-// again only if it has certainly not run.
+// Package routed assembles a node that is configured by the routes in the platform's store, and runs it until the
+// process is asked to stop. Unlike a node configured by documents (package node), it has no leader, remembers no
+// idempotency keys and accepts no edits. It reads routes and members from the store, and each request has its own ID. A
+// request that may run at most once is sent again only if it has certainly not run.
 //
 // # Usage
 //
 //	err := routed.Run(ctx, routed.Config{Settings: settings, Log: log, Adapter: adapter})
 //
-// When the context ends the node drains: it forwards the requests that callers still send, takes its backend server out of
-// use, and returns when nothing is in flight.
+// When the context ends the node drains: it forwards the requests that callers still send, stops sending requests to
+// its backend server, and returns when nothing is in flight. The backend server keeps running.
 package routed
 
 import (
@@ -76,22 +76,23 @@
 	Adapter  Adapter
 }
 
-// Node runs beside one backend server. It admits, queues, retries and routes requests and shares state with its peers.
+// Node is a node configured by routes. It runs beside one backend server, admits, queues, retries and routes requests,
+// and shares state with its peers.
 type Node struct {
-	config       Config
-	loop         *board.Loop
-	gate         *backend.Gate
-	pool         *peer.Pool
-	peerClient   *peer.Client
-	compressor   *peer.Compressor
-	localServer  *local.Server
-	receiver     *flow.Receiver
-	fencedRunner *flow.FencedRunner
-	sender       *flow.Sender
-	chains       *call.RunningRequests
-	reachability *flow.ReachabilityMonitor
-	members      *members.Controller
-	routes       *routesFollower
+	config          Config
+	loop            *board.Loop
+	gate            *backend.Gate
+	pool            *peer.Pool
+	peerClient      *peer.Client
+	compressor      *peer.Compressor
+	localServer     *local.Server
+	receiver        *flow.Receiver
+	fencedRunner    *flow.FencedRunner
+	sender          *flow.Sender
+	runningRequests *call.RunningRequests
+	reachability    *flow.ReachabilityMonitor
+	members         *members.Controller
+	routes          *routesFollower
 	// quarantine refuses requests that crash backend servers.
 	quarantine *flow.Quarantine
 	limiter    *events.Limiter
@@ -120,7 +121,7 @@
 // retryBudget is the retry budget of one node for one service.
 var retryBudget = retry.BudgetConfig{EarnRatio: 0.05, Max: 3}
 
-// requeueBudget limits how many requests shed by the backend server are requeued, as a ratio of the requests for it.
+// requeueBudget limits how many requests that the backend server shed are requeued, as a ratio of all requests for it.
 var requeueBudget = retry.BudgetConfig{EarnRatio: 0.08, Max: 4}
 
 // New returns a node that is not started.
@@ -131,12 +132,12 @@
 		return nil, trace.Wrap(err)
 	}
 	n := &Node{
-		config:       config,
-		compressor:   compressor,
-		chains:       call.NewRunningRequests(),
-		limiter:      events.NewLimiter(config.Log, parts.LogLimitInterval),
-		requestLog:   events.NewBurstLimiter(config.Log, requestLogInterval, requestLogBurst),
-		requestStats: newRequestStats(),
+		config:          config,
+		compressor:      compressor,
+		runningRequests: call.NewRunningRequests(),
+		limiter:         events.NewLimiter(config.Log, parts.LogLimitInterval),
+		requestLog:      events.NewBurstLimiter(config.Log, requestLogInterval, requestLogBurst),
+		requestStats:    newRequestStats(),
 	}
 	incarnation := uint64(time.Now().UnixNano())
 	n.loop = board.NewLoop(board.Board{Self: board.Self{
@@ -167,7 +168,7 @@
 		MaxBody:  s.Caller.MaxBody,
 		Liveness: liveness,
 		Headers:  n.config.Adapter.BackendHeaders,
-	}, n.chains)
+	}, n.runningRequests)
 	n.localServer = local.New(local.Config{Board: n.loop, Gate: n.gate, Client: client, Liveness: liveness, Log: n.config.Log})
 	n.quarantine = flow.NewQuarantine(flow.QuarantineConfig{
 		Table: parts.QuarantineConfig(s),
@@ -190,8 +191,8 @@
 }
 
 // throttleConfig returns the configuration of the throttle for root requests at the entry node. LowRateRequests is 0
-// because the nodes beside the backend servers already limit root requests by the queueing delay of their calls, and see
-// more of these requests than one entry node does.
+// because the nodes beside the backend servers already limit root requests by the queueing delay of their calls, and
+// see more of these requests than one entry node does.
 func throttleConfig() throttle.Config {
 	config := throttle.DefaultConfig
 	config.LowRateRequests = 0
@@ -280,7 +281,7 @@
 	return caller.NewRoutedHandler(caller.RoutedHandlerConfig{
 		Board:    n.loop,
 		Sender:   n.sender,
-		Chains:   n.chains,
+		Chains:   n.runningRequests,
 		Headers:  n.config.Adapter.CallerHeaders,
 		Service:  n.config.Settings.Node.Service,
 		MaxBody:  n.config.Settings.Caller.MaxBody,
--- a/internal/process/routed/routed_test.go
+++ b/internal/process/routed/routed_test.go
@@ -37,7 +37,7 @@
 	f.add(t, "zone_1", "bookings", hello)
 	f.waitReady(t)
 	client := &http.Client{}
-	first.heartbeat(true) // returns when it is in effect
+	first.announceServer(true) // returns when it is in effect
 	for range 20 {
 		is.True(strings.Contains(crew.call(t, client, "POST", "deposits.example", "/b").body, "to i_node_3"))
 	}
@@ -88,19 +88,19 @@
 	}
 }
 
-// Guards against requests that fail while the nodes of a fleet are restarted one after the other and their backend servers
-// keep running. A draining node must pass requests on to its backend server until its callers have left, and must not
-// interrupt a request when it stops.
+// Guards against requests that fail while the nodes of a fleet are restarted one after the other and their backend
+// servers keep running. A draining node must pass requests on to its backend server until its callers have left, and
+// must not interrupt a request when it stops.
 func TestDrainingNodeForwardsToItsBackendServer(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, twoServices(1))
 	crew := f.add(t, "zone_1", "crew", hello)
-	only := f.add(t, "zone_1", "bookings", func(w http.ResponseWriter, r *http.Request) {
+	bookings := f.add(t, "zone_1", "bookings", func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(30 * time.Millisecond)
 		hello(w, r)
 	})
 	f.waitReady(t)
-	only.stop()
+	bookings.stop()
 	begin := time.Now()
 	client := &http.Client{}
 	for ended := false; !ended; {
@@ -110,7 +110,7 @@
 		}
 		is.True(got == http.StatusOK || got == http.StatusServiceUnavailable) // never interrupted
 		select {
-		case <-only.ended:
+		case <-bookings.ended:
 			ended = true
 		case <-time.After(5 * time.Millisecond):
 		}
@@ -131,7 +131,7 @@
 		time.Sleep(work)
 		left, err := strconv.Atoi(r.Header.Get("Time-Left"))
 		is.NoErr(err)
-		left -= int(work.Milliseconds()) // the call expires with the request
+		left -= int(work.Milliseconds()) // the call has the deadline of the request
 		if leaving.callWithin(t, client, "POST", "deposits.example", "/b", strconv.Itoa(left)).status != http.StatusOK {
 			w.WriteHeader(http.StatusInternalServerError)
 		}
@@ -153,7 +153,7 @@
 	}
 }
 
-// A request for a service without instances must be refused at once, with status 503 and a Retry-After header.
+// A request for a service without instances must be refused immediately, with status 503 and a Retry-After header.
 func TestRefusalSaysNotRun(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, twoServices(1))
--- a/internal/process/routed/routes.go
+++ b/internal/process/routed/routes.go
@@ -46,8 +46,8 @@
 	}).Run(ctx)
 }
 
-// apply puts the routes of the item into force. Routes with faults are logged and ignored, and routes that are not newer
-// than those in force are ignored.
+// apply puts the routes of the item into force. Routes with faults are logged and ignored, and routes that are not
+// newer than those in force are ignored.
 func (f *routesFollower) apply(ctx context.Context, item store.Item) {
 	if item.Key != f.config.Adapter.RoutesKey {
 		return
--- a/internal/process/routed/serve.go
+++ b/internal/process/routed/serve.go
@@ -20,7 +20,8 @@
 	"github.com/comfreyhoist/comfreyhoist/internal/wire/peerpb"
 )
 
-// trafficState counts the requests in flight from callers and from other nodes. closing reports whether the node drains.
+// trafficState counts the requests in flight from callers and from other nodes. closing reports whether the node
+// drains, so that callers' connections are closed after their next response.
 type trafficState struct {
 	callerRequests atomic.Int64
 	peerRequests   atomic.Int64
@@ -37,11 +38,11 @@
 }
 
 const (
-	// acceptTime is how long the node accepts callers after the drain began. Callers that check readiness do so every
-	// second and leave after two failed checks. The last requests have to end before the process is killed.
+	// acceptTime is how long the node accepts callers after the start of the drain. Callers that check readiness do so
+	// every second and leave after two failed checks. The last requests have to end before the process is killed.
 	acceptTime = 2600 * time.Millisecond
-	// backendWorkTime is how long a backend server whose requests make calls gets new requests after the drain began. The
-	// calls go through this node and have the rest of acceptTime to finish.
+	// backendWorkTime is how long a backend server whose requests make calls gets new requests after the start of the
+	// drain. The calls go through this node and have the rest of acceptTime to finish.
 	backendWorkTime = 1100 * time.Millisecond
 	// quietPeriod is how long no request may be in flight before the next step of the drain.
 	quietPeriod = 200 * time.Millisecond
@@ -51,8 +52,8 @@
 	drainTimeout = 5100 * time.Millisecond
 )
 
-// drain serves callers until they have left, and only then takes the backend server out of use. The backend server keeps
-// running, and gets requests again from the next node process beside it.
+// drain serves callers until they have left, and only then takes the backend server out of use. The backend server
+// keeps running, and gets requests again from the next node process beside it.
 func (n *Node) drain(ctx context.Context) {
 	n.config.Log.Emit(events.DrainStarted, nil)
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
@@ -85,7 +86,7 @@
 	waitQuiet(ctx, func() bool { return n.traffic.callerRequests.Load() == 0 })
 }
 
-// waitQuiet returns when isIdle was true for quietPeriod, or when the context ends.
+// waitQuiet returns when isIdle has been true for quietPeriod, or when the context ends.
 func waitQuiet(ctx context.Context, isIdle func() bool) {
 	lastActive := time.Now()
 	for ctx.Err() == nil && time.Since(lastActive) < quietPeriod {
@@ -115,7 +116,7 @@
 // connections.
 const idleTimeout = 2 * time.Minute
 
-// serveHTTP serves until the context ends, which is when nothing is in flight any more.
+// serveHTTP serves until the context ends. The context ends after the drain, when nothing is in flight any more.
 func serveHTTP(ctx context.Context, server *http.Server, l net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
@@ -183,7 +184,7 @@
 	n.limiter.Emit(time.Now(), events.CallerRejected, events.Fields{"instance": instance, "text": fault})
 }
 
-// recordReply counts a request of a caller, and logs it if it got no response of a backend server.
+// recordReply counts a request of a caller, and logs it if it got no response from a backend server.
 func (n *Node) recordReply(r *call.Request, reply *call.Reply, latency time.Duration) {
 	n.requestStats.record(r.Kind, reply, latency)
 	if reply.Outcome == call.Ran {
