--- a/internal/control/homes/controller.go
+++ b/internal/control/homes/controller.go
@@ -74,9 +74,9 @@
 	// Reserve is how far the end may be moved by promises of the keepers, without a write to the platform. If a shard
 	// loses both keepers at the same time, it can't be renewed for up to that time.
 	Reserve time.Duration
-	// InitialKeeperDelay is the time from the start of a leader's process until it may begin another zone's shard that
+	// InitialShardDelay is the time from the start of a leader's process until it may begin another zone's shard that
 	// has no epoch yet.
-	InitialKeeperDelay time.Duration
+	InitialShardDelay time.Duration
 	// TakeoverDelay is the time from the end of a shard until the leader of another zone may take it over.
 	TakeoverDelay time.Duration
 }
@@ -90,8 +90,8 @@
 	ElectionAllowance: 6 * time.Second,
 	Reserve:           10 * time.Minute,
 
-	InitialKeeperDelay: 10 * time.Second,
-	TakeoverDelay:      3 * time.Second,
+	InitialShardDelay: 10 * time.Second,
+	TakeoverDelay:     3 * time.Second,
 }
 
 // Controller maintains shards while its node leads its availability zone, and answers as a keeper of shards.
@@ -172,7 +172,7 @@
 	}
 	last := b.KeyOwners.Shards[shard].Last()
 	if last.Until == 0 {
-		return now.Sub(c.started) > c.config.Timing.InitialKeeperDelay
+		return now.Sub(c.started) > c.config.Timing.InitialShardDelay
 	}
 	overdue := now.Sub(time.UnixMilli(last.Until)) > c.config.Timing.TakeoverDelay
 	// While it followed, this node did not receive the new ends of other zones' shards.
--- a/internal/control/zone/client.go
+++ b/internal/control/zone/client.go
@@ -45,9 +45,9 @@
 	Address string
 }
 
-// HeartbeatAnswer is the receiver's reply to a heartbeat.
-type HeartbeatAnswer struct {
-	membership.Answer
+// HeartbeatReply is the receiver's reply to a heartbeat.
+type HeartbeatReply struct {
+	membership.ElectionState
 
 	// Digest covers all records of the receiver. LogID identifies its change log, and NextPosition is the last change
 	// covered by this reply.
@@ -60,7 +60,7 @@
 }
 
 // SendHeartbeat sends a heartbeat to the address and returns the reply.
-func (c *Client) SendHeartbeat(ctx context.Context, address string, h Heartbeat) (HeartbeatAnswer, error) {
+func (c *Client) SendHeartbeat(ctx context.Context, address string, h Heartbeat) (HeartbeatReply, error) {
 	request := &zonepb.BeatRequest{
 		Node:    c.config.Node,
 		Zone:    c.config.Zone,
@@ -79,9 +79,9 @@
 	return heartbeatReplyFrom(reply), err
 }
 
-func heartbeatReplyFrom(m *zonepb.BeatReply) HeartbeatAnswer {
-	return HeartbeatAnswer{
-		Answer: membership.Answer{
+func heartbeatReplyFrom(m *zonepb.BeatReply) HeartbeatReply {
+	return HeartbeatReply{
+		ElectionState: membership.ElectionState{
 			Leads:  m.GetLeads(),
 			Leased: m.GetLeased(),
 			Leader: membership.Target{Node: m.GetLeader(), Address: m.GetLeaderAddress()},
--- a/internal/control/zone/follow.go
+++ b/internal/control/zone/follow.go
@@ -71,13 +71,13 @@
 			c.election.RecordFailure(now, t)
 			return
 		}
-		c.election.RecordAnswer(now, t, reply.Answer)
+		c.election.RecordReply(now, t, reply.ElectionState)
 		c.publishLeader(b, now)
 	})
 }
 
 // synchronize exchanges heartbeats with the node at the address until the node has no further changes to send.
-func (c *Controller) synchronize(ctx context.Context, address string) (HeartbeatAnswer, error) {
+func (c *Controller) synchronize(ctx context.Context, address string) (HeartbeatReply, error) {
 	for {
 		request := c.newHeartbeat(ctx, address)
 		reply, err := c.config.Peers.SendHeartbeat(ctx, address, request)
@@ -114,7 +114,7 @@
 }
 
 // applyReply applies the changes in the reply and reports whether buckets should be compared.
-func (c *Controller) applyReply(ctx context.Context, address string, request Heartbeat, reply HeartbeatAnswer) bool {
+func (c *Controller) applyReply(ctx context.Context, address string, request Heartbeat, reply HeartbeatReply) bool {
 	repair := false
 	c.config.Board.Do(ctx, func(b *board.Board) {
 		now := time.Now()
--- a/internal/decide/liveness/liveness.go
+++ b/internal/decide/liveness/liveness.go
@@ -71,8 +71,8 @@
 	t.announced = now
 }
 
-// Answered records a response to a request.
-func (t *Tracker) Answered(now time.Time) {
+// Responded records a response to a request.
+func (t *Tracker) Responded(now time.Time) {
 	t.answered = now
 	t.refusing, t.brokenSinceAccept = false, false
 }
--- a/internal/decide/liveness/liveness_test.go
+++ b/internal/decide/liveness/liveness_test.go
@@ -49,7 +49,7 @@
 			want: liveness.Alive,
 		},
 		"an answer after a refused connection": {
-			do:   func(t *liveness.Tracker) time.Time { t.ConnectionRefused(); t.Answered(start); return start },
+			do:   func(t *liveness.Tracker) time.Time { t.ConnectionRefused(); t.Responded(start); return start },
 			want: liveness.Alive,
 		},
 		"regular announcements stop": {
@@ -67,7 +67,7 @@
 		"announcements stop, and answers go on": {
 			do: func(t *liveness.Tracker) time.Time {
 				end := announce(t, start, 10, interval).Add(time.Minute)
-				t.Answered(end)
+				t.Responded(end)
 				return end.Add(time.Second)
 			},
 			want: liveness.Alive,
@@ -116,7 +116,7 @@
 		"refused":                       {do: func(t *liveness.Tracker) { t.ConnectionRefused() }, want: true},
 		"broken":                        {do: func(t *liveness.Tracker) { t.ConnectionBroken() }, want: true},
 		"broken, then accepted":         {do: func(t *liveness.Tracker) { t.ConnectionBroken(); t.ConnectionAccepted() }, want: false},
-		"broken, then answered":         {do: func(t *liveness.Tracker) { t.ConnectionBroken(); t.Answered(time.Unix(1, 0)) }, want: false},
+		"broken, then answered":         {do: func(t *liveness.Tracker) { t.ConnectionBroken(); t.Responded(time.Unix(1, 0)) }, want: false},
 		"refused, accepted and refused": {do: func(t *liveness.Tracker) { t.ConnectionRefused(); t.ConnectionAccepted(); t.ConnectionRefused() }, want: true},
 	}
 	for name, c := range cases {
--- a/internal/decide/membership/election.go
+++ b/internal/decide/membership/election.go
@@ -191,8 +191,8 @@
 	return e.followed.Node != "" && now.Sub(e.lastReply) <= e.config.FollowTimeout
 }
 
-// Answer is the election state in a node's reply to a heartbeat.
-type Answer struct {
+// ElectionState is the election state in a node's reply to a heartbeat.
+type ElectionState struct {
 	// Leads reports whether the node leads the zone, with or without a lease.
 	Leads  bool
 	Leased bool
@@ -200,8 +200,8 @@
 	Leader Target
 }
 
-// RecordAnswer records the reply of a node of the same zone.
-func (e *Election) RecordAnswer(now time.Time, from Target, a Answer) {
+// RecordReply records the reply of a node of the same zone.
+func (e *Election) RecordReply(now time.Time, from Target, a ElectionState) {
 	delete(e.unresponsive, from.Node)
 	knowsLeader := a.Leader.Node != "" && a.Leader.Node != e.config.Node
 	switch {
@@ -215,7 +215,7 @@
 }
 
 // considerRelay follows a node that follows the leader if the leader itself is unresponsive.
-func (e *Election) considerRelay(now time.Time, from Target, a Answer) {
+func (e *Election) considerRelay(now time.Time, from Target, a ElectionState) {
 	e.hint = a.Leader
 	_, unreachable := e.unresponsive[a.Leader.Node]
 	if unreachable && (!e.isFollowing(now) || e.followed == from) {
--- a/internal/decide/membership/election_test.go
+++ b/internal/decide/membership/election_test.go
@@ -78,7 +78,7 @@
 			e.RecordFailure(z.now, t)
 			continue
 		}
-		e.RecordAnswer(z.now, t, z.answer(t.Node))
+		e.RecordReply(z.now, t, z.answer(t.Node))
 	}
 	if plan.Role == membership.Leading {
 		z.renew(name)
@@ -88,8 +88,8 @@
 	}
 }
 
-func (z *zone) answer(name string) membership.Answer {
-	a := membership.Answer{Leads: z.role[name] != membership.Following, Leased: z.role[name] == membership.Leading}
+func (z *zone) answer(name string) membership.ElectionState {
+	a := membership.ElectionState{Leads: z.role[name] != membership.Following, Leased: z.role[name] == membership.Leading}
 	if followed, leads, leased := z.election[name].Followed(z.now); leads && !a.Leads {
 		a.Leader, a.Leased = followed, leased
 	}
--- a/internal/decide/routing/instance.go
+++ b/internal/decide/routing/instance.go
@@ -113,7 +113,7 @@
 		i.observeError(now, 1)
 		if i.failures >= i.config.FailuresToEject || i.Member.Unconfirmed {
 			i.ejectedUntil = now.Add(i.ejectionTime())
-			i.ejection = Ejection{Reason: FailuresInARow, Failures: i.failures, LastFailure: s.Reason, At: now}
+			i.ejection = Ejection{Reason: ConsecutiveFailures, Failures: i.failures, LastFailure: s.Reason, At: now}
 		}
 	case Shed:
 		i.sheddingRank = s.Rank
--- a/internal/decide/routing/routing_test.go
+++ b/internal/decide/routing/routing_test.go
@@ -175,7 +175,7 @@
 	}
 	i.End(start, routing.Sample{Result: routing.Shed, Rank: 5, Reason: "overload"})
 	stats := i.Stats(start)
-	is.Equal(stats.Ejection, routing.Ejection{Reason: routing.FailuresInARow, Failures: 3, LastFailure: "peer_silent", At: start})
+	is.Equal(stats.Ejection, routing.Ejection{Reason: routing.ConsecutiveFailures, Failures: 3, LastFailure: "peer_silent", At: start})
 	is.Equal(stats.LastShed, routing.ShedEvidence{Reason: routing.ShedReply, InstanceReason: "overload", At: start})
 }
 
--- a/internal/decide/routing/stats.go
+++ b/internal/decide/routing/stats.go
@@ -10,14 +10,14 @@
 type Reason string
 
 const (
-	FailuresInARow Reason = "failures_in_a_row"
-	ShedReply      Reason = "shed_reply"
+	ConsecutiveFailures Reason = "failures_in_a_row"
+	ShedReply           Reason = "shed_reply"
 )
 
 // Reasons maps each reason to its description.
 var Reasons = map[Reason]string{
-	FailuresInARow: "Ejected: the instance failed so often in a row; the evidence names the last failure.",
-	ShedReply:      "The instance turned away a request of this rank; others of it and of less urgent ones are kept away for a moment.",
+	ConsecutiveFailures: "Ejected: the instance failed so often in a row; the evidence names the last failure.",
+	ShedReply:           "The instance turned away a request of this rank; others of it and of less urgent ones are kept away for a moment.",
 }
 
 // Ejection describes the last ejection of an instance. The zero value means that it was never ejected.
--- a/internal/decide/throttle/stats.go
+++ b/internal/decide/throttle/stats.go
@@ -30,8 +30,8 @@
 // Stats holds the state of a Throttle, for the state dump. The counts decay with Config.TimeConstant.
 type Stats struct {
 	Reason Reason `json:"reason"`
-	// RefusedShare is the fraction of requests that the throttle refuses, from 0 to 1.
-	RefusedShare float64 `json:"refused_share"`
+	// RefusedRatio is the fraction of requests that the throttle refuses, from 0 to 1.
+	RefusedRatio float64 `json:"refused_share"`
 	// Accepted and RefusedBelow count the admitted requests that were accepted and refused along their call chains. Peak
 	// is the highest accepted count and decays slowly. RefusedHere counts the requests that the throttle itself refused.
 	Accepted     float64 `json:"accepted"`
@@ -48,7 +48,7 @@
 	t.decay(now)
 	s := Stats{
 		Reason:       AdmitsAll,
-		RefusedShare: t.refusalRatio(now),
+		RefusedRatio: t.refusalRatio(now),
 		Accepted:     t.accepted,
 		Peak:         t.peak,
 		RefusedBelow: t.refusedBelow,
@@ -56,7 +56,7 @@
 		LastBelow:    t.refusedBelowAt,
 		LastHere:     t.lastRefusal,
 	}
-	if s.RefusedShare > 0 {
+	if s.RefusedRatio > 0 {
 		s.Reason = AcceptedIsLess
 	}
 	return s
--- a/internal/decide/throttle/stats_test.go
+++ b/internal/decide/throttle/stats_test.go
@@ -38,7 +38,7 @@
 	is.True(refused)
 	s := throttled.Stats(now)
 	is.Equal(s.Reason, throttle.AcceptedIsLess)
-	is.True(s.RefusedShare > 0 && s.RefusedShare <= 1)
+	is.True(s.RefusedRatio > 0 && s.RefusedRatio <= 1)
 	is.Equal(s.LastBelow, below)
 	is.True(!s.LastHere.At.IsZero())
 	_, catalogued := throttle.Reasons[s.LastHere.Reason]
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -23,8 +23,8 @@
 	TriggerDuration = 8 * time.Second
 	// DurationAfter is the time of ordinary load after the last trigger.
 	DurationAfter = 12 * time.Second
-	// TriggerInterval is the time between the end of a trigger and the start of the next.
-	TriggerInterval = 4 * time.Second
+	// TriggerPause is the time between the end of a trigger and the start of the next.
+	TriggerPause = 4 * time.Second
 	// settleTime is left out at the start of a phase when its figures are computed.
 	settleTime = 2 * time.Second
 )
@@ -45,7 +45,7 @@
 type Scenario struct {
 	Name string
 	Text string
-	// Triggers run one after the other, TriggerInterval apart.
+	// Triggers run one after the other, TriggerPause apart.
 	Triggers []Trigger
 	// Resends is how often every caller resends a failed request immediately.
 	Resends int
@@ -107,7 +107,7 @@
 	start := DurationBefore
 	for range s.Triggers {
 		spans = append(spans, span{start, start + TriggerDuration})
-		start += TriggerDuration + TriggerInterval
+		start += TriggerDuration + TriggerPause
 	}
 	return spans
 }
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -259,10 +259,10 @@
 func (n *Node) callerRouter() *httprouter.Router {
 	router := httprouter.New()
 	caller.Register(router, caller.Config{
-		Board:   n.loop,
-		Sender:  n.keyedSender,
-		Chains:  n.runningRequests,
-		MaxBody: n.config.Settings.Caller.MaxBody,
+		Board:           n.loop,
+		Sender:          n.keyedSender,
+		RunningRequests: n.runningRequests,
+		MaxBody:         n.config.Settings.Caller.MaxBody,
 
 		Rejected: n.logRejected,
 	})
--- a/internal/process/node/table.go
+++ b/internal/process/node/table.go
@@ -139,7 +139,7 @@
 func (d Dump) writeThrottles(t *terminal.Table, now time.Time) {
 	t.Section("REFUSED AT THE ENTRY", "SERVICE", "KIND", "RANK", "REASON", "SHARE", "ACCEPTED", "REFUSED BELOW", "AGO", "LAST REFUSED HERE", "AGO")
 	for _, s := range d.Sender.Throttles {
-		t.Row(s.Service, s.Kind, s.Rank, s.Reason, fmt.Sprintf("%.2f", s.RefusedShare), fmt.Sprintf("%.0f", s.Accepted),
+		t.Row(s.Service, s.Kind, s.Rank, s.Reason, fmt.Sprintf("%.2f", s.RefusedRatio), fmt.Sprintf("%.0f", s.Accepted),
 			fmt.Sprintf("%.0f", s.RefusedBelow), ago(now, s.LastBelow), orNone(string(s.LastHere.Reason)), ago(now, s.LastHere.At))
 	}
 }
--- a/internal/process/routed/routed.go
+++ b/internal/process/routed/routed.go
@@ -279,14 +279,14 @@
 
 func (n *Node) callerHandler() http.Handler {
 	return caller.NewRoutedHandler(caller.RoutedHandlerConfig{
-		Board:    n.loop,
-		Sender:   n.sender,
-		Chains:   n.runningRequests,
-		Headers:  n.config.Adapter.CallerHeaders,
-		Service:  n.config.Settings.Node.Service,
-		MaxBody:  n.config.Settings.Caller.MaxBody,
-		Answered: n.recordReply,
-		Rejected: n.logRejected,
+		Board:           n.loop,
+		Sender:          n.sender,
+		RunningRequests: n.runningRequests,
+		Headers:         n.config.Adapter.CallerHeaders,
+		Service:         n.config.Settings.Node.Service,
+		MaxBody:         n.config.Settings.Caller.MaxBody,
+		Answered:        n.recordReply,
+		Rejected:        n.logRejected,
 	})
 }
 
--- a/internal/traffic/backend/client.go
+++ b/internal/traffic/backend/client.go
@@ -135,7 +135,7 @@
 	start := time.Now()
 	reply, err := c.exchange(ctx, target, r, token)
 	end := time.Now()
-	childTime := running.ChildTime(end)
+	childTime := running.CallTime(end)
 	result := Result{Reply: reply, ServiceTime: end.Sub(start) - childTime, HoldTime: end.Sub(start), Downstream: running.Downstream(end)}
 	if err != nil {
 		result.Reply = failedReply(ctx, err)
@@ -351,7 +351,7 @@
 func failureReason(ctx context.Context, err *exchangeError) call.Reason {
 	switch {
 	case errors.Is(err.cause, errResponseTooLarge):
-		return call.ReasonAnswerTooLarge
+		return call.ReasonResponseTooLarge
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return call.ReasonDeadline
 	case errors.Is(ctx.Err(), context.Canceled):
--- a/internal/traffic/backend/client_test.go
+++ b/internal/traffic/backend/client_test.go
@@ -68,7 +68,7 @@
 	}))
 	defer server.Close()
 	result := newClient().Run(t.Context(), backend.Target{Address: strings.TrimPrefix(server.URL, "http://")}, newRequest(http.MethodGet, "", ""))
-	is.Equal(result.Reply.Reason, call.ReasonAnswerTooLarge)
+	is.Equal(result.Reply.Reason, call.ReasonResponseTooLarge)
 	is.Equal(result.Reply.Outcome, call.Unknown) // the request ran, but its response is lost
 	is.True(!result.ConnectionBroken)
 }
--- a/internal/traffic/backend/liveness.go
+++ b/internal/traffic/backend/liveness.go
@@ -60,7 +60,7 @@
 }
 
 func (l *Liveness) recordResponse() {
-	l.record(func(t *liveness.Tracker) { t.Answered(time.Now()) })
+	l.record(func(t *liveness.Tracker) { t.Responded(time.Now()) })
 }
 
 // recordError records a failed exchange. It ignores the failure if the context has ended, because the backend server
--- a/internal/traffic/call/chain.go
+++ b/internal/traffic/call/chain.go
@@ -27,13 +27,13 @@
 	// failure is the cause of the most recent failure of a call, or ReasonNone.
 	failure Reason
 	// openCalls holds the calls that have not ended.
-	openCalls map[*Child]bool
+	openCalls map[*OpenCall]bool
 	// openSince is the time since which at least one call has been open. It is valid only while openCalls is not empty.
 	openSince time.Time
 	// lastCallEnd is the time at which the most recent call ended; zero if none has.
 	lastCallEnd time.Time
-	// childTime is the total time during which at least one call was open, without the current period.
-	childTime time.Duration
+	// callTime is the total time during which at least one call was open, without the current period.
+	callTime time.Duration
 	// callsInferred is whether calls were assigned to the request by inference. If the request then fails after any
 	// calls, the failure is attributed to a call.
 	callsInferred bool
@@ -106,47 +106,47 @@
 	return lineage.RunningRequest{Kind: r.Kind, Started: r.Started, Deadline: r.Deadline, HasOpenCall: len(r.openCalls) > 0, LastCallEnd: r.lastCallEnd}
 }
 
-// Child is a call that a running request has made and that has not ended.
-type Child struct {
+// OpenCall is a call that a running request has made and that has not ended.
+type OpenCall struct {
 	start time.Time
 	// typicalDuration is the typical duration of calls of this kind, without queueing delay.
 	typicalDuration time.Duration
 }
 
-// BeginChild records the start of a call. typicalDuration is the typical duration of calls of its kind, without queueing
+// BeginCall records the start of a call. typicalDuration is the typical duration of calls of its kind, without queueing
 // delay.
-func (r *RunningRequest) BeginChild(now time.Time, typicalDuration time.Duration) *Child {
-	child := &Child{start: now, typicalDuration: typicalDuration}
+func (r *RunningRequest) BeginCall(now time.Time, typicalDuration time.Duration) *OpenCall {
+	child := &OpenCall{start: now, typicalDuration: typicalDuration}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.openCalls) == 0 {
-		r.openCalls = map[*Child]bool{}
+		r.openCalls = map[*OpenCall]bool{}
 		r.openSince = now
 	}
 	r.openCalls[child] = true
 	return child
 }
 
-// EndChild records the end of a call.
-func (r *RunningRequest) EndChild(now time.Time, child *Child) {
+// EndCall records the end of a call.
+func (r *RunningRequest) EndCall(now time.Time, child *OpenCall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.openCalls, child)
 	r.lastCallEnd = now
 	if len(r.openCalls) == 0 {
-		r.childTime += now.Sub(r.openSince)
+		r.callTime += now.Sub(r.openSince)
 	}
 }
 
-// ChildTime returns for how long the request has waited for its calls until now, including those that have not ended.
+// CallTime returns for how long the request has waited for its calls until now, including those that have not ended.
 // This time is not part of the backend server's service time.
-func (r *RunningRequest) ChildTime(now time.Time) time.Duration {
+func (r *RunningRequest) CallTime(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.openCalls) > 0 {
-		return r.childTime + now.Sub(r.openSince)
+		return r.callTime + now.Sub(r.openSince)
 	}
-	return r.childTime
+	return r.callTime
 }
 
 // RunningRequests holds the requests that run on the local backend server, by the token that was sent to the backend
--- a/internal/traffic/call/chain_test.go
+++ b/internal/traffic/call/chain_test.go
@@ -15,14 +15,14 @@
 	start := time.Now()
 	at := func(milliseconds int) time.Time { return start.Add(time.Duration(milliseconds) * time.Millisecond) }
 	running := &call.RunningRequest{}
-	is.Equal(running.ChildTime(at(0)), time.Duration(0))
-	first := running.BeginChild(at(10), 0)
-	second := running.BeginChild(at(20), 0) // overlaps the first
-	running.EndChild(at(30), first)
-	running.EndChild(at(40), second)
-	is.Equal(running.ChildTime(at(50)), 30*time.Millisecond)
-	running.BeginChild(at(60), 0)
-	is.Equal(running.ChildTime(at(100)), 70*time.Millisecond)
+	is.Equal(running.CallTime(at(0)), time.Duration(0))
+	first := running.BeginCall(at(10), 0)
+	second := running.BeginCall(at(20), 0) // overlaps the first
+	running.EndCall(at(30), first)
+	running.EndCall(at(40), second)
+	is.Equal(running.CallTime(at(50)), 30*time.Millisecond)
+	running.BeginCall(at(60), 0)
+	is.Equal(running.CallTime(at(100)), 70*time.Millisecond)
 }
 
 // In a flood, requests reach their deadlines while their calls still wait in queues, and no reply reports the queueing
@@ -31,10 +31,10 @@
 	is := is.New(t)
 	start := time.Now()
 	running := &call.RunningRequest{}
-	ended := running.BeginChild(start, 50*time.Millisecond)
-	running.EndChild(start.Add(80*time.Millisecond), ended)
+	ended := running.BeginCall(start, 50*time.Millisecond)
+	running.EndCall(start.Add(80*time.Millisecond), ended)
 	running.RecordReply(&call.Reply{Outcome: call.Ran, Status: 200, QueueingDelay: 30 * time.Millisecond})
-	running.BeginChild(start.Add(80*time.Millisecond), 50*time.Millisecond)
+	running.BeginCall(start.Add(80*time.Millisecond), 50*time.Millisecond)
 	is.Equal(running.Downstream(start.Add(100*time.Millisecond)), call.DownstreamSummary{Calls: 2, QueueingDelay: 30 * time.Millisecond})
 	is.Equal(running.Downstream(start.Add(480*time.Millisecond)), call.DownstreamSummary{Calls: 2, QueueingDelay: 380 * time.Millisecond})
 }
--- a/internal/traffic/call/reason.go
+++ b/internal/traffic/call/reason.go
@@ -26,7 +26,7 @@
 	ReasonPeerSilent       Reason = "peer_silent"
 	ReasonBackendFailed    Reason = "backend_failed"
 	ReasonBackendShed      Reason = "backend_shed"
-	ReasonAnswerTooLarge   Reason = "answer_too_large"
+	ReasonResponseTooLarge Reason = "answer_too_large"
 	ReasonQuarantined      Reason = "quarantined"
 	ReasonSuspected        Reason = "suspected"
 	ReasonOwnerUnreachable Reason = "home_unreachable"
@@ -65,7 +65,7 @@
 	ReasonPeerSilent:       {Status: http.StatusGatewayTimeout, Text: "The instance stopped answering."},
 	ReasonBackendFailed:    {Status: http.StatusBadGateway, Text: "The backend server broke the connection before a whole answer."},
 	ReasonBackendShed:      {Status: http.StatusServiceUnavailable, Text: "The backend server refused the request by itself and did not run it."},
-	ReasonAnswerTooLarge:   {Status: http.StatusBadGateway, Final: true, Text: "The backend server ran the request, but its answer is larger than the node passes on."},
+	ReasonResponseTooLarge: {Status: http.StatusBadGateway, Final: true, Text: "The backend server ran the request, but its answer is larger than the node passes on."},
 	ReasonQuarantined:      {Status: http.StatusServiceUnavailable, Final: true, Text: "The request crashed backend servers and is refused for a time."},
 	ReasonSuspected:        {Status: http.StatusServiceUnavailable, Text: "A backend server crashed while it ran the request, and another such request is running."},
 	ReasonOwnerUnreachable: {Status: http.StatusServiceUnavailable, Text: "The node that remembers this key can't be reached."},
--- a/internal/traffic/caller/handler.go
+++ b/internal/traffic/caller/handler.go
@@ -51,9 +51,9 @@
 
 // Config configures the handler.
 type Config struct {
-	Board  *board.Loop
-	Sender Sender
-	Chains *call.RunningRequests
+	Board           *board.Loop
+	Sender          Sender
+	RunningRequests *call.RunningRequests
 	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody int64
 	// Rejected is called for each request that is rejected before it is sent to an instance. It may be nil.
@@ -119,9 +119,9 @@
 		return h.config.Sender.Send(ctx, request)
 	}
 	request.Attempts = parent.Attempts
-	child := parent.BeginChild(time.Now(), 0)
+	child := parent.BeginCall(time.Now(), 0)
 	reply := h.config.Sender.Send(ctx, request)
-	parent.EndChild(time.Now(), child)
+	parent.EndCall(time.Now(), child)
 	parent.RecordReply(&reply)
 	return reply
 }
@@ -137,10 +137,10 @@
 	}
 	request.AttemptsLeft = accepted.AttemptAllowance
 	token := r.Header.Get(backend.ChainHeader)
-	if h.config.Chains.IsCanceled(token) {
+	if h.config.RunningRequests.IsCanceled(token) {
 		return nil, nil, &rejection{call.ReasonCanceled, backend.ChainHeader + " names a request that was canceled"}
 	}
-	parent := h.config.Chains.Find(token)
+	parent := h.config.RunningRequests.Find(token)
 	inheritRoot(request, r, kind, parent)
 	return request, parent, nil
 }
--- a/internal/traffic/caller/handler_test.go
+++ b/internal/traffic/caller/handler_test.go
@@ -36,7 +36,7 @@
 		ByService: map[string]board.DocumentInForce{"access": {Revision: 1, Document: d}},
 	}})
 	router := httprouter.New()
-	caller.Register(router, caller.Config{Board: loop, Sender: s, Chains: call.NewRunningRequests(), MaxBody: 1 << 10})
+	caller.Register(router, caller.Config{Board: loop, Sender: s, RunningRequests: call.NewRunningRequests(), MaxBody: 1 << 10})
 	w := httptest.NewRecorder()
 	router.ServeHTTP(w, r)
 	return w
--- a/internal/traffic/caller/routed.go
+++ b/internal/traffic/caller/routed.go
@@ -29,10 +29,10 @@
 
 // RoutedHandlerConfig configures a RoutedHandler.
 type RoutedHandlerConfig struct {
-	Board   *board.Loop
-	Sender  Sender
-	Chains  *call.RunningRequests
-	Headers RoutedHeaders
+	Board           *board.Loop
+	Sender          Sender
+	RunningRequests *call.RunningRequests
+	Headers         RoutedHeaders
 	// Service is the service of this instance.
 	Service string
 	// MaxBody is the maximum size of a request body in bytes.
@@ -104,7 +104,7 @@
 // send forwards the request. A call of the local backend server counts as a child of the running request that most likely
 // made it.
 func (h *RoutedHandler) send(ctx context.Context, request *call.Request) call.Reply {
-	parent, isCall := h.config.Chains.Parent(request.ReceivedAt, lineage.Call{Kind: request.Kind, Expires: request.CallerDeadline})
+	parent, isCall := h.config.RunningRequests.Parent(request.ReceivedAt, lineage.Call{Kind: request.Kind, Expires: request.CallerDeadline})
 	if isCall {
 		request.Depth = 1
 	}
@@ -114,9 +114,9 @@
 	}
 	inheritParent(request, parent)
 	request.Attempts = call.NewAttemptAllowance(request.AttemptsLeft)
-	child := parent.BeginChild(time.Now(), h.typicalDurations.Of(request.Kind))
+	child := parent.BeginCall(time.Now(), h.typicalDurations.Of(request.Kind))
 	reply := h.config.Sender.Send(ctx, request)
-	parent.EndChild(time.Now(), child)
+	parent.EndCall(time.Now(), child)
 	parent.RecordReply(&reply)
 	if reply.Failure() == call.ReasonNone {
 		h.typicalDurations.Observe(request.Kind, time.Since(request.ReceivedAt)-reply.QueueingDelay)
--- a/internal/traffic/caller/routed_test.go
+++ b/internal/traffic/caller/routed_test.go
@@ -34,14 +34,14 @@
 	})
 	is.New(t).NoErr(err)
 	return caller.NewRoutedHandler(caller.RoutedHandlerConfig{
-		Board:    board.NewLoop(board.Board{Routes: table}),
-		Sender:   send,
-		Chains:   call.NewRunningRequests(),
-		Headers:  caller.RoutedHeaders{RequestID: "Request-Name", Timeout: "Time-Left", CallerService: "Calling-Service"},
-		Service:  "crew",
-		MaxBody:  100,
-		Answered: func(*call.Request, *call.Reply, time.Duration) {},
-		Rejected: func(*http.Request, call.Reason, string) {},
+		Board:           board.NewLoop(board.Board{Routes: table}),
+		Sender:          send,
+		RunningRequests: call.NewRunningRequests(),
+		Headers:         caller.RoutedHeaders{RequestID: "Request-Name", Timeout: "Time-Left", CallerService: "Calling-Service"},
+		Service:         "crew",
+		MaxBody:         100,
+		Answered:        func(*call.Request, *call.Reply, time.Duration) {},
+		Rejected:        func(*http.Request, call.Reason, string) {},
 	})
 }
 
