--- a/internal/control/board/board.go
+++ b/internal/control/board/board.go
@@ -182,7 +182,7 @@
 	UnreachableSince map[string]time.Time `json:"unreached"`
 }
 
-// KeyOwners are the nodes that remember idempotency keys. Written by the homes controller.
+// KeyOwners are the nodes that remember idempotency keys. Written by the keyowners controller.
 type KeyOwners struct {
 	// Shards holds the agreed epochs of each shard, by availability zone.
 	Shards map[string]outcome.Shard `json:"shards"`
--- a/internal/control/homes/controller.go
+++ b/internal/control/keyowners/controller.go
@@ -1,4 +1,4 @@
-// Package homes maintains the assignment of idempotency keys to the nodes that remember them, the key owners. The
+// Package keyowners maintains the assignment of idempotency keys to the nodes that remember them, the key owners. The
 // leader of each availability zone maintains one record at the platform, the zone's shard, which is a sequence of
 // epochs. The leader regularly moves the end of the last epoch forward, and appends an epoch when the members of the
 // zone change. Every write is a compare-and-swap on the record last read, so concurrent or late writers cannot make the
@@ -13,10 +13,10 @@
 //
 // # Usage
 //
-//	c := homes.NewController(homes.Config{...})
-//	zoneConfig.Sections = map[string]zone.Section{homes.Prefix: c.Section()}
+//	c := keyowners.NewController(keyowners.Config{...})
+//	zoneConfig.Sections = map[string]zone.Section{keyowners.Prefix: c.Section()}
 //	c.Run(ctx, offerer)
-package homes
+package keyowners
 
 import (
 	"cmp"
--- a/internal/control/homes/controller_test.go
+++ b/internal/control/keyowners/controller_test.go
@@ -1,4 +1,4 @@
-package homes
+package keyowners
 
 import (
 	"testing"
--- a/internal/lab/once/outage.go
+++ b/internal/lab/once/outage.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/comfreyhoist/comfreyhoist/internal/control/homes"
+	"github.com/comfreyhoist/comfreyhoist/internal/control/keyowners"
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/fleet"
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/proxy"
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/store"
@@ -21,7 +21,7 @@
 )
 
 // outageSettleTime is the time after which every epoch agreed before the outage has ended.
-var outageSettleTime = homes.DefaultTiming.Horizon + homes.DefaultTiming.TakeoverDelay + 2*time.Second
+var outageSettleTime = keyowners.DefaultTiming.Horizon + keyowners.DefaultTiming.TakeoverDelay + 2*time.Second
 
 func (o Outage) start(f *fleet.Fleet) {
 	if o == PlatformOutage {
--- a/internal/process/node/defaults.go
+++ b/internal/process/node/defaults.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/comfreyhoist/comfreyhoist/internal/control/document"
-	"github.com/comfreyhoist/comfreyhoist/internal/control/homes"
+	"github.com/comfreyhoist/comfreyhoist/internal/control/keyowners"
 	"github.com/comfreyhoist/comfreyhoist/internal/control/platform"
 	"github.com/comfreyhoist/comfreyhoist/internal/control/settings"
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/outcome"
@@ -42,8 +42,8 @@
 
 // ownerTiming returns the timing of the key owner controller. Its window is that of the keys, so that epochs are kept
 // as long as keys are remembered.
-func ownerTiming(s *settings.Settings) homes.Timing {
-	timing := homes.DefaultTiming
+func ownerTiming(s *settings.Settings) keyowners.Timing {
+	timing := keyowners.DefaultTiming
 	timing.Window = s.Keys.Window
 	return timing
 }
--- a/internal/process/node/node.go
+++ b/internal/process/node/node.go
@@ -24,7 +24,7 @@
 
 	"github.com/comfreyhoist/comfreyhoist/internal/control/board"
 	"github.com/comfreyhoist/comfreyhoist/internal/control/events"
-	"github.com/comfreyhoist/comfreyhoist/internal/control/homes"
+	"github.com/comfreyhoist/comfreyhoist/internal/control/keyowners"
 	"github.com/comfreyhoist/comfreyhoist/internal/control/metrics"
 	"github.com/comfreyhoist/comfreyhoist/internal/control/platform"
 	"github.com/comfreyhoist/comfreyhoist/internal/control/settings"
@@ -68,7 +68,7 @@
 	platform         *platform.Client
 	runningRequests  *call.RunningRequests
 	keyOwner         *flow.KeyOwner
-	ownerController  *homes.Controller
+	ownerController  *keyowners.Controller
 	keyedSender      *flow.KeyedSender
 	peerClient       *peer.Client
 	traffic          trafficState
@@ -158,7 +158,7 @@
 // buildControl creates the components that share state with the peers and the platform.
 func (n *Node) buildControl(s *settings.Settings, self outcome.Node) {
 	n.platform = platform.NewClient(platformConfig(s))
-	n.ownerController = homes.NewController(homes.Config{
+	n.ownerController = keyowners.NewController(keyowners.Config{
 		Board:    n.loop,
 		Platform: n.platform,
 		Log:      n.config.Log,
@@ -181,7 +181,7 @@
 		Log:         n.config.Log,
 		Timing:      zone.DefaultTiming,
 		Incarnation: self.Incarnation,
-		Sections:    map[string]zone.Section{homes.Prefix: n.ownerController.Section()},
+		Sections:    map[string]zone.Section{keyowners.Prefix: n.ownerController.Section()},
 	})
 }
 
--- a/internal/proof/once/outage_test.go
+++ b/internal/proof/once/outage_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/uuid"
 	"github.com/matryer/is"
 
-	"github.com/comfreyhoist/comfreyhoist/internal/control/homes"
+	"github.com/comfreyhoist/comfreyhoist/internal/control/keyowners"
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/fleet"
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/store"
 )
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	f.Store.SetFaults(store.Faults{Down: true})
 	defer f.Store.SetFaults(store.Faults{})
-	time.Sleep(homes.DefaultTiming.Horizon + 2*time.Second)
+	time.Sleep(keyowners.DefaultTiming.Horizon + 2*time.Second)
 	for i := range 10 {
 		n := f.Nodes[i%len(f.Nodes)]
 		for _, key := range []string{"", uuid.Must(uuid.NewV7()).String(), fmt.Sprintf("outage-%d", i)} {
--- a/internal/proof/once/renewal_test.go
+++ b/internal/proof/once/renewal_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/comfreyhoist/comfreyhoist/internal/control/homes"
+	"github.com/comfreyhoist/comfreyhoist/internal/control/keyowners"
 	"github.com/comfreyhoist/comfreyhoist/internal/control/platform"
 	"github.com/comfreyhoist/comfreyhoist/internal/decide/outcome"
 	"github.com/comfreyhoist/comfreyhoist/internal/lab/fleet"
@@ -20,13 +20,13 @@
 func storedShards(t *testing.T, f *fleet.Fleet) (map[string]outcome.Shard, map[string]uint64) {
 	is := is.New(t)
 	client := platform.NewClient(platform.Config{URL: f.StoreURL, Timeout: time.Second})
-	listed, err := client.List(t.Context(), homes.Prefix)
+	listed, err := client.List(t.Context(), keyowners.Prefix)
 	is.NoErr(err)
 	shards, revisions := map[string]outcome.Shard{}, map[string]uint64{}
 	for _, e := range listed.Entries {
 		var s outcome.Shard
 		is.NoErr(json.Unmarshal(e.Value, &s))
-		name := e.Key[len(homes.Prefix):]
+		name := e.Key[len(keyowners.Prefix):]
 		shards[name], revisions[name] = s, e.Revision
 	}
 	return shards, revisions
@@ -57,7 +57,7 @@
 func testRenewalWithoutWrites(t *testing.T, f *fleet.Fleet) {
 	is := is.New(t)
 	_, before := storedShards(t, f)
-	time.Sleep(homes.DefaultTiming.Horizon + time.Second)
+	time.Sleep(keyowners.DefaultTiming.Horizon + time.Second)
 	is.True(allOwnersKnown(t, f))
 	_, after := storedShards(t, f)
 	is.Equal(after, before)
@@ -71,7 +71,7 @@
 	others := []string{f.Nodes[0].Name, f.Nodes[1].Name}
 	f.Network.SetBoth(isolated, others, proxy.Fault{Cut: true})
 	defer f.Network.SetBoth(isolated, others, proxy.Fault{})
-	time.Sleep(homes.DefaultTiming.Horizon + homes.DefaultTiming.TakeoverDelay + 3*time.Second)
+	time.Sleep(keyowners.DefaultTiming.Horizon + keyowners.DefaultTiming.TakeoverDelay + 3*time.Second)
 	shards, _ := storedShards(t, f)
 	for name, s := range shards {
 		is.Equal(s.Last().Zone, name)
