--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,6 @@
 // Package scenario runs overload experiments: a deployment under its ordinary load, a trigger that overloads it, and
-// the time after the trigger. They run with the current program, an earlier build of it, or the baseline balancer.
+// the time after the trigger. The system under test is the current build of comfreyhoist, an earlier build, or the
+// baseline balancer.
 //
 // # Usage
 //
@@ -22,8 +23,8 @@
 	TriggerDuration = 8 * time.Second
 	// DurationAfter is the time of ordinary load after the last trigger.
 	DurationAfter = 12 * time.Second
-	// TriggerInterval is the time between the end of a trigger and the start of the next.
-	TriggerInterval = 4 * time.Second
+	// TriggerPause is the time between the end of a trigger and the start of the next.
+	TriggerPause = 4 * time.Second
 	// settleTime is left out at the start of a phase when its figures are computed.
 	settleTime = 2 * time.Second
 )
@@ -44,7 +45,7 @@
 type Scenario struct {
 	Name string
 	Text string
-	// Triggers run one after the other, TriggerInterval apart.
+	// Triggers run one after the other, TriggerPause apart.
 	Triggers []Trigger
 	// Resends is how often every caller resends a failed request immediately.
 	Resends int
@@ -106,7 +107,7 @@
 	start := DurationBefore
 	for range s.Triggers {
 		spans = append(spans, span{start, start + TriggerDuration})
-		start += TriggerDuration + TriggerInterval
+		start += TriggerDuration + TriggerPause
 	}
 	return spans
 }
@@ -120,13 +121,13 @@
 // streams returns the ordinary load and the load that each trigger adds.
 func (s Scenario) streams(d Deployment) []load.Stream {
 	var streams []load.Stream
-	for _, o := range d.Streams {
-		o.Resends = s.Resends
-		streams = append(streams, o)
+	for _, ordinary := range d.Streams {
+		ordinary.Resends = s.Resends
+		streams = append(streams, ordinary)
 		for i, t := range s.Triggers {
-			if ratio := t.addedRatio(d, o); ratio > 0 {
-				added := o
-				added.Rate = o.Rate * ratio
+			if ratio := t.addedRatio(d, ordinary); ratio > 0 {
+				added := ordinary
+				added.Rate = ordinary.Rate * ratio
 				added.Start, added.Stop = s.spans()[i].start, s.spans()[i].end
 				added.Added = true
 				streams = append(streams, added)
--- a/internal/process/node/table.go
+++ b/internal/process/node/table.go
@@ -61,8 +61,8 @@
 func (d Dump) writeDocuments(t *terminal.Table, now time.Time) {
 	t.Section("DOCUMENTS", "SERVICE", "TEAM", "REVISION", "EDITOR", "OPERATION", "IN FORCE FOR")
 	for _, service := range slices.Sorted(maps.Keys(d.Board.Documents.ByService)) {
-		in := d.Board.Documents.ByService[service]
-		t.Row(service, in.Document.Team, in.Revision, in.Editor, in.Operation, now.Sub(in.InForceSince).Round(time.Second))
+		inForce := d.Board.Documents.ByService[service]
+		t.Row(service, inForce.Document.Team, inForce.Revision, inForce.Editor, inForce.Operation, now.Sub(inForce.InForceSince).Round(time.Second))
 	}
 }
 
@@ -139,7 +139,7 @@
 func (d Dump) writeThrottles(t *terminal.Table, now time.Time) {
 	t.Section("REFUSED AT THE ENTRY", "SERVICE", "KIND", "RANK", "REASON", "SHARE", "ACCEPTED", "REFUSED BELOW", "AGO", "LAST REFUSED HERE", "AGO")
 	for _, s := range d.Sender.Throttles {
-		t.Row(s.Service, s.Kind, s.Rank, s.Reason, fmt.Sprintf("%.2f", s.RefusedShare), fmt.Sprintf("%.0f", s.Accepted),
+		t.Row(s.Service, s.Kind, s.Rank, s.Reason, fmt.Sprintf("%.2f", s.RefusedRatio), fmt.Sprintf("%.0f", s.Accepted),
 			fmt.Sprintf("%.0f", s.RefusedBelow), ago(now, s.LastBelow), orNone(string(s.LastHere.Reason)), ago(now, s.LastHere.At))
 	}
 }
@@ -162,8 +162,8 @@
 // formatCrashes lists the crashes that are attributed to a quarantined request.
 func formatCrashes(e quarantine.Entry, now time.Time) string {
 	var crashes []string
-	for _, v := range e.Evidence {
-		crashes = append(crashes, fmt.Sprintf("%s %s ago", v.Source, ago(now, v.At)))
+	for _, crash := range e.Evidence {
+		crashes = append(crashes, fmt.Sprintf("%s %s ago", crash.Source, ago(now, crash.At)))
 	}
 	return strings.Join(crashes, ", ")
 }
--- a/internal/traffic/caller/routed.go
+++ b/internal/traffic/caller/routed.go
@@ -29,10 +29,10 @@
 
 // RoutedHandlerConfig configures a RoutedHandler.
 type RoutedHandlerConfig struct {
-	Board   *board.Loop
-	Sender  Sender
-	Chains  *call.RunningRequests
-	Headers RoutedHeaders
+	Board           *board.Loop
+	Sender          Sender
+	RunningRequests *call.RunningRequests
+	Headers         RoutedHeaders
 	// Service is the service of this instance.
 	Service string
 	// MaxBody is the maximum size of a request body in bytes.
@@ -63,8 +63,8 @@
 	return &RoutedHandler{config: config, typicalDurations: call.NewTypicalDurations[string](maxTypicalDurations), requestCounts: map[string]*atomic.Uint64{}}
 }
 
-// replyGracePeriod is how long to wait after the deadline for the reply of another node. That node gives up the request at
-// the deadline, and only its reply tells whether the request ran.
+// replyGracePeriod is how long to wait after the deadline for the reply of another node. That node gives up the request
+// at the deadline, and only its reply shows whether the request ran.
 const replyGracePeriod = 30 * time.Millisecond
 
 // noRoutesRetryAfter is the Retry-After of a node that has no routes yet.
@@ -104,7 +104,7 @@
 // send forwards the request. A call of the local backend server counts as a child of the running request that most likely
 // made it.
 func (h *RoutedHandler) send(ctx context.Context, request *call.Request) call.Reply {
-	parent, isCall := h.config.Chains.Parent(request.ReceivedAt, lineage.Call{Kind: request.Kind, Expires: request.CallerDeadline})
+	parent, isCall := h.config.RunningRequests.Parent(request.ReceivedAt, lineage.Call{Kind: request.Kind, Expires: request.CallerDeadline})
 	if isCall {
 		request.Depth = 1
 	}
@@ -114,9 +114,9 @@
 	}
 	inheritParent(request, parent)
 	request.Attempts = call.NewAttemptAllowance(request.AttemptsLeft)
-	child := parent.BeginChild(time.Now(), h.typicalDurations.Of(request.Kind))
+	child := parent.BeginCall(time.Now(), h.typicalDurations.Of(request.Kind))
 	reply := h.config.Sender.Send(ctx, request)
-	parent.EndChild(time.Now(), child)
+	parent.EndCall(time.Now(), child)
 	parent.RecordReply(&reply)
 	if reply.Failure() == call.ReasonNone {
 		h.typicalDurations.Observe(request.Kind, time.Since(request.ReceivedAt)-reply.QueueingDelay)
@@ -198,7 +198,7 @@
 	return header
 }
 
-// writeReply writes the response to the caller. The status of a request that has no response of the backend server tells
+// writeReply writes the response to the caller. The status of a request that has no response of the backend server shows
 // whether it may have run.
 func (h *RoutedHandler) writeReply(w http.ResponseWriter, reply call.Reply) {
 	if reply.Outcome == call.Ran && (reply.Status < http.StatusOK || reply.Status > maxStatus || !areHeadersValid(reply.Header)) {
@@ -218,7 +218,7 @@
 	_, _ = w.Write(reply.Body)
 }
 
-// minRetryAfter prevents callers from retrying at once.
+// minRetryAfter prevents callers from retrying immediately.
 const minRetryAfter = 50 * time.Millisecond
 
 func setRefusalHeaders(header http.Header, reply *call.Reply) {
@@ -234,8 +234,8 @@
 	}
 }
 
-// refusalStatus returns the status of a request that has no response of the backend server: 502 or 504 if it may have run,
-// otherwise the status of its reason for a client error except ReasonCanceled, and 503 for all other reasons.
+// refusalStatus returns the status of a request that has no response of the backend server: 502 or 504 if it may have
+// run, otherwise the status of its reason for a client error except ReasonCanceled, and 503 for all other reasons.
 func refusalStatus(reply *call.Reply) int {
 	status := reply.Reason.Entry().Status
 	switch {
